--- a/internal/granter/granter.go
+++ b/internal/granter/granter.go
@@ -1,5 +1,5 @@
-// Package granter answers the entries that ask an agent for places at its engine, and logs
-// each answer so that a refused request leads to its cause.
+// Package granter answers the entries that ask an agent for slots at its engine, and logs each answer, so that
+// a refused request can be traced to its cause.
 package granter
 
 import (
@@ -18,53 +18,52 @@
 )
 
 const (
-	// refusalLines is how many refusals are logged a second, after a first refusalBurst. At
-	// 1.4 times what twelve engines bear, an agent refuses some 25 questions a second; a
-	// burst at all entries asks each agent hundreds of times within the same moment.
-	refusalLines = 50
-	refusalBurst = 100
+	// refusalLogRate is how many refusals are logged per second, beyond a burst of refusalLogBurst. At 1.4
+	// times the capacity of twelve engines an agent refuses some 25 reservations per second; a burst at all
+	// entries sends each agent hundreds at once.
+	refusalLogRate  = 50
+	refusalLogBurst = 100
 )
 
-// Granter grants places. Set the exported fields before use.
+// Granter grants slots. Set the exported fields before use.
 type Granter struct {
 	Ledger *scheduler.Ledger
-	// Holds gives the version of a model in the engine; 0 for none.
+	// Holds returns the version of a model in the engine; 0 for none.
 	Holds func(model string) uint64
-	// EngineStart gives the start of the engine and how long ago it was observed; a zero start while it
-	// is unknown. Nil for an engine that doesn't state its start.
+	// EngineStart returns the start of the engine and how long ago it was observed; a zero start while it is
+	// unknown. Nil for an engine that doesn't state its start.
 	EngineStart func() (startedAt time.Time, age time.Duration)
-	// Poll has the agent ask its engine at once; nil for an agent that can't.
+	// Poll makes the agent poll its engine at once; nil for an agent that can't.
 	Poll  func()
 	Clock clock.PassiveClock
 	// Metrics counts the answers to reservations with a priority; nil for no count.
 	Metrics metrics.Registry
 
 	once sync.Once
-	// logged bounds the lines on refusals, and unlogged counts those left out since the
-	// last. Bursts would else fill the log with lines that all say the same, and those of
-	// other requests would be dropped; the entry's line on the refused request tells what
-	// its agents said, too.
-	logged   *rate.Limiter
-	unlogged atomic.Int64
-	tables   tables
+	// logLimiter limits the lines on refusals, and unlogged counts those left out since the last line. Bursts
+	// would otherwise fill the log with equal lines and displace those of other requests; the entry's line on
+	// the refused request includes its agents' answers, too.
+	logLimiter    *rate.Limiter
+	unlogged      atomic.Int64
+	tableVersions tableVersions
 }
 
-// Reserve answers a question for a place.
+// Reserve answers a reservation.
 func (g *Granter) Reserve(q messenger.Reservation, from *messenger.Link) messenger.Verdict {
-	if v, ok := g.anotherEngine(q); ok {
+	if v, ok := g.refuseOtherStart(q); ok {
 		return v
 	}
 	if q.Limit != nil {
-		g.Ledger.Limit(observer.Limit{Rate: q.Limit.PerSecond, Age: q.Limit.Age()})
+		g.Ledger.SetStatedLimit(observer.Limit{Rate: q.Limit.PerSecond, Age: q.Limit.Age()})
 	}
 	v := g.Ledger.Reserve(scheduler.Job{
 		ID: q.Request, Prompt: q.Prompt, Answer: q.Answer, Expected: q.Expected, MaxAnswer: q.MaxAnswer, Spare: q.Spare, Patience: q.Patience(), Left: q.Left(), Pause: q.Pause(),
 		Priority: q.Priority, Workspace: q.Workspace, Budget: q.Budget(), Asked: q.Asked, Refusals: q.Refusals,
-		Beyond: scheduler.Beyond(q.BeyondRamp),
+		Beyond: scheduler.RampBypass(q.BeyondRamp),
 	}, from)
-	g.count(q, v)
-	g.tables.note(q)
-	if v.Granted || g.logs() {
+	g.countOutcome(q, v)
+	g.tableVersions.record(q)
+	if v.Granted || g.allowLogLine() {
 		fields := []any{"request", q.RequestID(), "granted", v.Granted, "closed", v.Closed, "wait", v.Wait, "takes", v.Takes,
 			"patience", q.Patience(), "active", v.Active, "slots", v.Slots, "prompt", q.Prompt, "spare", q.Spare,
 			"unreserved", v.Unreserved, "observed", v.Observed, "held", v.Ramp != nil && v.Ramp.Held, "unlogged", g.unlogged.Swap(0),
@@ -74,45 +73,45 @@
 	return messenger.Verdict{
 		Granted: v.Granted, Closed: v.Closed, Version: g.Holds(q.Model), WaitMS: v.Wait.Milliseconds(),
 		TakesMS: v.Takes.Milliseconds(), FreeMS: v.Free.Milliseconds(), Active: v.Active, Slots: v.Slots, Kept: v.Kept,
-		BeginWithinMS: v.BeginWithin.Milliseconds(), EndsLate: v.EndsLate, Pace: pace(v.Pace), Momentary: g.momentary(v.Momentary), Ramp: rampOf(v.Ramp),
+		BeginWithinMS: v.BeginWithin.Milliseconds(), EndsLate: v.EndsLate, Pace: wirePace(v.Pace), Momentary: g.wireMomentary(v.Momentary), Ramp: wireRamp(v.Ramp),
 	}
 }
 
-// pace is what is reported of a pace; 0 for the normal one.
-func pace(factor float64) messenger.Hundredths {
+// wirePace is a pace on the wire; 0 for the normal one.
+func wirePace(factor float64) messenger.Hundredths {
 	if factor <= 1 {
 		return 0
 	}
 	return messenger.InHundredths(factor)
 }
 
-// momentary is what is reported of a momentary pace; nil for the normal one, and for one that is too old to matter.
-func (g *Granter) momentary(m scheduler.Momentary) *messenger.MomentaryPace {
+// wireMomentary is a momentary pace on the wire; nil for the normal one and for one that has expired.
+func (g *Granter) wireMomentary(m scheduler.MomentaryPace) *messenger.MomentaryPace {
 	if m.Factor <= 0 {
 		return nil
 	}
 	age := g.Clock.Since(m.At)
-	if age >= scheduler.PaceSpan {
+	if age >= scheduler.PaceValidity {
 		return nil
 	}
 	return &messenger.MomentaryPace{Pace: messenger.InHundredths(m.Factor), AgeMS: age.Milliseconds()}
 }
 
-// rampOf is the state of a ramp on the wire.
-func rampOf(r *scheduler.RampState) *messenger.Ramp {
+// wireRamp is the state of a ramp on the wire.
+func wireRamp(r *scheduler.RampState) *messenger.Ramp {
 	if r == nil {
 		return nil
 	}
 	return &messenger.Ramp{Limit: r.Limit, Held: r.Held, Well: r.Well}
 }
 
-// AnotherEngine is why nothing is granted for an engine that isn't the one beside the agent.
+// AnotherEngine is why nothing is granted for an engine other than the one beside the agent.
 const AnotherEngine = "another engine"
 
-// anotherEngine refuses a reservation for a start of the engine that isn't the one known here. The engine
-// would reject the request, and the slot be free for the next one that it rejects. A later start than
-// the known one is mostly the engine's own, which this agent hasn't observed yet.
-func (g *Granter) anotherEngine(q messenger.Reservation) (messenger.Verdict, bool) {
+// refuseOtherStart refuses a reservation for a start of the engine other than the known one. The engine would
+// reject the request, and free the slot for the next one to be rejected. A later start than the known one is
+// mostly the engine's own, which this agent hasn't observed yet.
+func (g *Granter) refuseOtherStart(q messenger.Reservation) (messenger.Verdict, bool) {
 	if g.EngineStart == nil || q.StartedAt.IsZero() {
 		return messenger.Verdict{}, false
 	}
@@ -123,45 +122,45 @@
 	if startedAt.Before(q.StartedAt) && g.Poll != nil {
 		g.Poll()
 	}
-	if g.logs() {
+	if g.allowLogLine() {
 		klog.InfoS("Slot refused: meant for another start of the engine", "request", q.RequestID(), "meant", q.StartedAt,
 			"startedAt", startedAt, "observed", age)
 	}
 	return messenger.Verdict{Closed: AnotherEngine, StartedAt: startedAt, ObservedMS: age.Milliseconds()}, true
 }
 
-// logs tells whether one more refusal is logged now.
-func (g *Granter) logs() bool {
-	g.once.Do(func() { g.logged = rate.NewLimiter(refusalLines, refusalBurst) })
-	if g.logged.AllowN(g.Clock.Now(), 1) {
+// allowLogLine reports whether one more refusal may be logged.
+func (g *Granter) allowLogLine() bool {
+	g.once.Do(func() { g.logLimiter = rate.NewLimiter(refusalLogRate, refusalLogBurst) })
+	if g.logLimiter.AllowN(g.Clock.Now(), 1) {
 		return true
 	}
 	g.unlogged.Add(1)
 	return false
 }
 
-// Progress notes what became of requests that got places.
+// Progress records the progress of requests that hold slots.
 func (g *Granter) Progress(p messenger.Progress, _ *messenger.Link) {
 	for _, id := range p.Started {
 		g.Ledger.Started(id)
 	}
 	if p.Pace != nil {
-		g.Ledger.Paced(p.Pace.Pace.Factor(), p.Pace.Age())
+		g.Ledger.RecordPace(p.Pace.Pace.Factor(), p.Pace.Age())
 	}
 	for _, id := range p.Failed {
-		g.Ledger.Failed(id, false)
+		g.Ledger.RecordFailure(id, false)
 	}
 	for _, id := range p.Refused {
-		g.Ledger.Failed(id, true)
+		g.Ledger.RecordFailure(id, true)
 	}
 	for _, id := range p.Ended {
 		g.Ledger.Ended(id)
 	}
 }
 
-// Lost frees what a connection that is over had.
+// Lost handles the end of a connection over which slots were granted.
 func (g *Granter) Lost(from *messenger.Link) {
-	if slots := g.Ledger.Lost(from); slots > 0 {
+	if slots := g.Ledger.ConnectionLost(from); slots > 0 {
 		klog.InfoS("Entry disconnected", "slots", slots)
 	}
 }
--- a/internal/granter/granter_test.go
+++ b/internal/granter/granter_test.go
@@ -18,10 +18,9 @@
 	"github.com/oriolecroft/oriolecroft/internal/scheduler"
 )
 
-// All entries ask a closed engine's agent at once, a thousand times. Were each refusal a
-// line, the log's queue would be full and the lines of requests that were served would be
-// missing when somebody looks for them.
-func TestRefusalsAreLoggedUpToABound(t *testing.T) {
+// Guards against a line for each refusal: when all entries ask a closed engine's agent at once, a thousand
+// times, they would fill the log's queue and displace the lines of served requests.
+func TestRefusalLogIsRateLimited(t *testing.T) {
 	var out bytes.Buffer
 	logger.Install(&out)
 	defer klog.ClearLogger()
@@ -38,7 +37,7 @@
 	must.Eq(t, 100, bytes.Count(out.Bytes(), []byte("\n")))
 	out.Reset()
 
-	// A grant is always logged, and says how many lines were left out before it.
+	// A grant is always logged, with the number of lines left out before it.
 	l.Open(&matcher.Engine{Slots: 4, ReadPerSecond: 1000, Step: time.Millisecond, Chunk: 512, Stride: 4})
 	must.True(t, ask("granted"))
 	var line struct {
@@ -50,8 +49,8 @@
 	must.Eq(t, 900, line.Unlogged)
 }
 
-// Guards against lines on a reservation that can't be found by the request's id.
-func TestLineOfANumberedReservationNamesItsRequest(t *testing.T) {
+// Guards against lines on a reservation that can't be found by the request's ID.
+func TestReservationLogNamesRequest(t *testing.T) {
 	var out bytes.Buffer
 	logger.Install(&out)
 	defer klog.ClearLogger()
@@ -69,7 +68,7 @@
 	}
 }
 
-// engineStart is the engine beside an agent, as it was last seen.
+// engineStart is the last observed state of the engine beside an agent.
 type engineStart struct {
 	startedAt time.Time
 	age       time.Duration
@@ -83,9 +82,9 @@
 		EngineStart: func() (time.Time, time.Duration) { return e.startedAt, e.age }, Poll: func() { e.polls++ }}
 }
 
-// Guards against slots that are granted for an engine that isn't the one beside the agent: each request
-// is rejected there, and its slot free for the next.
-func TestSlotIsGrantedForTheStartThatIsMeant(t *testing.T) {
+// Guards against granting slots for an engine other than the one beside the agent: each request is rejected
+// there, which frees its slot for the next.
+func TestSlotIsGrantedOnlyForMatchingEngineStart(t *testing.T) {
 	startedAt := time.UnixMilli(5000)
 	for name, e := range map[string]struct {
 		meant   time.Time
--- a/internal/granter/pace_test.go
+++ b/internal/granter/pace_test.go
@@ -13,9 +13,9 @@
 	"github.com/oriolecroft/oriolecroft/internal/scheduler"
 )
 
-// Guards against a momentary pace that one entry states and others don't learn of, that is passed on as newer than it is, or that is
-// passed on where no reply states one.
-func TestEntriesLearnThePaceThatOneOfThemStates(t *testing.T) {
+// Guards against a momentary pace stated by one entry that doesn't reach the others, is forwarded as newer than
+// it is, or is forwarded where no reply states one.
+func TestReportedPaceReachesOtherEntries(t *testing.T) {
 	c := clocktest.NewFakeClock(time.Unix(1000, 0))
 	l := &scheduler.Ledger{Clock: c}
 	l.Open(&matcher.Engine{Slots: 12, Step: 9 * time.Millisecond, ReadPerSecond: 20700, Stride: 4, UsualAnswer: 80})
@@ -31,7 +31,7 @@
 	slow := ask()
 	must.Eq(t, &messenger.MomentaryPace{Pace: 250, AgeMS: 150}, slow.Momentary)
 	must.Greater(t, usual.TakesMS, slow.TakesMS)
-	c.Step(scheduler.PaceSpan)
+	c.Step(scheduler.PaceValidity)
 	must.Nil(t, ask().Momentary)
 	l.Observe(1, 2.5)
 	must.Eq(t, messenger.Hundredths(250), ask().Pace)
--- a/internal/granter/priority.go
+++ b/internal/granter/priority.go
@@ -11,8 +11,8 @@
 	"github.com/oriolecroft/oriolecroft/internal/scheduler"
 )
 
-// count counts the answer to a reservation with a priority.
-func (g *Granter) count(q messenger.Reservation, v scheduler.Verdict) {
+// countOutcome counts the answer to a reservation with a priority.
+func (g *Granter) countOutcome(q messenger.Reservation, v scheduler.Decision) {
 	if q.Priority == nil || g.Metrics == nil {
 		return
 	}
@@ -30,30 +30,30 @@
 	metrics.GetOrRegisterCounter(fmt.Sprintf("priority.%d.%s", *q.Priority, outcome), g.Metrics).Inc(1)
 }
 
-// tables finds entries that take priorities from an older route table than others. Each reservation counts as
-// sent.
-type tables struct {
+// tableVersions detects entries that take priorities from an older route table than others. Each reservation
+// counts as sent.
+type tableVersions struct {
 	mu sync.Mutex
-	// newest is the newest version seen, and logged the one for which a line was written.
-	newest, logged uint64
+	// newest is the newest version seen, and loggedFor the one for which a line was logged.
+	newest, loggedFor uint64
 }
 
-// note writes a line on the first reservation by an older table than the newest known one.
-func (t *tables) note(q messenger.Reservation) {
+// record logs the first reservation by an older table than the newest known one.
+func (t *tableVersions) record(q messenger.Reservation) {
 	if q.Priority == nil {
 		return
 	}
 	t.mu.Lock()
 	defer t.mu.Unlock()
 	t.newest = max(t.newest, q.Table)
-	if q.Table < t.newest && t.logged != t.newest {
-		t.logged = t.newest
+	if q.Table < t.newest && t.loggedFor != t.newest {
+		t.loggedFor = t.newest
 		klog.InfoS("Priorities from different route tables", "request", q.RequestID(), "table", q.Table, "newest", t.newest)
 	}
 }
 
-// priorityFields are those of a line on a reservation with a priority.
-func priorityFields(q messenger.Reservation, v scheduler.Verdict) []any {
+// priorityFields returns the log fields of a reservation with a priority.
+func priorityFields(q messenger.Reservation, v scheduler.Decision) []any {
 	if q.Priority == nil {
 		return nil
 	}
--- a/internal/granter/priority_test.go
+++ b/internal/granter/priority_test.go
@@ -17,9 +17,9 @@
 	"github.com/oriolecroft/oriolecroft/internal/scheduler"
 )
 
-// Guards against priorities that don't reach the ledger, and against an operator who can't tell from an agent's log
-// and counters for whom slots were kept.
-func TestAgentTellsForWhomSlotsAreKept(t *testing.T) {
+// Guards against priorities that don't reach the ledger, and against logs and counters of an agent that don't
+// show for whom slots were kept.
+func TestLogAndMetricsShowKeptSlots(t *testing.T) {
 	var out bytes.Buffer
 	logger.Install(&out)
 	defer klog.ClearLogger()
@@ -48,8 +48,8 @@
 	}
 }
 
-// Guards against a line for each request while entries know different tables.
-func TestDifferentTablesAreLoggedOnce(t *testing.T) {
+// Guards against a line for each request while entries have different route tables.
+func TestDifferentRouteTablesAreLoggedOnce(t *testing.T) {
 	var out bytes.Buffer
 	logger.Install(&out)
 	defer klog.ClearLogger()
--- a/internal/placer/placer.go
+++ b/internal/placer/placer.go
@@ -1,5 +1,4 @@
-// Package placer divides a failure domain's engines among the models that the
-// bundle places there.
+// Package placer divides a failure domain's engines among the models that the bundle places there.
 package placer
 
 import (
@@ -12,33 +11,31 @@
 	"github.com/oriolecroft/oriolecroft/pkg/bundler"
 )
 
-// Place names the model for each engine of a failure domain; none when no model is
-// placed there. The answer depends only on what is given, so that entries which
-// know the same agents give the same one; entries whose views differ for a moment
-// cost a needless load and nothing else. Each model gets its share of the engines,
-// at least one while they suffice. Engines that hold a model already keep it where
-// the shares allow, since a load takes minutes of service.
-func Place(b *bundler.Bundle, domain string, known []messenger.AgentState) map[string]string {
-	ms := b.ModelsIn(domain)
-	if len(ms) == 0 {
+// Place returns the model for each engine of a failure domain; none if no model is placed there. The result
+// depends only on the arguments, so entries with the same view of the agents compute the same one; views that
+// differ for a moment cost only a needless load. Each model gets its share of the engines, at least one while
+// they suffice. Engines keep a model that they hold where the shares allow, since a load takes minutes of
+// service.
+func Place(b *bundler.Bundle, domain string, agents []messenger.AgentState) map[string]string {
+	models := b.ModelsIn(domain)
+	if len(models) == 0 {
 		return nil
 	}
-	engines := enginesIn(domain, known)
-	left := quotas(ms, len(engines))
-	assigned := keep(engines, left)
+	engines := enginesIn(domain, agents)
+	remaining := quotas(models, len(engines))
+	assigned := keepCurrent(engines, remaining)
 	for _, a := range engines {
 		if assigned[a.ID] == "" {
-			assigned[a.ID] = take(a.ID, ms, left)
+			assigned[a.ID] = assignByHash(a.ID, models, remaining)
 		}
 	}
 	return assigned
 }
 
-// enginesIn lists the engines of a failure domain in an order that does not depend
-// on who asks.
-func enginesIn(domain string, known []messenger.AgentState) []messenger.AgentState {
+// enginesIn lists the engines of a failure domain in an order that doesn't depend on the process.
+func enginesIn(domain string, agents []messenger.AgentState) []messenger.AgentState {
 	var engines []messenger.AgentState
-	for _, a := range known {
+	for _, a := range agents {
 		if a.Kind == messenger.KindEngine && a.FailureDomain == domain && !a.Leaving {
 			engines = append(engines, a)
 		}
@@ -47,70 +44,68 @@
 	return engines
 }
 
-// quotas gives each model its number of engines, to within one of its exact share
-// where that is one or more: one each first, then one at a time to the model that
-// is furthest below its share. A model that has its share of the engines given out
-// so far is passed over: those with great shares would else gain several of them
-// at the cost of the small ones.
-func quotas(ms []bundler.Model, engines int) map[string]int {
+// quotas returns the number of engines of each model, to within one of its exact share where that is one or
+// more: one each first, then one at a time to the model that is furthest below its share. A model that already
+// has its share of the engines assigned so far is skipped: otherwise models with large shares would gain
+// several engines at the cost of small ones.
+func quotas(models []bundler.Model, engines int) map[string]int {
 	total := 0
-	for _, m := range ms {
+	for _, m := range models {
 		total += share(m)
 	}
-	q := map[string]int{}
-	for given := range engines {
-		best := -1
-		for i, m := range ms {
-			n := q[m.Name]
-			if n > 0 && n*total >= share(m)*(given+1) {
+	quota := map[string]int{}
+	for assigned := range engines {
+		neediest := -1
+		for i, m := range models {
+			n := quota[m.Name]
+			if n > 0 && n*total >= share(m)*(assigned+1) {
 				continue
 			}
-			if best < 0 || needier(q, m, ms[best]) {
-				best = i
+			if neediest < 0 || furtherBelowShare(quota, m, models[neediest]) {
+				neediest = i
 			}
 		}
-		q[ms[best].Name]++
+		quota[models[neediest].Name]++
 	}
-	return q
+	return quota
 }
 
-// share is a model's weight, which may have been left out.
+// share is a model's weight, at least one as it may be omitted.
 func share(m bundler.Model) int { return max(1, m.Share) }
 
-// needier tells whether model a has fewer engines for its share than b. A model
-// without any goes before all that have one.
-func needier(q map[string]int, a, b bundler.Model) bool {
-	if (q[a.Name] == 0) != (q[b.Name] == 0) {
-		return q[a.Name] == 0
+// furtherBelowShare reports whether model a has fewer engines for its share than b. A model without any
+// precedes all that have one.
+func furtherBelowShare(quota map[string]int, a, b bundler.Model) bool {
+	if (quota[a.Name] == 0) != (quota[b.Name] == 0) {
+		return quota[a.Name] == 0
 	}
-	return (q[a.Name]+1)*share(b) < (q[b.Name]+1)*share(a)
+	return (quota[a.Name]+1)*share(b) < (quota[b.Name]+1)*share(a)
 }
 
-// keep leaves engines with the model they hold while its quota lasts.
-func keep(engines []messenger.AgentState, left map[string]int) map[string]string {
+// keepCurrent assigns engines the model they hold while its quota lasts.
+func keepCurrent(engines []messenger.AgentState, remaining map[string]int) map[string]string {
 	assigned := map[string]string{}
 	for _, a := range engines {
-		if a.Model != "" && left[a.Model] > 0 {
-			left[a.Model]--
+		if a.Model != "" && remaining[a.Model] > 0 {
+			remaining[a.Model]--
 			assigned[a.ID] = a.Model
 		}
 	}
 	return assigned
 }
 
-// take gives an engine one of the models whose quota is not used up, by the
-// highest hash of the pair.
-func take(id string, ms []bundler.Model, left map[string]int) string {
-	best := ""
-	var high uint64
-	for _, m := range ms {
-		if left[m.Name] == 0 {
+// assignByHash assigns an engine one of the models whose quota is not used up, by the highest hash of the pair.
+func assignByHash(id string, models []bundler.Model, remaining map[string]int) string {
+	chosen := ""
+	var highest uint64
+	for _, m := range models {
+		if remaining[m.Name] == 0 {
 			continue
 		}
-		if h := xxhash.Sum64String(id + " " + m.Name); best == "" || h > high {
-			best, high = m.Name, h
+		if h := xxhash.Sum64String(id + " " + m.Name); chosen == "" || h > highest {
+			chosen, highest = m.Name, h
 		}
 	}
-	left[best]--
-	return best
+	remaining[chosen]--
+	return chosen
 }
--- a/internal/placer/placer_test.go
+++ b/internal/placer/placer_test.go
@@ -17,7 +17,7 @@
 	"github.com/oriolecroft/oriolecroft/pkg/bundler"
 )
 
-// TestMain fixes rapid's seed, so that each run gives the same verdict.
+// TestMain sets rapid's seed, so that every run checks the same cases.
 func TestMain(m *testing.M) {
 	if err := errors.Join(flag.Set("rapid.seed", "1"), flag.Set("rapid.checks", "1000")); err != nil {
 		panic(err)
@@ -26,8 +26,8 @@
 	os.Exit(m.Run())
 }
 
-// place is a bundle with models of the given shares in failure domain a.
-func place(shares ...int) *bundler.Bundle {
+// bundleOf is a bundle with models of the given shares in failure domain a.
+func bundleOf(shares ...int) *bundler.Bundle {
 	b := &bundler.Bundle{FailureDomains: []bundler.FailureDomain{{Name: "a"}, {Name: "b"}}}
 	for i, s := range shares {
 		b.Models = append(b.Models, bundler.Model{Name: fmt.Sprintf("m%d", i), Share: s, FailureDomains: []string{"a"}})
@@ -35,7 +35,7 @@
 	return b
 }
 
-// engine is one that holds a model; empty for none.
+// engine is an engine that holds a model; empty for none.
 func engine(n int, model string) messenger.AgentState {
 	return messenger.AgentState{
 		ID: fmt.Sprintf("vm-%02d", n), FailureDomain: "a", Kind: messenger.KindEngine, Model: model,
@@ -50,7 +50,7 @@
 	return es
 }
 
-func count(assigned map[string]string) map[string]int {
+func countByModel(assigned map[string]string) map[string]int {
 	n := map[string]int{}
 	for _, m := range assigned {
 		n[m]++
@@ -74,27 +74,27 @@
 		{[]int{33, 4, 6}, 13, map[string]int{"m0": 10, "m1": 1, "m2": 2}},
 		{nil, 2, map[string]int{}},
 	} {
-		got := placer.Place(place(tt.shares...), "a", engines(none[:tt.engines]...))
-		must.Eq(t, tt.want, count(got))
+		got := placer.Place(bundleOf(tt.shares...), "a", engines(none[:tt.engines]...))
+		must.Eq(t, tt.want, countByModel(got))
 	}
 }
 
-// Plain services, leaving VMs and those of another failure domain serve none of its
-// models. Counted in, they would take places that nobody fills.
+// Guards against assigning models to plain services, leaving VMs and VMs of other failure domains, which can't
+// serve them.
 func TestOnlyEnginesOfTheDomainCount(t *testing.T) {
 	known := engines("", "", "", "")
 	known[1].Kind = messenger.KindService
 	known[2].Leaving = true
 	known[3].FailureDomain = "b"
-	must.MapLen(t, 1, placer.Place(place(1, 1), "a", known))
-	must.MapEmpty(t, placer.Place(place(1, 1), "b", known))
+	must.MapLen(t, 1, placer.Place(bundleOf(1, 1), "a", known))
+	must.MapEmpty(t, placer.Place(bundleOf(1, 1), "b", known))
 }
 
-// An engine leaves during the rush. Were all others placed anew, most of a failure
-// domain would load for minutes in place of one.
-func TestLeavingEngineMovesFewOthers(t *testing.T) {
+// Guards against placing all engines again when one leaves under load: most of a failure domain would load for
+// minutes instead of one engine.
+func TestLeavingEngineMovesFewModels(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
-		b := place(drawShares(t)...)
+		b := bundleOf(drawShares(t)...)
 		n := rapid.IntRange(2, 40).Draw(t, "engines")
 		before := placer.Place(b, "a", engines(make([]string, n)...))
 		var known []messenger.AgentState
@@ -119,17 +119,16 @@
 	return rapid.SliceOfN(rapid.IntRange(1, 100), 1, 8).Draw(t, "shares")
 }
 
-// Whatever the engines hold already, each model gets its share of them to within
-// one, at least one while they suffice, and no engine changes its model that could
-// have kept it.
+// Checks for any held models that each model gets its share of the engines to within one, at least one while
+// they suffice, and that no engine changes its model that could have kept it.
 func TestPlacement(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
 		shares := drawShares(t)
-		b := place(shares...)
+		b := bundleOf(shares...)
 		held := rapid.SliceOfN(rapid.SampledFrom([]string{"", "m0", "m1", "m2", "old"}), 0, 40).Draw(t, "held")
 		known := engines(held...)
 		assigned := placer.Place(b, "a", known)
-		checkQuotas(t, shares, len(held), count(assigned))
+		checkQuotas(t, shares, len(held), countByModel(assigned))
 		checkKept(t, held, assigned)
 		slices.Reverse(known)
 		must.Eq(t, assigned, placer.Place(b, "a", known))
@@ -150,7 +149,7 @@
 		if engines >= len(shares) && n == 0 {
 			t.Fatalf("model %d of shares %v has none of %d engines", i, shares, engines)
 		}
-		// The one that each model gets first may come from another's share.
+		// The one engine that each model gets first may be taken from another's share.
 		if engines*least >= total && math.Abs(float64(n)-exact) >= 1 {
 			t.Fatalf("model %d of shares %v has %d of %d engines, want %.2f", i, shares, n, engines, exact)
 		}
@@ -160,16 +159,16 @@
 	}
 }
 
-// checkKept wants as many engines to keep each model as its places allow.
+// checkKept checks that as many engines keep each model as its quota allows.
 func checkKept(t *rapid.T, held []string, assigned map[string]string) {
-	places, had, kept := count(assigned), map[string]int{}, map[string]int{}
+	quotas, had, kept := countByModel(assigned), map[string]int{}, map[string]int{}
 	for i, m := range held {
 		had[m]++
 		if assigned[engine(i, "").ID] == m {
 			kept[m]++
 		}
 	}
-	for m, n := range places {
+	for m, n := range quotas {
 		if want := min(n, had[m]); kept[m] != want {
 			t.Fatalf("%d engines keep %s, want %d: %v", kept[m], m, want, assigned)
 		}
--- a/internal/relayer/ask.go
+++ b/internal/relayer/ask.go
@@ -55,7 +55,7 @@
 	}
 	if err != nil {
 		gone := errors.Is(err, syscall.ECONNREFUSED)
-		p.Chooser.Silence(u.ID, gone)
+		p.Chooser.RecordUnresponsive(u.ID, gone)
 		j.metSilence = j.metSilence || !gone
 		klog.InfoS("Agent silent", "upstream", u.ID, "request", j.ID, "gone", gone, "err", err)
 		if !gone {
@@ -65,13 +65,13 @@
 		return p.unasked(view, u, j), nil
 	}
 	if !v.StartedAt.IsZero() && !v.StartedAt.Equal(u.StartedAt) {
-		p.Chooser.Answered(u.ID)
+		p.Chooser.RecordAnswer(u.ID)
 		p.noteAnotherEngine(u, asked, &v)
 		return nil, &v
 	}
-	p.Chooser.Heard(u.ID, v.Wait(), load(v))
+	p.Chooser.RecordLoad(u.ID, v.Wait(), load(v))
 	p.notePace(u, &v)
-	p.Chooser.NoteRamp(u.ID, v.Ramp != nil, v.Closed == "")
+	p.Chooser.RecordRamp(u.ID, v.Ramp != nil, v.Closed == "")
 	if !v.Granted {
 		return nil, &v
 	}
@@ -166,8 +166,8 @@
 		// The record may be out of date; an engine that holds something else refuses.
 		version = held
 	}
-	share := scheduler.Part(u.Slots, unaskedShare, len(view.Members))
-	if p.Chooser.Running(u.ID) > share || p.Chooser.Avoided(u.ID) || !p.Chooser.Lives(u.ID) || u.ColdFor() > 0 || !p.limitPass(view, u) {
+	share := scheduler.EntryQuota(u.Slots, unaskedShare, len(view.Members))
+	if p.Chooser.Running(u.ID) > share || p.Chooser.Avoided(u.ID) || !p.Chooser.RecentlyAlive(u.ID) || u.ColdFor() > 0 || !p.limitPass(view, u) {
 		return nil
 	}
 	return &Place{Upstream: u, Version: version, Held: held, started: func() {}, ended: func() { p.Chooser.End(u.ID) }}
--- a/internal/relayer/attempt.go
+++ b/internal/relayer/attempt.go
@@ -162,7 +162,7 @@
 	upstream, status := x.upstream, x.response.StatusCode
 	c.count("replies_by_" + x.framing().String())
 	if status < 500 {
-		c.Chooser.Served(upstream)
+		c.Chooser.RecordSuccess(upstream)
 		c.judgeAnswer(x)
 	}
 	c.count("served")
--- a/internal/relayer/balance_test.go
+++ b/internal/relayer/balance_test.go
@@ -75,7 +75,7 @@
 			j.ID, j.Model, j.Prompt = fmt.Sprint(i), "m", 800
 			j.Version = rapid.Uint64Range(0, 1).Draw(t, "bound")
 			if rapid.Bool().Draw(t, "alive") {
-				p.Chooser.Alive("engine")
+				p.Chooser.RecordProgress("engine")
 			}
 			if place, err := p.Place(ctx, j); err == nil {
 				places = append(places, place)
--- a/internal/relayer/engine.go
+++ b/internal/relayer/engine.go
@@ -76,7 +76,7 @@
 			break
 		}
 		if full := p.fullFor(u.ID, j); full > 0 {
-			free, opens = least(free, full), least(opens, p.Chooser.Opens(u.ID))
+			free, opens = least(free, full), least(opens, p.Chooser.OpensIn(u.ID))
 			met.passOver(p.whyPassedOver(u.ID, j))
 			continue
 		}
@@ -84,7 +84,7 @@
 		if first {
 			limit = min(goodWait, budget)
 		}
-		if !p.Chooser.BeginWithin(u.ID, p.connections(u)) {
+		if !p.Chooser.TryBegin(u.ID, p.connections(u)) {
 			met.Connections++
 			continue
 		}
@@ -114,7 +114,7 @@
 			continue
 		}
 		if v.Closed != "" {
-			p.Chooser.Closed(u.ID, v.Closed, closedFor(v.Free()), v.Free())
+			p.Chooser.RecordClosed(u.ID, v.Closed, closedFor(v.Free()), v.Free())
 			opens = least(opens, v.Free())
 			continue
 		}
@@ -136,7 +136,7 @@
 	}
 	slices.SortFunc(waits, func(a, b engineWait) int { return int(a.wait - b.wait) })
 	for _, w := range waits {
-		if !p.Chooser.BeginWithin(w.upstream.ID, p.connections(w.upstream)) {
+		if !p.Chooser.TryBegin(w.upstream.ID, p.connections(w.upstream)) {
 			met.Connections++
 			continue
 		}
@@ -216,10 +216,10 @@
 // noteFull keeps that an engine has no place, or none to spare.
 func (p *Placer) noteFull(id string, j *Job, free time.Duration) {
 	if p.late(j) || j.mover.looking {
-		p.Chooser.Full(id, true, min(free, sparePause))
+		p.Chooser.RecordFull(id, true, min(free, sparePause))
 		return
 	}
-	p.Chooser.Full(id, false, min(free, fullPause))
+	p.Chooser.RecordFull(id, false, min(free, fullPause))
 }
 
 // least is the shorter of two times; 0 is none.
--- a/internal/relayer/late_progress_test.go
+++ b/internal/relayer/late_progress_test.go
@@ -58,7 +58,7 @@
 	c := clocktest.NewFakeClock(time.Unix(1000, 0))
 	p, table, ledger, l := newLateAgent(t, c)
 	first, ended := make(chan *messenger.Link, 1), make(chan *messenger.Link, 10)
-	s := &messenger.Server{Listener: l, OnLost: func(link *messenger.Link) { ledger.Lost(link) },
+	s := &messenger.Server{Listener: l, OnLost: func(link *messenger.Link) { ledger.ConnectionLost(link) },
 		OnProgress: func(p messenger.Progress, link *messenger.Link) {
 			for _, id := range p.Ended {
 				ledger.Ended(id)
--- a/internal/relayer/move.go
+++ b/internal/relayer/move.go
@@ -115,12 +115,12 @@
 	if place.event <= 0 {
 		return seconds(observed)
 	}
-	if took >= scheduler.PaceSpan && !j.mover.noted {
+	if took >= scheduler.PaceValidity && !j.mover.noted {
 		j.mover.noted = true
 		l.slowdowns.note(j.Service, observed/place.event.Seconds())
 	}
 	predicted := l.slowdowns.of(j.Service) * place.event.Seconds()
-	span := scheduler.PaceSpan.Seconds()
+	span := scheduler.PaceValidity.Seconds()
 	return seconds((span*predicted + took.Seconds()*observed) / (span + took.Seconds()))
 }
 
--- a/internal/relayer/pace.go
+++ b/internal/relayer/pace.go
@@ -87,8 +87,8 @@
 		return
 	}
 	l.Placer.uneven.add(place.Upstream.Service)
-	place.pace = scheduler.Momentary{Factor: factor, At: l.Clock.Now()}
-	l.Chooser.Paced(place.Upstream.ID, factor)
+	place.pace = scheduler.MomentaryPace{Factor: factor, At: l.Clock.Now()}
+	l.Chooser.RecordPace(place.Upstream.ID, factor)
 }
 
 // notePaceOf is NotePace for a reply that comes from the upstream for sure.
@@ -108,14 +108,14 @@
 
 // notePace notes the pace of an engine that its agent stated.
 func (p *Placer) notePace(u *registrar.UpstreamView, v *messenger.Verdict) {
-	var m scheduler.Momentary
+	var m scheduler.MomentaryPace
 	if v.Momentary != nil {
-		m = scheduler.Momentary{Factor: v.Momentary.Pace.Factor(), At: p.Chooser.Clock.Now().Add(-v.Momentary.Age())}
+		m = scheduler.MomentaryPace{Factor: v.Momentary.Pace.Factor(), At: p.Chooser.Clock.Now().Add(-v.Momentary.Age())}
 	}
 	if m.Factor > 0 || v.Pace.Factor() > 1 {
 		p.uneven.add(u.Service)
 	}
-	p.Chooser.Reported(u.ID, v.Pace.Factor(), m)
+	p.Chooser.RecordReportedPace(u.ID, v.Pace.Factor(), m)
 }
 
 // work is what a job needs at an engine of the normal pace.
@@ -139,7 +139,7 @@
 	if expected == 0 || p.Without.Has(ablator.DeadlineAdmission) {
 		return nil
 	}
-	takes := scheduler.ReadTime(e, prompt) + time.Duration(scheduler.ShortAnswer*float64(expected)*float64(scheduler.StepTime(e, 1)))
+	takes := scheduler.ReadTime(e, prompt) + time.Duration(scheduler.ShortAnswerShare*float64(expected)*float64(scheduler.StepTime(e, 1)))
 	if takes <= j.Deadline.Sub(p.Clock.Now()) {
 		return nil
 	}
--- a/internal/relayer/place.go
+++ b/internal/relayer/place.go
@@ -60,7 +60,7 @@
 	metSilence bool
 	tries
 	// beyond is why engines should take it in beyond their slow start.
-	beyond scheduler.Beyond
+	beyond scheduler.RampBypass
 	// left tells that the caller is gone; nil for one that stays.
 	left func() bool
 }
@@ -89,7 +89,7 @@
 	// event is how long each further event should take; 0 if unknown.
 	event time.Duration
 	// pace is what the reply there stated of the upstream's momentary pace.
-	pace scheduler.Momentary
+	pace scheduler.MomentaryPace
 
 	started, ended func()
 	// attempt is what the place's upstream did with the request, for its slow start.
@@ -304,7 +304,7 @@
 	if service == nil || service.ColdRate <= 0 || u.ColdFor() == 0 {
 		return true
 	}
-	return p.Chooser.ColdPass(u.ID, scheduler.RateShare{
+	return p.Chooser.AllowCold(u.ID, scheduler.RateShare{
 		Rate: service.ColdRate, Bound: max(1, p.ColdFactor)*service.ColdRate + p.ColdSlack,
 		Sharers: max(leastSharers, len(view.Members)),
 	})
@@ -326,7 +326,7 @@
 	if service == nil || service.Connections <= 0 {
 		return 0
 	}
-	return scheduler.Part(service.Connections, connectionsPart, max(leastConnectionSharers, len(view.Members)))
+	return scheduler.EntryQuota(service.Connections, connectionsPart, max(leastConnectionSharers, len(view.Members)))
 }
 
 // Sweep closes the connections to agents whose engines are gone.
--- a/internal/relayer/place_test.go
+++ b/internal/relayer/place_test.go
@@ -107,7 +107,7 @@
 	freezeAgent(t, p)
 	must.False(t, placed(p, c, table))
 	// Its replies go on, so it is the agent alone that is late.
-	p.Chooser.Alive("engine")
+	p.Chooser.RecordProgress("engine")
 	must.True(t, placed(p, c, table))
 	c.Step(time.Second)
 	must.False(t, placed(p, c, table))
@@ -129,7 +129,7 @@
 	c := clocktest.NewFakeClock(time.Unix(1000, 0))
 	p, table := newPlacer(c, 0, 1)
 	freezeAgent(t, p)
-	p.Chooser.Alive("engine")
+	p.Chooser.RecordProgress("engine")
 	var sent []time.Duration
 	for d := time.Duration(0); d <= 500*time.Millisecond; d += 50 * time.Millisecond {
 		if placed(p, c, table) {
@@ -252,7 +252,7 @@
 	c := clocktest.NewFakeClock(time.Unix(1000, 0))
 	p, table, ledger, l := newLateAgent(t, c)
 	asked, late := make(chan bool, 100), make(chan struct{})
-	s := &messenger.Server{Listener: l, OnLost: func(link *messenger.Link) { ledger.Lost(link) },
+	s := &messenger.Server{Listener: l, OnLost: func(link *messenger.Link) { ledger.ConnectionLost(link) },
 		OnProgress: func(p messenger.Progress, _ *messenger.Link) {
 			for _, id := range p.Ended {
 				ledger.Ended(id)
--- a/internal/relayer/priority.go
+++ b/internal/relayer/priority.go
@@ -99,11 +99,11 @@
 // counts as one more that has none for the request.
 func (p *Placer) whyPassedOver(id string, j *Job) string {
 	if j.standing == nil {
-		return p.Chooser.WhyClosed(id)
+		return p.Chooser.ClosedReason(id)
 	}
 	// Marks by priority leave a reason in place that is out of date.
 	if p.Chooser.FullFor(id, p.late(j)) > 0 {
-		if why := p.Chooser.WhyClosed(id); why != "" {
+		if why := p.Chooser.ClosedReason(id); why != "" {
 			return why
 		}
 	}
@@ -118,7 +118,7 @@
 		p.noteFull(id, j, v.Free())
 		return
 	}
-	p.fullMarks.Full(id, j.standing.priority, min(v.Free(), fullPause), p.Clock.Now())
+	p.fullMarks.MarkFull(id, j.standing.priority, min(v.Free(), fullPause), p.Clock.Now())
 }
 
 // noteRefusal counts an engine that had no slot for a request within its whole budget.
@@ -159,14 +159,14 @@
 // notePlainLoad takes the load of a plain upstream from a reply.
 func (p *Placer) notePlainLoad(j *Job, r *Reply) {
 	if j.standing != nil {
-		p.admission.Replied(j.Service, r.Running, r.Waiting, r.Slots, p.Clock.Now())
+		p.admission.RecordLoad(j.Service, r.Running, r.Waiting, r.Slots, p.Clock.Now())
 	}
 }
 
 // notePlainRefusal notes that an upstream refused a request.
 func (p *Placer) notePlainRefusal(j *Job) {
 	if j.standing != nil && !j.Route.Generates {
-		p.admission.Refused(j.Service, p.Clock.Now())
+		p.admission.RecordRefusal(j.Service, p.Clock.Now())
 	}
 }
 
--- a/internal/relayer/ramp.go
+++ b/internal/relayer/ramp.go
@@ -56,7 +56,7 @@
 // judgeAnswer tells the slow start of an upstream without an agent how long its answer took.
 func (c *call) judgeAnswer(x *exchange) {
 	if c.stream == nil {
-		c.Chooser.Judge(x.upstream, time.Since(x.sentAt), c.Route.Objective)
+		c.Chooser.RecordLatency(x.upstream, time.Since(x.sentAt), c.Route.Objective)
 	}
 }
 
@@ -65,8 +65,8 @@
 
 // beyondRamps is why a request need not keep to the slow starts of engines, if most of them have just
 // started.
-func (p *Placer) beyondRamps(us []*registrar.UpstreamView) scheduler.Beyond {
-	if p.Chooser.MostRamp(len(us), func(i int) string { return us[i].ID }) {
+func (p *Placer) beyondRamps(us []*registrar.UpstreamView) scheduler.RampBypass {
+	if p.Chooser.MostlyRamping(len(us), func(i int) string { return us[i].ID }) {
 		return scheduler.AllRamping
 	}
 	return scheduler.WithinRamp
@@ -87,7 +87,7 @@
 func (p *Placer) askBeyondRamp(ctx context.Context, view *registrar.View, us []*registrar.UpstreamView, j *Job, budget time.Duration) *Place {
 	j.beyond = scheduler.OthersFull
 	for _, u := range us[:min(len(us), firstAsked)] {
-		if !p.Chooser.BeginWithin(u.ID, p.connections(u)) {
+		if !p.Chooser.TryBegin(u.ID, p.connections(u)) {
 			j.met.Connections++
 			continue
 		}
--- a/internal/relayer/ramp_test.go
+++ b/internal/relayer/ramp_test.go
@@ -27,7 +27,7 @@
 		if u.ID == "engine1" {
 			started = l
 			l.Close("no weights")
-			l.BeginRamp(scheduler.EngineStarted)
+			l.StartRamp(scheduler.EngineStarted)
 		}
 		l.Open(d.Registrar.View().Table.Services["engines"].Engine)
 		agents[netip.AddrPortFrom(u.Address.Addr(), 1)] = granterAgent{&granter.Granter{Ledger: l, Holds: func(string) uint64 { return 1 }, Clock: d.clock}}
@@ -72,7 +72,7 @@
 
 	d, started = rampingPair(t)
 	for i := range 3 {
-		started.Failed(fmt.Sprint(i), false)
+		started.RecordFailure(fmt.Sprint(i), false)
 	}
 	_, err = d.placeOwn(t)
 	must.Error(t, err)
--- a/internal/relayer/reception.go
+++ b/internal/relayer/reception.go
@@ -105,7 +105,7 @@
 	c.notePaceOf(r.place, &x.reply)
 	if x.reply.Slots > 0 && !c.Route.Generates {
 		active := float64(x.reply.Running+x.reply.Waiting) / float64(x.reply.Slots)
-		c.Chooser.Heard(u.ID, 0, active)
+		c.Chooser.RecordLoad(u.ID, 0, active)
 		c.Placer.notePlainLoad(&c.Job, &x.reply)
 	}
 	if err := r.usable(x); err != nil {
--- a/internal/relayer/serve.go
+++ b/internal/relayer/serve.go
@@ -107,7 +107,7 @@
 		return
 	}
 	if !keptBack(err) && !isOvertaken(err) && !isMoved(err) {
-		l.Chooser.Failed(upstream, s.Status == 0 && !s.Reused)
+		l.Chooser.RecordFailure(upstream, s.Status == 0 && !s.Reused)
 	}
 	if s.Outcome == retrier.NotRun && s.Status != 0 {
 		l.Chooser.Avoid(upstream, refusedPause)
--- a/internal/relayer/stall.go
+++ b/internal/relayer/stall.go
@@ -60,7 +60,7 @@
 	switch h := c.hedge; {
 	case h == nil:
 		if next := c.placeHedge(ctx); next != nil {
-			c.Chooser.Stalled(place.Upstream.ID)
+			c.Chooser.RecordStall(place.Upstream.ID)
 			c.startHedge(ctx, next, wake)
 		}
 	case !h.over():
@@ -68,7 +68,7 @@
 			break
 		}
 		if next := c.placeHedge(ctx); next != nil {
-			c.Chooser.Stalled(h.place.Upstream.ID)
+			c.Chooser.RecordStall(h.place.Upstream.ID)
 			c.cancelHedge()
 			c.startHedge(ctx, next, wake)
 		}
--- a/internal/relayer/stream.go
+++ b/internal/relayer/stream.go
@@ -107,7 +107,7 @@
 	// A stream that goes on elsewhere stays with its weights.
 	c.Version, c.unnumbered = r.sequence.version, r.sequence.unnumbered
 	c.EventPassed(&c.Job)
-	c.Chooser.Alive(x.upstream)
+	c.Chooser.RecordProgress(x.upstream)
 	return nil
 }
 
--- a/internal/relayer/terms.go
+++ b/internal/relayer/terms.go
@@ -108,7 +108,7 @@
 	if limit.Rate == 0 {
 		return true
 	}
-	return p.Chooser.LimitPass(u.ID, scheduler.RateShare{
+	return p.Chooser.AllowLimited(u.ID, scheduler.RateShare{
 		Rate: limit.Rate, Bound: limitAtOnce*limit.Rate + limitSlack, Sharers: max(leastLimitSharers, len(view.Members)),
 	})
 }
--- a/internal/relayer/wait.go
+++ b/internal/relayer/wait.go
@@ -105,7 +105,7 @@
 // lateWait is how long a late request looks for a slot: until each slot of an engine should have come
 // free once, or until its caller or this entry has no more time than a reply takes.
 func (p *Placer) lateWait(j *Job, e *matcher.Engine) slotWait {
-	turnover := time.Duration(max(1, e.Slots)) * scheduler.TurnTime(e)
+	turnover := time.Duration(max(1, e.Slots)) * scheduler.SlotTurnaround(e)
 	left, _ := p.bound(j)
 	limit := min(turnover, left-turnover)
 	if limit < latePause {
@@ -153,6 +153,6 @@
 		p.count("lateWaits.missed")
 		p.lateWaits.End(j.Service, false, now)
 	case !placed && left == nil && !p.late(j):
-		p.contention.Refused(j.Service, now)
+		p.contention.RecordRefusal(j.Service, now)
 	}
 }
--- a/internal/scheduler/admission.go
+++ b/internal/scheduler/admission.go
@@ -6,107 +6,106 @@
 )
 
 const (
-	// admissionWindow is how long a shortage counts after the last sign of it, and over which the rate is
-	// measured from which the learned one starts.
+	// admissionWindow is how long a shortage lasts after its last sign, and the period over which the initial
+	// rate is measured.
 	admissionWindow = time.Second
-	// admissionStep is the least time between two decreases, some times of a plain request's work: earlier
-	// signs come from requests that were sent before the last one.
+	// admissionStep is the shortest time between two decreases, several times the work of a plain request:
+	// earlier signs come from requests that were sent before the last decrease.
 	admissionStep = 200 * time.Millisecond
-	// admissionDecrease is what a decrease leaves of the rate, and admissionIncrease what is added in each
-	// second without one, in parts of the rate at the beginning. The usual figures of AIMD halve: an entry
-	// of many has a few requests a second, and sees signs of what others sent.
+	// admissionDecrease is the factor of a decrease, and admissionIncrease the growth per second without one,
+	// as a share of the initial rate. Standard AIMD halves the rate, but one entry of many sends only a few
+	// requests a second, and some signs result from requests of other entries.
 	admissionDecrease = 0.7
 	admissionIncrease = 0.5
-	// leastAdmission is the lowest rate, in requests a second, so that the end of a shortage is noticed where
-	// only less urgent requests come.
-	leastAdmission = 0.5
-	// fullWeight is the share that the last reply has in the smoothed share of replies from full upstreams,
-	// and fullShortage the share from which a service counts as short.
+	// minAdmissionRate is the lowest rate, in requests per second. It keeps probes going, so that the end of a
+	// shortage is detected where only less urgent requests arrive.
+	minAdmissionRate = 0.5
+	// fullWeight is the weight of the last reply in the smoothed share of replies from full upstreams; above
+	// fullShortage of that share a service counts as short.
 	fullWeight   = 0.1
 	fullShortage = 0.5
 )
 
-// Admission bounds the less urgent requests that an entry sends to plain services during a shortage, by
-// additive increase and multiplicative decrease. It has no agent to ask, and goes by this entry's own
-// requests. The zero value is ready for use by several
-// goroutines.
+// Admission limits the less urgent requests that an entry sends to plain services during a shortage, by
+// additive increase and multiplicative decrease. Plain services have no agent that grants slots, so it relies
+// on this entry's own requests. The zero value is ready for use and safe for concurrent use.
 type Admission struct {
 	mu       sync.Mutex
 	services map[string]*admission
 }
 
-// admission is what is known of one service.
+// admission is the state of one service.
 type admission struct {
-	// sent counts the less urgent requests that were admitted.
-	sent, sentBefore int
-	sentFrom         time.Time
-	// full is the smoothed share of replies from upstreams that queue.
-	full float64
-	// shortAt is the last sign of a shortage, decreasedAt the last decrease, and updated when tokens and rate
-	// were last brought up to date.
+	// sent counts the less urgent requests admitted in this window, sentPrevious those in the previous one.
+	sent, sentPrevious int
+	windowStart        time.Time
+	// fullShare is the smoothed share of replies from upstreams with a queue.
+	fullShare float64
+	// shortAt is the last sign of a shortage, decreasedAt the last decrease, and updated the last refill of
+	// tokens and rate.
 	shortAt, decreasedAt, updated time.Time
-	// rate is in requests a second, first that of the beginning.
-	rate, first, tokens float64
-	// urgent is the rank of the most urgent requests that came lately, the last one at urgentAt.
-	urgent   float64
-	urgentAt time.Time
+	// rate is in requests per second, initialRate its value at the start of the shortage.
+	rate, initialRate, tokens float64
+	// urgentRank is the rank of the most urgent recent requests, the last of which arrived at urgentAt.
+	urgentRank float64
+	urgentAt   time.Time
 }
 
-// Admit tells whether a request may be sent to a service now, and counts it. Rank is 0 for the most urgent
-// requests of the service and 1 for the least. Requests yield only to more urgent ones that came lately.
+// Admit reports whether a request may be sent to a service, and counts it. Rank is 0 for the most urgent
+// requests of the service and 1 for the least urgent. Requests are limited only while more urgent ones arrive.
 func (a *Admission) Admit(service string, rank float64, now time.Time) bool {
 	a.mu.Lock()
 	defer a.mu.Unlock()
-	s := a.of(service)
-	if s.yields(rank, now) && s.short(now) {
-		s.update(now)
+	s := a.service(service)
+	if s.yields(rank, now) && s.inShortage(now) {
+		s.refill(now)
 		if s.tokens < 1+rank*(s.burst()-1) {
 			return false
 		}
 		s.tokens--
 	}
-	s.turn(now)
+	s.advanceWindow(now)
 	s.sent++
 	return true
 }
 
-// yields notes a request and tells whether more urgent ones came lately.
+// yields records a request and reports whether more urgent ones arrived recently.
 func (s *admission) yields(rank float64, now time.Time) bool {
-	if rank <= s.urgent || s.urgentAt.IsZero() || now.Sub(s.urgentAt) >= admissionWindow {
-		s.urgent, s.urgentAt = rank, now
+	if rank <= s.urgentRank || s.urgentAt.IsZero() || now.Sub(s.urgentAt) >= admissionWindow {
+		s.urgentRank, s.urgentAt = rank, now
 	}
-	return rank > s.urgent
+	return rank > s.urgentRank
 }
 
-// Refused notes that an upstream refused a request.
-func (a *Admission) Refused(service string, now time.Time) {
+// RecordRefusal records that an upstream refused a request.
+func (a *Admission) RecordRefusal(service string, now time.Time) {
 	a.mu.Lock()
 	defer a.mu.Unlock()
-	a.of(service).decrease(now)
+	a.service(service).decrease(now)
 }
 
-// Replied notes the load of an upstream that replied.
-func (a *Admission) Replied(service string, running, waiting, slots int, now time.Time) {
+// RecordLoad records the load that an upstream states in a reply.
+func (a *Admission) RecordLoad(service string, running, waiting, slots int, now time.Time) {
 	a.mu.Lock()
 	defer a.mu.Unlock()
-	s, full := a.of(service), 0.0
+	s, full := a.service(service), 0.0
 	if running >= slots && waiting > 0 {
 		full = 1
 	}
-	s.full += fullWeight * (full - s.full)
-	if full == 1 && s.full > fullShortage {
+	s.fullShare += fullWeight * (full - s.fullShare)
+	if full == 1 && s.fullShare > fullShortage {
 		s.decrease(now)
 	}
 }
 
-// Short tells whether a service has a shortage.
-func (a *Admission) Short(service string, now time.Time) bool {
+// InShortage reports whether a service has a shortage.
+func (a *Admission) InShortage(service string, now time.Time) bool {
 	a.mu.Lock()
 	defer a.mu.Unlock()
-	return a.of(service).short(now)
+	return a.service(service).inShortage(now)
 }
 
-func (a *Admission) of(service string) *admission {
+func (a *Admission) service(service string) *admission {
 	if a.services == nil {
 		a.services = map[string]*admission{}
 	}
@@ -118,42 +117,42 @@
 	return s
 }
 
-func (s *admission) short(now time.Time) bool {
+func (s *admission) inShortage(now time.Time) bool {
 	return !s.shortAt.IsZero() && now.Sub(s.shortAt) < admissionWindow
 }
 
-// decrease notes a sign of a shortage. The first one sets the rate by what was sent lately.
+// decrease records a sign of a shortage. The first one sets the rate from the requests sent recently.
 func (s *admission) decrease(now time.Time) {
-	if !s.short(now) {
-		s.turn(now)
-		s.first = max(leastAdmission, float64(max(s.sent, s.sentBefore))/admissionWindow.Seconds())
-		s.rate, s.tokens, s.updated = s.first, 0, now
+	if !s.inShortage(now) {
+		s.advanceWindow(now)
+		s.initialRate = max(minAdmissionRate, float64(max(s.sent, s.sentPrevious))/admissionWindow.Seconds())
+		s.rate, s.tokens, s.updated = s.initialRate, 0, now
 		s.decreasedAt = time.Time{}
 	}
-	s.update(now)
+	s.refill(now)
 	s.shortAt = now
 	if now.Sub(s.decreasedAt) >= admissionStep {
-		s.rate, s.decreasedAt = max(leastAdmission, admissionDecrease*s.rate), now
+		s.rate, s.decreasedAt = max(minAdmissionRate, admissionDecrease*s.rate), now
 	}
 }
 
-// update adds to the rate and fills the bucket.
-func (s *admission) update(now time.Time) {
+// refill raises the rate and refills the token bucket.
+func (s *admission) refill(now time.Time) {
 	d := max(0, now.Sub(s.updated).Seconds())
 	s.updated = now
-	s.rate += admissionIncrease * s.first * d
+	s.rate += admissionIncrease * s.initialRate * d
 	s.tokens = min(s.tokens+s.rate*d, s.burst())
 }
 
-// burst is how many requests may be sent at once: those of admissionStep, and at least one.
+// burst is the bucket's size: the requests of one admissionStep, and at least one.
 func (s *admission) burst() float64 { return max(1, s.rate*admissionStep.Seconds()) }
 
-// turn starts the next window of the count of what was sent.
-func (s *admission) turn(now time.Time) {
-	switch age := now.Sub(s.sentFrom); {
+// advanceWindow starts the next counting window if it is due.
+func (s *admission) advanceWindow(now time.Time) {
+	switch age := now.Sub(s.windowStart); {
 	case age >= 2*admissionWindow:
-		s.sent, s.sentBefore, s.sentFrom = 0, 0, now
+		s.sent, s.sentPrevious, s.windowStart = 0, 0, now
 	case age >= admissionWindow:
-		s.sent, s.sentBefore, s.sentFrom = 0, s.sent, s.sentFrom.Add(admissionWindow)
+		s.sent, s.sentPrevious, s.windowStart = 0, s.sent, s.windowStart.Add(admissionWindow)
 	}
 }
--- a/internal/scheduler/admission_test.go
+++ b/internal/scheduler/admission_test.go
@@ -10,12 +10,12 @@
 	"github.com/oriolecroft/oriolecroft/internal/scheduler"
 )
 
-// middle is the rank of requests between the most and the least urgent ones.
-const middle = 0.5
+// middleRank is the rank of requests between the most and the least urgent ones.
+const middleRank = 0.5
 
-// offer has less urgent requests come at 100 a second beside urgent ones; a part of them is refused by the
-// upstreams.
-func offer(a *scheduler.Admission, c *clocktest.FakeClock, d time.Duration, rank float64, refuse bool) (admitted int) {
+// sendRequests sends 100 less urgent requests per second beside urgent ones; with refuse the upstreams refuse a
+// part of them.
+func sendRequests(a *scheduler.Admission, c *clocktest.FakeClock, d time.Duration, rank float64, refuse bool) (admitted int) {
 	for range d / (10 * time.Millisecond) {
 		c.Step(10 * time.Millisecond)
 		a.Admit("s", 0, c.Now())
@@ -24,38 +24,38 @@
 		}
 		admitted++
 		if refuse && admitted%4 == 0 {
-			a.Refused("s", c.Now())
+			a.RecordRefusal("s", c.Now())
 		}
 	}
 	return admitted
 }
 
-// Guards against less urgent requests that fill the upstreams of a plain service during a shortage, and against a
-// rate that outlives it.
-func TestLessUrgentRequestsAreAdmittedAtALearnedRate(t *testing.T) {
+// Guards against less urgent requests that fill the upstreams of a plain service during a shortage, and against
+// a limit that outlasts it.
+func TestAdmissionLimitsLessUrgentRequestsDuringShortage(t *testing.T) {
 	c := clocktest.NewFakeClock(time.Unix(1000, 0))
 	a := &scheduler.Admission{}
-	must.Eq(t, 200, offer(a, c, 2*time.Second, middle, false), must.Sprint("all while nothing is short"))
-	short := offer(a, c, 4*time.Second, middle, true)
+	must.Eq(t, 200, sendRequests(a, c, 2*time.Second, middleRank, false), must.Sprint("all are admitted without a shortage"))
+	short := sendRequests(a, c, 4*time.Second, middleRank, true)
 	must.Between(t, 20, short, 300)
-	must.True(t, a.Short("s", c.Now()))
-	must.False(t, a.Short("another", c.Now()))
+	must.True(t, a.InShortage("s", c.Now()))
+	must.False(t, a.InShortage("another", c.Now()))
 	c.Step(time.Second)
-	must.False(t, a.Short("s", c.Now()))
-	must.Eq(t, 100, offer(a, c, time.Second, 1, false))
+	must.False(t, a.InShortage("s", c.Now()))
+	must.Eq(t, 100, sendRequests(a, c, time.Second, 1, false))
 }
 
-// Guards against the least urgent requests that take the tokens of those between them and the most urgent.
-func TestLeastUrgentRequestsLeaveTokensToOthers(t *testing.T) {
+// Guards against the least urgent requests using up the tokens of those of middle rank.
+func TestAdmissionPrefersMoreUrgentRequests(t *testing.T) {
 	c := clocktest.NewFakeClock(time.Unix(1000, 0))
 	a := &scheduler.Admission{}
-	offer(a, c, 2*time.Second, 1, false)
-	a.Refused("s", c.Now())
+	sendRequests(a, c, 2*time.Second, 1, false)
+	a.RecordRefusal("s", c.Now())
 	least, between := 0, 0
 	for range 90 {
 		c.Step(10 * time.Millisecond)
 		a.Admit("s", 0, c.Now())
-		if a.Admit("s", middle, c.Now()) {
+		if a.Admit("s", middleRank, c.Now()) {
 			between++
 		}
 		if a.Admit("s", 1, c.Now()) {
@@ -65,15 +65,15 @@
 	must.Greater(t, 5*max(1, least), between)
 }
 
-// Guards against a single upstream that queues, or old loads, which are taken for a shortage of the service.
-func TestQueuesAtMostUpstreamsAreAShortage(t *testing.T) {
+// Guards against treating the queue of a single upstream, or outdated loads, as a shortage of the service.
+func TestShortageNeedsQueuesAtMostUpstreams(t *testing.T) {
 	a, now := &scheduler.Admission{}, time.Unix(1000, 0)
 	for i := range 60 {
-		a.Replied("s", 6, i%6/5, 6, now)
+		a.RecordLoad("s", 6, i%6/5, 6, now)
 	}
-	must.False(t, a.Short("s", now))
+	must.False(t, a.InShortage("s", now))
 	for range 20 {
-		a.Replied("s", 6, 2, 6, now)
+		a.RecordLoad("s", 6, 2, 6, now)
 	}
-	must.True(t, a.Short("s", now))
+	must.True(t, a.InShortage("s", now))
 }
--- a/internal/scheduler/silence_test.go
+++ b/internal/scheduler/agent_backoff_test.go
@@ -13,8 +13,8 @@
 	return scheduler.Candidate{ID: id, Distance: d, Slots: 12, Agent: true}
 }
 
-// Guards against requests of the first second after a restart that all ask engines of which nothing is known, as these
-// look idle, and against leaving these out.
+// Guards against sending all requests of the first second after a restart to engines of unknown load because
+// these look idle, and against leaving these out.
 func TestEngineOfUnknownLoadRanksAsAverage(t *testing.T) {
 	c, _ := newChooser()
 	all := []scheduler.Candidate{engine("unknown", scheduler.SameDomain), engine("idle", scheduler.SameDomain), engine("busy", scheduler.SameDomain),
@@ -25,8 +25,8 @@
 	}
 	must.True(t, firsts["unknown"] && firsts["idle"] && firsts["busy"], must.Sprint("random among unknown ones"))
 	must.False(t, firsts["far"], must.Sprint("near ones first"))
-	c.Heard("idle", 0, 0)
-	c.Heard("busy", 100*time.Millisecond, 0.8)
+	c.RecordLoad("idle", 0, 0)
+	c.RecordLoad("busy", 100*time.Millisecond, 0.8)
 	for range 100 {
 		var ids []string
 		for _, k := range c.Order(all) {
@@ -36,51 +36,52 @@
 	}
 }
 
-// Guards against a silent agent that is asked again every 0.7 s, by each request, or before agents that answer.
-func TestSilentAgentIsAskedAgainByOneRequestAfterDoublingPauses(t *testing.T) {
+// Guards against asking an unresponsive agent every 0.7 s, with each request, or before responsive agents.
+func TestUnresponsiveAgentIsProbedWithBackoff(t *testing.T) {
 	c, clock := newChooser()
 	all := []scheduler.Candidate{engine("silent", scheduler.SameDomain), engine("far", scheduler.OtherRegion)}
 	for _, pause := range []time.Duration{700 * time.Millisecond, 1400 * time.Millisecond, 2800 * time.Millisecond, 4 * time.Second, 4 * time.Second} {
 		must.True(t, c.MayAsk("silent", false))
 		for range 3 {
-			c.Silence("silent", false)
+			c.RecordUnresponsive("silent", false)
 		}
 		clock.Step(pause - time.Millisecond)
 		must.False(t, c.MayAsk("silent", false))
 		clock.Step(2 * time.Millisecond)
-		must.False(t, c.MayAsk("silent", true), must.Sprint("the request has met a silent agent"))
+		must.False(t, c.MayAsk("silent", true), must.Sprint("the request has encountered an unresponsive agent"))
 		must.Eq(t, "far", c.Order(all)[0].ID)
 		must.True(t, c.MayAsk("silent", false))
 		must.False(t, c.MayAsk("silent", false), must.Sprint("another request is asking"))
 		clock.Step(100 * time.Millisecond)
 	}
-	c.Heard("silent", 0, 0)
+	c.RecordLoad("silent", 0, 0)
 	must.Eq(t, "silent", c.Order(all)[0].ID)
 	must.True(t, c.MayAsk("silent", true))
 	must.True(t, c.MayAsk("silent", true))
-	c.Silence("silent", false)
+	c.RecordUnresponsive("silent", false)
 	clock.Step(701 * time.Millisecond)
-	must.True(t, c.MayAsk("silent", false), must.Sprint("an answer resets the pause"))
+	must.True(t, c.MayAsk("silent", false), must.Sprint("an answer resets the backoff"))
 }
 
-// Guards against an agent that is back and is not used at a low load, as other engines always have a slot.
-func TestSilentAgentThatNobodyAsksIsRankedAgain(t *testing.T) {
+// Guards against never using an agent again that has recovered at a low load, as other engines always have a
+// slot.
+func TestUnprobedAgentIsRankedAgain(t *testing.T) {
 	c, clock := newChooser()
 	all := []scheduler.Candidate{engine("silent", scheduler.SameDomain), engine("far", scheduler.OtherRegion)}
-	c.Silence("silent", false)
+	c.RecordUnresponsive("silent", false)
 	clock.Step(1600 * time.Millisecond)
 	must.Eq(t, "far", c.Order(all)[0].ID)
 	clock.Step(200 * time.Millisecond)
 	must.Eq(t, "silent", c.Order(all)[0].ID)
 }
 
-// Guards against pauses that grow while an agent's process is gone: it is mostly back within a second.
-func TestPauseOfAnAgentThatIsGoneDoesNotGrow(t *testing.T) {
+// Guards against a growing backoff while an agent's process is gone: it mostly restarts within a second.
+func TestBackoffOfGoneAgentStaysConstant(t *testing.T) {
 	c, clock := newChooser()
 	for range 4 {
 		must.True(t, c.MayAsk("gone", true))
-		c.Silence("gone", true)
-		must.True(t, c.Lives("gone"))
+		c.RecordUnresponsive("gone", true)
+		must.True(t, c.RecentlyAlive("gone"))
 		must.False(t, c.MayAsk("gone", true))
 		clock.Step(701 * time.Millisecond)
 	}
--- a/internal/scheduler/chooser.go
+++ b/internal/scheduler/chooser.go
@@ -12,39 +12,37 @@
 )
 
 const (
-	// regionCost is how much longer, in waiting time, an upstream of another region
-	// is taken to need: its link is narrow, and all bytes over it are shared with
-	// weights and news.
+	// regionCost is the penalty, as waiting time, of an upstream in another region: the link is narrow and also
+	// carries weights and updates.
 	regionCost = 40 * time.Millisecond
-	// domainCost is the same for another failure domain of the region.
+	// domainCost is the penalty of another failure domain of the region.
 	domainCost = 5 * time.Millisecond
-	// jitter spreads choices between upstreams that look alike. Entries would
-	// otherwise all ask the first of them.
+	// jitter spreads choices among upstreams that look alike. Without it all entries would ask the first one.
 	jitter = 15 * time.Millisecond
-	// fullCost is what a wholly taken batch adds to the wait: steps are longer and a
-	// place may be missing by the time of the asking.
+	// fullCost is the penalty of a full batch: steps are longer, and no slot may be left when the reservation
+	// arrives.
 	fullCost = 120 * time.Millisecond
-	// firstAvoid is how long an upstream is passed over after a failure; it doubles
-	// with each further one up to maxAvoid.
-	firstAvoid = 500 * time.Millisecond
-	maxAvoid   = 4 * time.Second
-	// failureWeight is the share that the last outcome has in an upstream's failure
-	// rate, and failureCost what a rate of one adds to its wait.
+	// initialAvoid is how long an upstream is avoided after a failure; each further failure doubles it, up to
+	// maxAvoid.
+	initialAvoid = 500 * time.Millisecond
+	maxAvoid     = 4 * time.Second
+	// failureWeight is the weight of the last outcome in an upstream's failure rate, and failureCost the
+	// penalty of a rate of one.
 	failureWeight = 0.1
 	failureCost   = 400 * time.Millisecond
-	// emptyCost is added for an engine without weights. New ones come in numbers, idle as
-	// far as anyone knows; asked first, they would each refuse, and the request with
-	// them. The word is some hundred milliseconds old, so they are still asked last.
+	// emptyCost is the penalty of an engine without weights. New engines start in groups and look idle; if
+	// ranked first, each would refuse in turn until the request itself is refused. The state is some hundred
+	// milliseconds old, so they are still asked last.
 	emptyCost = 400 * time.Millisecond
-	// silentCost is added while an upstream's agent does not answer: mostly the whole VM
-	// is frozen or cut off, and the engine with it.
-	silentCost = 500 * time.Millisecond
+	// unresponsiveCost is the penalty while an upstream's agent doesn't respond: mostly the whole VM is
+	// suspended or partitioned, and the engine with it.
+	unresponsiveCost = 500 * time.Millisecond
 )
 
-// Distance is how far an upstream is from this entry.
+// Distance is the network distance of an upstream from this entry.
 type Distance int
 
-// The distances.
+// Distances in ascending order.
 const (
 	SameDomain Distance = iota
 	SameRegion
@@ -54,97 +52,95 @@
 // Candidate is an upstream that may serve a request.
 type Candidate struct {
 	ID string
-	// StartedAt is its start; zero when unknown.
+	// StartedAt is when the upstream started; zero if unknown.
 	StartedAt time.Time
 	Distance  Distance
-	// Slots is how many requests it runs at once; 0 when not told.
+	// Slots is how many requests it runs at once; 0 if unknown.
 	Slots int
-	// Empty engines were last heard to hold no weights.
+	// Empty reports that the engine held no weights by its last report.
 	Empty bool
-	// Agent tells that its load comes from an agent, and not only from its replies.
+	// Agent reports that its load is stated by an agent, not only by its replies.
 	Agent bool
-	// Cold tells of an upstream without an agent that it has just started.
+	// Cold reports that an upstream without an agent has just started.
 	Cold bool
 }
 
-// Chooser remembers what an entry met at each upstream. It is safe for concurrent
-// use. Set the exported fields before use.
+// Chooser keeps an entry's observations of each upstream and ranks candidates by them. It is safe for
+// concurrent use. Set the exported fields before use.
 type Chooser struct {
 	Clock  clock.PassiveClock
 	Random *rand.Rand
-	// Without are the mechanisms that an experiment switches off.
+	// Without lists the mechanisms that an experiment disables.
 	Without ablator.Set
-	// Sharers is among how many entries an upstream's slots are divided while it ramps; nil for one.
+	// Sharers returns the number of entries that share an upstream's slots while it ramps; nil means one.
 	Sharers func() int
 
-	mu    sync.Mutex
-	seen  map[string]*seen
-	swept time.Time
-	// rampsHeardUntil is the latest of all rampsUntil.
-	rampsHeardUntil time.Time
+	mu        sync.Mutex
+	upstreams map[string]*upstreamState
+	evictedAt time.Time
+	// anyRampingUntil is the latest rampingUntil of all upstreams.
+	anyRampingUntil time.Time
 }
 
-// seen is what is known of one upstream.
-type seen struct {
-	// startedAt is the start that all this was met at; zero when unknown.
+// upstreamState is an entry's state for one upstream.
+type upstreamState struct {
+	// startedAt is the start to which the state belongs; zero if unknown.
 	startedAt time.Time
-	// wait and active were told at the time heard; closed upstreams took nothing.
+	// wait and active are the load received at loadAt; closed upstreams accepted nothing then.
 	wait   time.Duration
 	active float64
-	heard  time.Time
-	// fullUntil is when there may be a place again at one that had none, and
-	// unsparingUntil when it may have one to spare.
-	fullUntil, unsparingUntil time.Time
-	// closed is why it took nothing at all then; empty when it was full. Opens is when it should take
-	// requests; zero when that isn't known.
-	closed string
-	opens  time.Time
-	// running are this entry's own requests there.
+	loadAt time.Time
+	// fullUntil is when a full upstream may have a free slot, spareFullUntil when it may have one to spare.
+	fullUntil, spareFullUntil time.Time
+	// closedReason is why it accepted nothing at all; empty if it was only full. opensAt is when it should
+	// accept requests; zero if unknown.
+	closedReason string
+	opensAt      time.Time
+	// running counts this entry's own requests there.
 	running  int
 	failures int
-	// stalled tells that it is passed over for a silence only.
+	// stalled reports that it is avoided only because a reply stalled.
 	stalled bool
-	// failing is the smoothed share of attempts that failed.
-	failing    float64
-	avoidUntil time.Time
-	// silentUntil is how long its agent isn't asked; processGone tells that its VM said that
-	// nobody listens there, alive when a reply from the upstream last went on.
-	silentUntil time.Time
-	processGone bool
-	// silences is how often its agent was found silent since its last answer; probing tells that a request asks it
-	// again.
-	silences int
-	probing  bool
-	alive    time.Time
-	used     time.Time
-	pace     enginePace
-	cold     rateTurn
-	limited  rateTurn
-	ramped
+	// failureRate is the smoothed share of failed attempts.
+	failureRate float64
+	avoidUntil  time.Time
+	// backoffUntil is until when its agent isn't asked. processGone reports that its VM refused the connection
+	// because no process listens. progressAt is when a reply from the upstream last progressed.
+	backoffUntil time.Time
+	processGone  bool
+	// unansweredCount is how often its agent failed to respond since its last answer; probing reports that a
+	// request is asking it again.
+	unansweredCount int
+	probing         bool
+	progressAt      time.Time
+	usedAt          time.Time
+	pace            enginePace
+	cold            rateGate
+	limited         rateGate
+	upstreamRamp
 }
 
-// forgetAfter is how long nothing may be heard of an upstream before it is
-// forgotten.
-const forgetAfter = time.Minute
+// evictAfter is how long the state of an unused upstream is kept.
+const evictAfter = time.Minute
 
-func (c *Chooser) of(id string) *seen { return c.at(id, c.Clock.Now()) }
+func (c *Chooser) upstream(id string) *upstreamState { return c.upstreamAt(id, c.Clock.Now()) }
 
-func (c *Chooser) at(id string, now time.Time) *seen {
-	if c.seen == nil {
-		c.seen = map[string]*seen{}
+func (c *Chooser) upstreamAt(id string, now time.Time) *upstreamState {
+	if c.upstreams == nil {
+		c.upstreams = map[string]*upstreamState{}
 	}
-	s := c.seen[id]
-	if s == nil {
-		s = &seen{cold: rateTurn{phase: c.Random.Float64()}}
-		s.limited.phase = c.Random.Float64()
-		c.seen[id] = s
+	u := c.upstreams[id]
+	if u == nil {
+		u = &upstreamState{cold: rateGate{phase: c.Random.Float64()}}
+		u.limited.phase = c.Random.Float64()
+		c.upstreams[id] = u
 	}
-	s.used = now
-	return s
+	u.usedAt = now
+	return u
 }
 
-// Order sorts candidates, the most promising first. Those that failed just now come
-// last, as nothing else may be left.
+// Order sorts candidates, the most promising first. Those that failed recently come last, as no others may be
+// left.
 func (c *Chooser) Order(candidates []Candidate) []Candidate {
 	ordered := make([]Candidate, 0, len(candidates))
 	r := c.Rank(candidates)
@@ -154,77 +150,77 @@
 	return ordered
 }
 
-// Rank is RankFor a request of which nothing is known.
+// Rank is RankFor with an unknown request.
 func (c *Chooser) Rank(candidates []Candidate) *Ranking { return c.RankFor(candidates, Work{}) }
 
-// RankFor prepares the order of candidates. Mostly the first is taken, and the rest need not be
-// sorted.
+// RankFor prepares the ranking of candidates. Mostly only the first is used, so the rest isn't sorted in
+// advance.
 func (c *Chooser) RankFor(candidates []Candidate, w Work) *Ranking {
 	c.mu.Lock()
 	defer c.mu.Unlock()
 	now := c.Clock.Now()
-	r := &Ranking{left: make([]scored, 0, len(candidates))}
-	var known loads
+	r := &Ranking{remaining: make([]rankedCandidate, 0, len(candidates))}
+	var known loadAverage
 	unknown, ramps := 0, false
 	for i, k := range candidates {
-		s := c.at(k.ID, now)
-		c.restart(s, k.StartedAt)
-		load := c.load(s, k, now)
-		at := scored{index: i, avoided: now.Before(s.avoidUntil) || s.suspect(now), unknown: s.loadUnknown(k)}
+		u := c.upstreamAt(k.ID, now)
+		c.resetIfRestarted(u, k.StartedAt)
+		load := c.load(u, k, now)
+		at := rankedCandidate{index: i, avoided: now.Before(u.avoidUntil) || u.rankedLast(now), unknown: u.loadUnknown(k)}
 		if at.unknown {
 			unknown++
 		} else {
 			known.add(load)
 		}
-		at.cost = load + c.cost(s, k, now) + s.pace.cost(&w, now)
-		r.left = append(r.left, at)
-		ramps = ramps || s.rampDue(k, now)
+		at.cost = load + c.cost(u, k, now) + u.pace.cost(&w, now)
+		r.remaining = append(r.remaining, at)
+		ramps = ramps || u.rampDue(k, now)
 	}
 	if unknown > 0 {
-		r.addUnknown(known.mean())
+		r.setUnknownLoads(known.mean())
 	}
 	if ramps {
-		c.holdBack(r.left, candidates, now)
+		c.rankRampingLast(r.remaining, candidates, now)
 	}
-	heap.Init(&r.left)
-	c.sweep(now)
+	heap.Init(&r.remaining)
+	c.evictIdle(now)
 	return r
 }
 
-// restart forgets what was met at an earlier start of an upstream that keeps its ID. Requests that run
-// there still end, and count until then.
-func (c *Chooser) restart(s *seen, startedAt time.Time) {
-	if s.startedAt.Equal(startedAt) {
+// resetIfRestarted discards the state of an earlier start of an upstream that keeps its ID. Requests that run
+// there still end, so they remain counted.
+func (c *Chooser) resetIfRestarted(u *upstreamState, startedAt time.Time) {
+	if u.startedAt.Equal(startedAt) {
 		return
 	}
-	if !s.startedAt.IsZero() {
-		*s = seen{running: s.running, used: s.used, cold: rateTurn{phase: s.cold.phase}}
-		s.limited.phase = c.Random.Float64()
+	if !u.startedAt.IsZero() {
+		*u = upstreamState{running: u.running, usedAt: u.usedAt, cold: rateGate{phase: u.cold.phase}}
+		u.limited.phase = c.Random.Float64()
 	}
-	s.startedAt = startedAt
+	u.startedAt = startedAt
 }
 
-// load is how long a request would wait there for others, as far as this entry can tell; for an unknown load, for this
-// entry's own.
-func (c *Chooser) load(s *seen, k Candidate, now time.Time) time.Duration {
+// load is how long a request would wait behind others, by what this entry has received; if the load is unknown,
+// behind this entry's own requests.
+func (c *Chooser) load(u *upstreamState, k Candidate, now time.Time) time.Duration {
 	cost, active := time.Duration(0), 0.0
-	if !c.Without.Has(ablator.LoadFeedback) && !s.loadUnknown(k) {
-		cost, active = max(0, s.wait-now.Sub(s.heard)), s.active
+	if !c.Without.Has(ablator.LoadFeedback) && !u.loadUnknown(k) {
+		cost, active = max(0, u.wait-now.Sub(u.loadAt)), u.active
 	}
 	if k.Slots > 0 {
-		active = max(active, float64(s.running)/float64(k.Slots))
+		active = max(active, float64(u.running)/float64(k.Slots))
 	}
 	return cost + time.Duration(active*float64(fullCost))
 }
 
-// cost is how much longer than by its load a request would wait there.
-func (c *Chooser) cost(s *seen, k Candidate, now time.Time) time.Duration {
-	cost := time.Duration(s.failing * c.failureDecay(s, k, now) * float64(failureCost))
+// cost is the penalty of an upstream apart from its load.
+func (c *Chooser) cost(u *upstreamState, k Candidate, now time.Time) time.Duration {
+	cost := time.Duration(u.failureRate * c.failureDecay(u, k, now) * float64(failureCost))
 	if k.Empty {
 		cost += emptyCost
 	}
-	if now.Before(s.silentUntil) {
-		cost += silentCost
+	if now.Before(u.backoffUntil) {
+		cost += unresponsiveCost
 	}
 	if !c.Without.Has(ablator.Locality) {
 		cost += k.Distance.cost()
@@ -235,7 +231,7 @@
 	return cost + time.Duration(c.Random.Int64N(int64(jitter)))
 }
 
-// cost is the distance in waiting time.
+// cost is the penalty of a distance as waiting time.
 func (d Distance) cost() time.Duration {
 	switch d {
 	case SameRegion:
@@ -247,36 +243,35 @@
 	}
 }
 
-// sweepEvery is how often upstreams to forget are looked for. Each look goes over all that
-// are known, which would cost a decision as much as ranking them.
-const sweepEvery = time.Second
+// sweepInterval is the time between evictions of unused upstreams. An eviction visits all upstreams, which
+// costs as much as ranking them.
+const sweepInterval = time.Second
 
-func (c *Chooser) sweep(now time.Time) {
-	if now.Sub(c.swept) < sweepEvery {
+func (c *Chooser) evictIdle(now time.Time) {
+	if now.Sub(c.evictedAt) < sweepInterval {
 		return
 	}
-	c.swept = now
-	for id, s := range c.seen {
-		if s.running == 0 && now.Sub(s.used) > forgetAfter {
-			delete(c.seen, id)
+	c.evictedAt = now
+	for id, u := range c.upstreams {
+		if u.running == 0 && now.Sub(u.usedAt) > evictAfter {
+			delete(c.upstreams, id)
 		}
 	}
 }
 
-// Heard notes an upstream's load, and that it answered: the wait before a prompt is read, and the share
-// of its places that are taken.
-func (c *Chooser) Heard(id string, wait time.Duration, active float64) {
+// RecordLoad records an upstream's load and that its agent answered: the wait before a prompt is read, and the
+// share of its slots in use.
+func (c *Chooser) RecordLoad(id string, wait time.Duration, active float64) {
 	c.mu.Lock()
 	defer c.mu.Unlock()
-	s := c.of(id)
-	s.wait, s.active, s.heard = wait, active, c.Clock.Now()
-	s.answered()
+	u := c.upstream(id)
+	u.wait, u.active, u.loadAt = wait, active, c.Clock.Now()
+	u.resetBackoff()
 }
 
-// Full notes that an upstream has no place for so long, or none to spare. Until then
-// it isn't asked: under more load than all can bear, each refusal would otherwise
-// cost a question to every engine, and the caller's time.
-func (c *Chooser) Full(id string, spare bool, free time.Duration) {
+// RecordFull records that an upstream has no slot, or none to spare, for a time. Until then it isn't asked:
+// under overload each refusal would otherwise cost a request to every engine, and the caller's time.
+func (c *Chooser) RecordFull(id string, spare bool, free time.Duration) {
 	if c.Without.Has(ablator.FullBackoff) {
 		return
 	}
@@ -284,185 +279,182 @@
 	defer c.mu.Unlock()
 	until := c.Clock.Now().Add(free)
 	if spare {
-		c.of(id).unsparingUntil = until
+		c.upstream(id).spareFullUntil = until
 		return
 	}
-	s := c.of(id)
-	s.fullUntil, s.closed, s.opens = until, "", time.Time{}
+	u := c.upstream(id)
+	u.fullUntil, u.closedReason, u.opensAt = until, "", time.Time{}
 }
 
-// Closed notes that an upstream takes nothing, and why; it isn't asked for so long. Opens is in how
-// long it should take requests; 0 when that isn't known.
-func (c *Chooser) Closed(id, why string, d, opens time.Duration) {
+// RecordClosed records that an upstream accepts nothing, and why; it isn't asked for the time d. Opens is in
+// how long it should accept requests; 0 if unknown.
+func (c *Chooser) RecordClosed(id, why string, d, opens time.Duration) {
 	c.mu.Lock()
 	defer c.mu.Unlock()
-	s, now := c.of(id), c.Clock.Now()
-	s.fullUntil, s.closed, s.opens = now.Add(d), why, time.Time{}
+	u, now := c.upstream(id), c.Clock.Now()
+	u.fullUntil, u.closedReason, u.opensAt = now.Add(d), why, time.Time{}
 	if opens > 0 {
-		s.opens = now.Add(opens)
+		u.opensAt = now.Add(opens)
 	}
 }
 
-// Opens is in how long a closed upstream should take requests; 0 when that isn't known.
-func (c *Chooser) Opens(id string) time.Duration {
+// OpensIn is in how long a closed upstream should accept requests; 0 if unknown.
+func (c *Chooser) OpensIn(id string) time.Duration {
 	c.mu.Lock()
 	defer c.mu.Unlock()
-	return max(0, c.of(id).opens.Sub(c.Clock.Now()))
+	return max(0, c.upstream(id).opensAt.Sub(c.Clock.Now()))
 }
 
-// WhyClosed is why an upstream took nothing when it last had no place; empty when it was
-// only full.
-func (c *Chooser) WhyClosed(id string) string {
+// ClosedReason is why an upstream accepted nothing when it last had no slot; empty if it was only full.
+func (c *Chooser) ClosedReason(id string) string {
 	c.mu.Lock()
 	defer c.mu.Unlock()
-	return c.of(id).closed
+	return c.upstream(id).closedReason
 }
 
-// FullFor is how long an upstream is still taken to have no place, or none to spare.
+// FullFor is how long an upstream remains marked as having no slot, or none to spare.
 func (c *Chooser) FullFor(id string, spare bool) time.Duration {
 	c.mu.Lock()
 	defer c.mu.Unlock()
-	s := c.of(id)
-	until := s.fullUntil
-	if spare && s.unsparingUntil.After(until) {
-		until = s.unsparingUntil
+	u := c.upstream(id)
+	until := u.fullUntil
+	if spare && u.spareFullUntil.After(until) {
+		until = u.spareFullUntil
 	}
 	return max(0, until.Sub(c.Clock.Now()))
 }
 
-// Begin and End count this entry's own requests at an upstream.
-func (c *Chooser) Begin(id string) { c.add(id, 1) }
+// Begin counts one of this entry's own requests at an upstream.
+func (c *Chooser) Begin(id string) { c.addRunning(id, 1) }
 
-// BeginWithin counts one more of this entry's own requests at an upstream, unless that makes
-// more than limit; 0 is none. Looked at and counted in two steps, requests of the same moment
-// would all find room.
-func (c *Chooser) BeginWithin(id string, limit int) bool {
+// TryBegin counts one more of this entry's own requests at an upstream unless that exceeds limit; 0 is no
+// limit. With a separate check, concurrent requests would all find a free slot.
+func (c *Chooser) TryBegin(id string, limit int) bool {
 	c.mu.Lock()
 	defer c.mu.Unlock()
-	s := c.of(id)
-	if limit > 0 && s.running >= limit {
+	u := c.upstream(id)
+	if limit > 0 && u.running >= limit {
 		return false
 	}
-	s.running++
+	u.running++
 	return true
 }
 
-// End takes back what Begin counted.
-func (c *Chooser) End(id string) { c.add(id, -1) }
+// End reverses Begin.
+func (c *Chooser) End(id string) { c.addRunning(id, -1) }
 
-func (c *Chooser) add(id string, n int) {
+func (c *Chooser) addRunning(id string, n int) {
 	c.mu.Lock()
 	defer c.mu.Unlock()
-	c.of(id).running += n
+	c.upstream(id).running += n
 }
 
-// Running is how many of this entry's requests are at an upstream.
+// Running is how many of this entry's requests run at an upstream.
 func (c *Chooser) Running(id string) int {
 	c.mu.Lock()
 	defer c.mu.Unlock()
-	return c.of(id).running
+	return c.upstream(id).running
 }
 
-// Failed notes an attempt that the upstream did not answer well. Dead ones are
-// passed over at once.
-func (c *Chooser) Failed(id string, dead bool) {
+// RecordFailure records a failed attempt. Dead upstreams are avoided at once.
+func (c *Chooser) RecordFailure(id string, dead bool) {
 	if c.Without.Has(ablator.FailureEjection) {
 		return
 	}
 	c.mu.Lock()
 	defer c.mu.Unlock()
-	s := c.of(id)
-	s.failing += failureWeight * (1 - s.failing)
-	s.failedAt = c.Clock.Now()
-	if s.ramp != nil {
-		s.ramp.Bad(c.Clock.Now())
+	u := c.upstream(id)
+	u.failureRate += failureWeight * (1 - u.failureRate)
+	u.failedAt = c.Clock.Now()
+	if u.ramp != nil {
+		u.ramp.RecordBad(c.Clock.Now())
 	}
 	if !dead {
 		return
 	}
-	s.stalled = false
-	s.avoid(c.Clock.Now())
+	u.stalled = false
+	u.extendAvoidance(c.Clock.Now())
 }
 
-// Stalled notes that nothing more comes of a reply. Its upstream is passed over like one that failed, until it goes
-// on with a reply.
-func (c *Chooser) Stalled(id string) {
+// RecordStall records that a reply makes no progress. Its upstream is avoided like a failed one until one of
+// its replies progresses.
+func (c *Chooser) RecordStall(id string) {
 	if c.Without.Has(ablator.FailureEjection) {
 		return
 	}
 	c.mu.Lock()
 	defer c.mu.Unlock()
-	s, now := c.of(id), c.Clock.Now()
-	s.stalled = s.stalled || !now.Before(s.avoidUntil)
-	s.avoid(now)
+	u, now := c.upstream(id), c.Clock.Now()
+	u.stalled = u.stalled || !now.Before(u.avoidUntil)
+	u.extendAvoidance(now)
 }
 
-// avoid passes an upstream over, for longer each time.
-func (s *seen) avoid(now time.Time) {
-	s.avoidUntil = now.Add(min(firstAvoid<<min(s.failures, 10), maxAvoid))
-	s.failures++
-	s.ejected, s.ejectedAt = s.failures >= trialFailures, now
+// extendAvoidance avoids an upstream, longer with each failure.
+func (u *upstreamState) extendAvoidance(now time.Time) {
+	u.avoidUntil = now.Add(min(initialAvoid<<min(u.failures, 10), maxAvoid))
+	u.failures++
+	u.ejected, u.ejectedAt = u.failures >= failuresBeforeTrial, now
 }
 
-// resume notes that a reply went on.
-func (s *seen) resume() {
-	if s.stalled {
-		s.stalled, s.failures, s.avoidUntil, s.ejected = false, 0, time.Time{}, false
+// endStall ends an avoidance that was due to a stall.
+func (u *upstreamState) endStall() {
+	if u.stalled {
+		u.stalled, u.failures, u.avoidUntil, u.ejected = false, 0, time.Time{}, false
 	}
 }
 
-// Served notes an attempt that the upstream answered well.
-func (c *Chooser) Served(id string) {
+// RecordSuccess records an attempt that the upstream answered well.
+func (c *Chooser) RecordSuccess(id string) {
 	c.mu.Lock()
 	defer c.mu.Unlock()
-	s := c.of(id)
-	s.failing -= failureWeight * s.failing
-	s.resume()
-	s.failures = 0
+	u := c.upstream(id)
+	u.failureRate -= failureWeight * u.failureRate
+	u.endStall()
+	u.failures = 0
 }
 
-// ColdPass lets a request through to a cold upstream without an agent, within this
-// entry's part of what it bears.
-func (c *Chooser) ColdPass(id string, share RateShare) bool {
+// AllowCold reports whether a request may go to a cold upstream without an agent, within this entry's share of
+// its rate.
+func (c *Chooser) AllowCold(id string, share RateShare) bool {
 	c.mu.Lock()
 	defer c.mu.Unlock()
-	return c.of(id).cold.pass(c.Clock.Now(), share)
+	return c.upstream(id).cold.allow(c.Clock.Now(), share)
 }
 
-// Avoid passes an upstream over for a while, such as one that said to be full.
+// Avoid avoids an upstream for a time, such as one that reported to be full.
 func (c *Chooser) Avoid(id string, d time.Duration) {
 	c.mu.Lock()
 	defer c.mu.Unlock()
-	s := c.of(id)
-	s.stalled = false
-	s.avoidUntil = c.Clock.Now().Add(d)
+	u := c.upstream(id)
+	u.stalled = false
+	u.avoidUntil = c.Clock.Now().Add(d)
 }
 
-// aliveFor is for how long a sign of life counts: an engine at work sends each reply on
-// every 0.05 to 0.1 s.
-const aliveFor = 300 * time.Millisecond
+// progressValidity is how long progress shows that an upstream is alive: a working engine sends part of each
+// reply every 0.05 to 0.1 s.
+const progressValidity = 300 * time.Millisecond
 
-// Alive notes that a reply of an upstream went on.
-func (c *Chooser) Alive(id string) {
+// RecordProgress records that a reply of an upstream progressed.
+func (c *Chooser) RecordProgress(id string) {
 	c.mu.Lock()
 	defer c.mu.Unlock()
-	s := c.of(id)
-	s.alive = c.Clock.Now()
-	s.resume()
-	s.judgeAlive()
+	u := c.upstream(id)
+	u.progressAt = c.Clock.Now()
+	u.endStall()
+	u.completeTrial()
 }
 
-// Lives tells whether an upstream whose agent is silent showed life just now.
-func (c *Chooser) Lives(id string) bool {
+// RecentlyAlive reports whether an upstream whose agent is unresponsive showed progress recently.
+func (c *Chooser) RecentlyAlive(id string) bool {
 	c.mu.Lock()
 	defer c.mu.Unlock()
-	s := c.of(id)
-	return s.processGone || c.Clock.Since(s.alive) < aliveFor
+	u := c.upstream(id)
+	return u.processGone || c.Clock.Since(u.progressAt) < progressValidity
 }
 
-// Avoided tells whether an upstream is passed over now.
+// Avoided reports whether an upstream is being avoided.
 func (c *Chooser) Avoided(id string) bool {
 	c.mu.Lock()
 	defer c.mu.Unlock()
-	return c.Clock.Now().Before(c.of(id).avoidUntil)
+	return c.Clock.Now().Before(c.upstream(id).avoidUntil)
 }
--- a/internal/scheduler/engine_memory_test.go
+++ b/internal/scheduler/engine_memory_test.go
@@ -10,7 +10,7 @@
 	"github.com/oriolecroft/oriolecroft/internal/scheduler"
 )
 
-// Guards against an engine that crashes as the requests granted there come to hold more than its memory.
+// Guards against an engine that crashes because the requests granted there exceed its memory.
 func TestGrantsStayWithinTheEnginesMemory(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
 		l, _ := openLedger()
@@ -20,7 +20,7 @@
 		l.SetMemory(memory)
 		held, sizes := foreign*(figures().UsualPrompt+figures().UsualAnswer), map[string]int{}
 		for i := range rapid.IntRange(1, 30).Draw(t, "requests") {
-			j := job(i, patient)
+			j := job(i, unlimitedWait)
 			j.Prompt, j.MaxAnswer = rapid.IntRange(1, 9000).Draw(t, "prompt"), rapid.SampledFrom([]int{0, 50, 4000}).Draw(t, "longest answer")
 			size := j.Prompt + max(j.Answer, j.MaxAnswer)
 			v := l.Reserve(j, nil)
@@ -30,7 +30,7 @@
 				continue
 			}
 			must.Positive(t, v.Free)
-			must.True(t, held+size > memory || len(sizes)+foreign == figures().Slots, must.Sprint("refused though there is room"))
+			must.True(t, held+size > memory || len(sizes)+foreign == figures().Slots, must.Sprint("refused despite free memory and slots"))
 			for id, size := range sizes {
 				l.Ended(id)
 				delete(sizes, id)
@@ -41,14 +41,14 @@
 	})
 }
 
-// patient requests are refused for no wait.
-const patient = 1 << 40
+// unlimitedWait is a wait limit that refuses no request.
+const unlimitedWait = 1 << 40
 
 // Guards against a limit where the engine states no memory.
-func TestUnknownMemoryLimitsNothing(t *testing.T) {
+func TestUnknownMemoryIsUnlimited(t *testing.T) {
 	l, _ := openLedger()
 	for i := range figures().Slots {
-		j := scheduler.Job{ID: fmt.Sprint(i), Prompt: 100, MaxAnswer: 1 << 40, Patience: patient}
+		j := scheduler.Job{ID: fmt.Sprint(i), Prompt: 100, MaxAnswer: 1 << 40, Patience: unlimitedWait}
 		must.True(t, l.Reserve(j, nil).Granted)
 	}
 }
--- a/internal/scheduler/expiry_test.go
+++ b/internal/scheduler/expiry_test.go
@@ -7,14 +7,13 @@
 	"github.com/shoenig/test/must"
 )
 
-// startMargin is how long before the end of its weights' time an engine is closed, so that
-// what was granted last begins within it.
+// startMargin is how long before the bound on its weights an engine closes, so that the last granted request
+// starts within it.
 const startMargin = 700 * time.Millisecond
 
-// The time of an engine's weights is nearly over. What is granted last has other prompts
-// before it and a long one of its own, and its first word comes after the end of that time:
-// the caller gets a reply from weights that the operators replaced.
-func TestGrantedRequestBeginsInTime(t *testing.T) {
+// Guards against replies from replaced weights: a request that is granted last has other prompts before it and
+// a long one itself, so its first token may follow after the weights have expired.
+func TestGrantedRequestStartsBeforeExpiry(t *testing.T) {
 	for _, c := range []struct {
 		pace   float64
 		before int
--- a/internal/scheduler/full_marks.go
+++ b/internal/scheduler/full_marks.go
@@ -5,28 +5,28 @@
 	"time"
 )
 
-// FullMarks remembers which engines had no slot for requests of a priority. An engine without a slot for one
-// request may well have one for a more urgent one. The zero value is ready for use by several goroutines.
+// FullMarks records which engines had no slot for requests of a priority. An engine without a slot for one
+// request may have one for a more urgent one. The zero value is ready for use and safe for concurrent use.
 type FullMarks struct {
 	mu    sync.Mutex
-	until map[string]*[priorities]time.Time
+	until map[string]*[priorityCount]time.Time
 	swept time.Time
 }
 
-// Full notes that an engine has no slot for requests of a priority, or less urgent ones, for a time.
-func (m *FullMarks) Full(id string, priority int, free time.Duration, now time.Time) {
+// MarkFull records that an engine has no slot for requests of a priority, or less urgent ones, for a time.
+func (m *FullMarks) MarkFull(id string, priority int, free time.Duration, now time.Time) {
 	m.mu.Lock()
 	defer m.mu.Unlock()
 	m.sweep(now)
 	marks := m.until[id]
 	if marks == nil {
-		marks = &[priorities]time.Time{}
+		marks = &[priorityCount]time.Time{}
 		m.until[id] = marks
 	}
 	marks[priority] = now.Add(free)
 }
 
-// FullFor is how long an engine is still taken to have no slot for requests of a priority.
+// FullFor is how long an engine remains marked as having no slot for requests of a priority.
 func (m *FullMarks) FullFor(id string, priority int, now time.Time) time.Duration {
 	m.mu.Lock()
 	defer m.mu.Unlock()
@@ -41,9 +41,10 @@
 	return longest
 }
 
-// sweep forgets all marks now and then, as engines leave. They last for less than the time between two sweeps.
+// sweep drops all marks from time to time, as engines come and go. Marks last for less than the time between
+// two sweeps.
 func (m *FullMarks) sweep(now time.Time) {
-	if m.until == nil || now.Sub(m.swept) > forgetAfter {
-		m.until, m.swept = map[string]*[priorities]time.Time{}, now
+	if m.until == nil || now.Sub(m.swept) > evictAfter {
+		m.until, m.swept = map[string]*[priorityCount]time.Time{}, now
 	}
 }
--- a/internal/scheduler/late_waits_test.go
+++ b/internal/scheduler/late_waits_test.go
@@ -9,8 +9,8 @@
 	"github.com/oriolecroft/oriolecroft/internal/scheduler"
 )
 
-// Guards against refusing callers whose replies a restart cut, although slots come free within a second.
-func TestLateRequestsWaitWhileSuchWaitsGetSlots(t *testing.T) {
+// Guards against refusing callers whose replies were cut by a restart although slots come free within a second.
+func TestLateWaitsContinueWhileTheyGetSlots(t *testing.T) {
 	var w scheduler.LateWaits
 	now := time.Unix(1000, 0)
 	for i := range 100 {
@@ -20,9 +20,9 @@
 	must.True(t, w.Begin("s", now))
 }
 
-// Guards against late requests that wait without getting a slot under a lasting overload, and against a service whose
-// late requests never wait again after one.
-func TestLateRequestsStopWaitingWithoutSlots(t *testing.T) {
+// Guards against late requests that wait in a lasting overload without getting a slot, and against a service
+// whose late requests never wait again after one.
+func TestLateWaitsAreSuspendedWithoutSlots(t *testing.T) {
 	var w scheduler.LateWaits
 	now := time.Unix(1000, 0)
 	waited := 0
--- a/internal/scheduler/ledger.go
+++ b/internal/scheduler/ledger.go
@@ -15,178 +15,173 @@
 	"github.com/oriolecroft/oriolecroft/internal/observer"
 )
 
-// overdue is how long beyond its caller's patience a place is held for a request
-// whose end was never told, as when its entry was killed.
-const overdue = 500 * time.Millisecond
+// reservationGrace is how long a slot is held beyond its caller's time limit for a request whose end is never
+// reported, for example because its entry was killed.
+const reservationGrace = 500 * time.Millisecond
 
 const (
-	// OldWeightsMargin is how much before the bound engines with old weights take nothing
-	// more: an ordinary request that is granted a place needs that long to begin.
+	// OldWeightsMargin is how long after the weights' expiry a granted request may still start. Engines close
+	// that much before the bound on old weights, the time that an ordinary granted request needs to start.
 	OldWeightsMargin = 700 * time.Millisecond
-	// OldWeights is why an engine takes nothing whose weights may begin no reply any more.
+	// OldWeights is why an engine whose weights have expired accepts nothing.
 	OldWeights = "old weights"
-	// startMargin is what a granted request's first token takes beyond its predicted wait and
-	// reading. Nine in ten came within 0.24 s on a recorded day; 0.45 s were seen at a full
-	// engine, the way there included.
+	// startMargin is the time to a granted request's first token beyond its predicted wait and reading. On a
+	// recorded day nine in ten took up to 0.24 s; a full engine took 0.45 s, the network included.
 	startMargin = 500 * time.Millisecond
 )
 
-// Job is a request that asks for a place.
+// Job is a request for a slot.
 type Job struct {
 	ID string
 	// Prompt and Answer are its size in tokens.
 	Prompt, Answer int
-	// MaxAnswer is the longest answer in tokens; 0 when not stated.
+	// MaxAnswer is the longest answer in tokens; 0 if not stated.
 	MaxAnswer int
-	// Expected are the tokens that its answer should have; 0 when nobody knows.
+	// Expected is the expected length of its answer in tokens; 0 if unknown.
 	Expected int
-	// Spare jobs can't be answered within their objective any more. They get a place
-	// only while the engine has some to spare: under more load than it bears, each
-	// would make one late that could still be in time.
+	// Spare marks jobs that are too late for their objective. They get a slot only while the engine has some to
+	// spare: under overload each would make a job late that could still be in time.
 	Spare bool
 	// Patience is how long it may wait before its prompt is read, Left how long its
 	// caller waits for the whole.
 	Patience, Left time.Duration
-	// Priority is from 0 for the most urgent to 9; nil at services where all jobs have the same. The fields
-	// below are set only with it.
+	// Priority is from 0 for the most urgent to 9; nil at services where all jobs are equally urgent. The
+	// fields below are set only with it.
 	Priority *int
-	// Workspace is whom it is for, Budget how long it may wait at any engine.
+	// Workspace is the customer, Budget how long the job may wait at any engine.
 	Workspace string
 	Budget    time.Duration
 	// Asked is how many engines were asked before, Refusals how many of the pool had no slot.
 	Asked, Refusals int
-	// Pause is the longest pause between two events that is on time; 0 for none.
+	// Pause is the longest pause between two events that is on time; 0 for no limit.
 	Pause time.Duration
-	// Beyond is why it may be let in beyond the limit of a ramp.
-	Beyond Beyond
+	// Beyond is why the job may exceed the limit of a ramp.
+	Beyond RampBypass
 }
 
-// Verdict is the answer to a job.
-type Verdict struct {
+// Decision is the result of a job's reservation.
+type Decision struct {
 	Granted bool
-	// Closed says why the engine takes nothing at all now; empty when it does.
+	// Closed is why the engine accepts nothing at all; empty if it does.
 	Closed string
-	// Kept says for whom free slots are kept; empty when the job isn't refused for that.
+	// Kept states for which jobs the free slots are kept; empty unless the job is refused for that.
 	Kept string
-	// Wait is how long a job granted now waits before its prompt is read.
+	// Wait is how long the job waits before its prompt is read, if granted.
 	Wait time.Duration
-	// Takes is how long a job granted now should take, its wait included.
+	// Takes is the predicted time to the job's end, its wait included.
 	Takes time.Duration
-	// Free is in how long there may be a place, for one not granted; of a closed engine 0 when
-	// nobody knows.
+	// Free is in how long a slot may be free, for a refused job; 0 for a closed engine that doesn't state when
+	// it opens.
 	Free time.Duration
-	// Active are the requests that hold places, of Slots.
+	// Active counts the requests that hold slots, of Slots.
 	Active, Slots int
-	// Unreserved are those of Active that the engine runs without a known reservation.
+	// Unreserved counts those of Active that the engine runs without a known reservation.
 	Unreserved int
-	// Observed is how long ago the engine last reported what it runs; negative for never.
+	// Observed is the age of the engine's last report of what it runs; negative for never.
 	Observed time.Duration
-	// BeginWithin is for how much longer the engine's weights may begin replies, for a granted job;
-	// 0 for any time.
+	// BeginWithin is for how much longer the engine's weights may start replies, for a granted job; 0 for no
+	// limit.
 	BeginWithin time.Duration
-	// EndsLate tells that the job could not end within the time its caller has left.
+	// EndsLate reports that the job can't end within the time its caller has left.
 	EndsLate bool
-	// Pace is the engine's as it reports it, Momentary as its replies state it.
+	// Pace is the slowdown that the engine reports, Momentary the one that its replies state.
 	Pace      float64
-	Momentary Momentary
-	// Ramp is the state of the engine's slow start; nil while there is none.
+	Momentary MomentaryPace
+	// Ramp is the state of the engine's slow start; nil outside one.
 	Ramp *RampState
 }
 
-// Ledger holds the places of one engine. It answers arrivals in bursts: without it
-// each entry would see a free engine and all would send there at once, and the
-// prompts are read one after the other. It is safe for concurrent use. Set Clock
-// before use.
+// Ledger assigns the slots of one engine. It makes bursts safe: without a common count all entries would see a
+// free engine and send to it at once, and its prompts are read one after the other. It is safe for concurrent
+// use. Set Clock before use.
 type Ledger struct {
 	Clock clock.PassiveClock
-	// Expiry is when the weights that the engine holds may begin no reply any more; zero for
-	// never. It is asked for each job: the agent looks at its engine now and then, a look may
-	// take long behind a cut or a narrow link, and an agent that stood still hears of many
-	// changes at once. Were the engine closed by the next look only, old weights would go on
-	// to begin replies after their time. Nil is never, too. It is called while the ledger is
-	// locked.
+	// Expiry returns the expiry of the engine's weights, after which no job is granted; zero or a nil Expiry
+	// means never. It is evaluated for each job because the agent only polls its engine: behind a partition or a
+	// narrow link a poll may take long, and an agent that was suspended receives many changes at once. If only
+	// a poll closed the engine, old weights would start replies after their expiry. It is called while the
+	// ledger is locked.
 	Expiry func() time.Time
-	// ColdFactor and ColdSlack bound what a cold engine may get in a second: so many times
-	// its rate, and a number besides.
+	// ColdFactor and ColdSlack bound the requests to a cold engine in any second: a multiple of its rate, plus
+	// a constant.
 	ColdFactor, ColdSlack float64
-	// Without are the mechanisms that an experiment switches off.
+	// Without lists the mechanisms that an experiment disables.
 	Without ablator.Set
 
-	mu     sync.Mutex
-	engine *matcher.Engine
-	closed string
-	// opens is when a closed engine is expected to take jobs; zero when nobody knows.
-	opens time.Time
-	held  map[string]*place
-	// foreign is how many requests the engine runs beyond those known here.
-	foreign int
-	// observedAt is when the engine last said so.
+	mu           sync.Mutex
+	engine       *matcher.Engine
+	closedReason string
+	// opensAt is when a closed engine is expected to accept jobs; zero if unknown.
+	opensAt      time.Time
+	reservations map[string]*reservation
+	// unreserved is how many requests the engine runs beyond those reserved here.
+	unreserved int
+	// observedAt is when the engine last reported this number.
 	observedAt time.Time
 	// readUntil is when all prompts granted so far will have been read.
 	readUntil time.Time
-	// until is when the engine stops to load new weights; zero for never.
-	until time.Time
-	// coldRate is how many requests a second the engine bears until coldUntil; 0 for any.
-	coldRate  float64
-	coldUntil time.Time
-	recent    rateLimit
-	stated    statedLimit
-	// began is when Cold was first called.
-	began time.Time
-	// pace is how much slower than its figures the engine works; 1 is as told.
+	// loadStart is when the engine stops serving to load new weights; zero for never.
+	loadStart time.Time
+	// coldRate is how many requests per second the engine can take until coldUntil; 0 for no limit.
+	coldRate     float64
+	coldUntil    time.Time
+	recentGrants slidingWindow
+	statedLimit  statedLimit
+	// coldSince is when SetColdLimit was first called.
+	coldSince time.Time
+	// pace is the engine's slowdown against its figures; 1 is none.
 	pace float64
 	// trunk keeps slots for more urgent jobs.
-	trunk trunk
-	// memory is how many tokens the engine holds; 0 for any.
-	memory int
-	// momentary is by what factor it is slower than that at the moment.
-	momentary Momentary
+	trunk trunkReservation
+	// memoryTokens is how many tokens the engine can hold; 0 for no limit.
+	memoryTokens int
+	// momentary is the additional slowdown stated by recent replies.
+	momentary MomentaryPace
 	ramp      ledgerRamp
 }
 
-// place is a request that holds a place.
-type place struct {
+// reservation is a request that holds a slot.
+type reservation struct {
 	Job
-	owner   any
-	until   time.Time
-	started bool
-	// orphaned places are those whose owner's connection is over.
+	owner     any
+	expiresAt time.Time
+	started   bool
+	// orphaned reports that the owner's connection has ended.
 	orphaned bool
-	// goodUntil is by when its first event is good during a ramp; zero outside one. Judged tells that it
-	// has counted for the ramp.
-	goodUntil time.Time
-	judged    bool
+	// goodBy is the latest time at which its first event counts as good during a ramp; zero outside one.
+	// evaluated reports that it has counted for the ramp.
+	goodBy    time.Time
+	evaluated bool
 }
 
-// Open lets jobs in, by the figures of the engine.
+// Open admits jobs, by the figures of the engine.
 func (l *Ledger) Open(e *matcher.Engine) {
 	l.mu.Lock()
 	defer l.mu.Unlock()
-	l.engine, l.closed, l.opens = e, "", time.Time{}
-	l.rampOn(l.Clock.Now())
+	l.engine, l.closedReason, l.opensAt = e, "", time.Time{}
+	l.updateRamp(l.Clock.Now())
 }
 
-// Close lets nothing in any more; why is told to whoever asks.
+// Close refuses all jobs; why is stated in the refusals.
 func (l *Ledger) Close(why string) { l.CloseUntil(why, time.Time{}) }
 
-// CloseUntil is Close for an engine that is expected to open at a moment; zero for one of which nobody
-// knows when.
+// CloseUntil is Close for an engine that is expected to open at a given time; zero if unknown.
 func (l *Ledger) CloseUntil(why string, opens time.Time) {
 	l.mu.Lock()
 	defer l.mu.Unlock()
-	if l.closed == "" {
+	if l.closedReason == "" {
 		l.ramp.closedAt = l.Clock.Now()
 	}
-	l.closed, l.opens = why, opens
+	l.closedReason, l.opensAt = why, opens
 }
 
-// Closed is why nothing is let in; empty when jobs are.
+// Closed is why jobs are refused; empty while they are admitted.
 func (l *Ledger) Closed() string {
 	l.mu.Lock()
 	defer l.mu.Unlock()
 	switch {
-	case l.engine == nil || l.closed != "":
-		return l.reason()
+	case l.engine == nil || l.closedReason != "":
+		return l.closeReason()
 	case l.expired(l.Clock.Now()):
 		return OldWeights
 	default:
@@ -194,114 +189,111 @@
 	}
 }
 
-// OpenUntil lets in only jobs that should end by a moment; zero lets in all. An
-// engine that loads new weights first ends all its requests. Were it to take long
-// ones until then, it would stand nearly idle while the last of them end.
+// OpenUntil admits only jobs that should end by t; zero admits all. An engine ends all its requests before it
+// loads new weights. If it admitted long ones until then, it would run nearly idle while the last of them end.
 func (l *Ledger) OpenUntil(t time.Time) {
 	l.mu.Lock()
 	defer l.mu.Unlock()
-	l.until = t
+	l.loadStart = t
 }
 
-// Cold bounds what is let in until a moment, in requests a second. A cold engine falls
-// over under a full load, and all that runs there is lost. Within a second of the first call
-// it gets only what the bound leaves beside the rate: an agent that was killed may have
-// granted the whole rate just before, and its successor knows nothing of that.
-func (l *Ledger) Cold(rate float64, until time.Time) {
+// SetColdLimit limits the requests per second until a given time. A cold engine crashes under a full load,
+// which loses all its requests. Within a second of the first call the limit is what the bound allows beyond the
+// rate: a killed agent may have granted the whole rate just before, and its successor has no record of that.
+func (l *Ledger) SetColdLimit(rate float64, until time.Time) {
 	l.mu.Lock()
 	defer l.mu.Unlock()
-	if l.began.IsZero() {
-		l.began = l.Clock.Now()
+	if l.coldSince.IsZero() {
+		l.coldSince = l.Clock.Now()
 	}
 	l.coldRate, l.coldUntil = rate, until
 }
 
-// Limit takes over what the engine stated of the requests a second that it takes. The newest
-// statement counts, whichever entry passes it on.
-func (l *Ledger) Limit(limit observer.Limit) {
+// SetStatedLimit adopts the engine's stated limit of requests per second. The newest statement counts,
+// whichever entry forwards it.
+func (l *Ledger) SetStatedLimit(limit observer.Limit) {
 	l.mu.Lock()
 	defer l.mu.Unlock()
 	now := l.Clock.Now()
-	l.stated.set(limit.Rate, now.Add(-limit.Age), now)
+	l.statedLimit.update(limit.Rate, now.Add(-limit.Age), now)
 }
 
-// Reset forgets all places, as after a restart of the engine.
+// Reset drops all reservations, as after a restart of the engine.
 func (l *Ledger) Reset() {
 	l.mu.Lock()
 	defer l.mu.Unlock()
-	l.held, l.foreign, l.readUntil = nil, 0, time.Time{}
+	l.reservations, l.unreserved, l.readUntil = nil, 0, time.Time{}
 }
 
-// Observe takes the engine's own word: how many requests it runs and queues, and
-// its pace. Requests that nobody asked a place for count from then on: those of an
-// entry that could not reach this agent, or of the time before this agent started.
+// Observe records the engine's own report: how many requests it runs and queues, and its pace. Requests without
+// a reservation count from then on: those of an entry that could not reach this agent, or sent before this
+// agent started.
 func (l *Ledger) Observe(running int, pace float64) {
 	l.mu.Lock()
 	defer l.mu.Unlock()
 	now := l.Clock.Now()
-	l.sweep(now)
-	l.freeOrphans(len(l.held) - running)
-	l.foreign, l.observedAt = max(0, running-len(l.held)), now
+	l.freeExpired(now)
+	l.freeOrphans(len(l.reservations) - running)
+	l.unreserved, l.observedAt = max(0, running-len(l.reservations)), now
 	l.pace = max(1, pace)
 }
 
-// Reserve grants a place or says why not. The owner is the connection that it came
-// on.
-func (l *Ledger) Reserve(j Job, owner any) Verdict {
+// Reserve grants a slot or states why not. The owner is the connection on which the job arrived.
+func (l *Ledger) Reserve(j Job, owner any) Decision {
 	l.mu.Lock()
 	defer l.mu.Unlock()
 	now := l.Clock.Now()
-	l.sweep(now)
-	earlier, readUntil := l.held[j.ID], l.readUntil
+	l.freeExpired(now)
+	earlier, readUntil := l.reservations[j.ID], l.readUntil
 	v := l.reserve(j, owner, now)
 	if !v.Granted && earlier != nil && earlier.owner != owner {
-		// Connections keep no order between them: this question may be the older one, and its
-		// request run in the slot. Whoever has no use for a slot says so.
-		l.held[j.ID], l.readUntil = earlier, readUntil
+		// Messages of different connections arrive in any order: this reservation may be the older one, and its
+		// request run in the slot. Entries release slots that they don't use.
+		l.reservations[j.ID], l.readUntil = earlier, readUntil
 	}
 	return v
 }
 
-// reserve is Reserve without what a refusal leaves as it was.
-func (l *Ledger) reserve(j Job, owner any, now time.Time) Verdict {
-	if l.engine == nil || l.closed != "" {
-		return Verdict{Closed: l.reason(), Free: l.opensIn(now)}
+// reserve is Reserve without the restoration of an earlier reservation after a refusal.
+func (l *Ledger) reserve(j Job, owner any, now time.Time) Decision {
+	if l.engine == nil || l.closedReason != "" {
+		return Decision{Closed: l.closeReason(), Free: l.opensIn(now)}
 	}
 	if l.expired(now) {
-		return Verdict{Closed: OldWeights}
+		return Decision{Closed: OldWeights}
 	}
-	if l.held[j.ID] != nil {
-		// The answer to an earlier question was lost. What held then may not hold any more.
-		delete(l.held, j.ID)
-		l.reckon()
+	if l.reservations[j.ID] != nil {
+		// The reply to an earlier reservation was lost, and its conditions may have changed since.
+		delete(l.reservations, j.ID)
+		l.lowerReadUntil()
 	}
-	v := Verdict{
-		Active: len(l.held) + l.foreign, Slots: l.engine.Slots, Wait: max(0, l.readUntil.Sub(now)),
-		Unreserved: l.foreign, Observed: l.observedAgo(now), Pace: l.pace, Momentary: l.momentary,
+	v := Decision{
+		Active: len(l.reservations) + l.unreserved, Slots: l.engine.Slots, Wait: max(0, l.readUntil.Sub(now)),
+		Unreserved: l.unreserved, Observed: l.observedAgo(now), Pace: l.pace, Momentary: l.momentary,
 	}
 	v.Takes = v.Wait + l.duration(j, v.Active+1)
-	l.trunk.note(&j, now)
-	if wait, ok := l.queueBeyond(&j, &v); ok {
+	l.trunk.recordArrival(&j, now)
+	if wait, ok := l.queueWait(&j, &v); ok {
 		v.Takes += wait - v.Wait
 		v.Wait = wait
-	} else if limit := l.limit(j); v.Active >= limit {
-		l.trunk.refused(&j, now)
-		v.Free = l.scaled(TurnTime(l.engine)) * time.Duration(v.Active-limit+1)
+	} else if limit := l.slotLimit(j); v.Active >= limit {
+		l.trunk.recordRefusal(&j, now)
+		v.Free = l.atCurrentPace(SlotTurnaround(l.engine)) * time.Duration(v.Active-limit+1)
 		return v
 	}
-	if !l.fits(j) {
-		v.Free = l.scaled(TurnTime(l.engine))
+	if !l.fitsMemory(j) {
+		v.Free = l.atCurrentPace(SlotTurnaround(l.engine))
 		return v
 	}
 	if v.EndsLate = l.endsLate(j, &v); v.EndsLate {
 		return v
 	}
-	if !l.until.IsZero() && now.Add(v.Takes).After(l.until) {
-		v.Free = max(0, l.until.Sub(now)) + l.engine.Load
+	if !l.loadStart.IsZero() && now.Add(v.Takes).After(l.loadStart) {
+		v.Free = max(0, l.loadStart.Sub(now)) + l.engine.Load
 		return v
 	}
 	expiry := l.expiry()
-	if begins := now.Add(v.Wait + l.first(j, v.Active+1)); !expiry.IsZero() && begins.After(expiry.Add(OldWeightsMargin)) {
+	if starts := now.Add(v.Wait + l.firstTokenTime(j, v.Active+1)); !expiry.IsZero() && starts.After(expiry.Add(OldWeightsMargin)) {
 		v.Free = max(0, expiry.Sub(now)) + l.engine.Load
 		return v
 	}
@@ -312,21 +304,21 @@
 		v.Free = v.Wait - j.Patience
 		return v
 	}
-	if v.Kept = l.kept(&j, &v, now); v.Kept != "" {
-		v.Free = l.scaled(TurnTime(l.engine))
+	if v.Kept = l.keptReason(&j, &v, now); v.Kept != "" {
+		v.Free = l.atCurrentPace(SlotTurnaround(l.engine))
 		return v
 	}
-	if l.rampHolds(j, &v, now) {
+	if l.rampRefuses(j, &v, now) {
 		return v
 	}
 	if v.Free = l.coldWait(now); v.Free > 0 {
 		return v
 	}
-	if !l.stated.allow(now) {
-		return Verdict{Closed: RateLimited}
+	if !l.statedLimit.allow(now) {
+		return Decision{Closed: RateLimited}
 	}
 	l.grant(j, owner, now)
-	l.expect(l.held[j.ID], v.Wait, v.Active+1, now)
+	l.setGoodBy(l.reservations[j.ID], v.Wait, v.Active+1, now)
 	v.Granted = true
 	if !expiry.IsZero() {
 		v.BeginWithin = expiry.Add(OldWeightsMargin).Sub(now)
@@ -335,18 +327,18 @@
 	return v
 }
 
-// leastOpening is what is stated of an engine that should have opened by now.
-const leastOpening = 20 * time.Millisecond
+// minOpensIn is stated for an engine that should have opened already.
+const minOpensIn = 20 * time.Millisecond
 
-// opensIn is in how long a closed engine should open; 0 when that isn't known.
+// opensIn is in how long a closed engine should open; 0 if unknown.
 func (l *Ledger) opensIn(now time.Time) time.Duration {
-	if l.opens.IsZero() {
+	if l.opensAt.IsZero() {
 		return 0
 	}
-	return max(leastOpening, l.opens.Sub(now))
+	return max(minOpensIn, l.opensAt.Sub(now))
 }
 
-// observedAgo is how long ago the engine last reported what it runs; negative for never.
+// observedAgo is the age of the engine's last report; negative for never.
 func (l *Ledger) observedAgo(now time.Time) time.Duration {
 	if l.observedAt.IsZero() {
 		return -1
@@ -354,19 +346,19 @@
 	return now.Sub(l.observedAt)
 }
 
-// coldWait is how long until a cold engine may get one more; 0 for at once.
+// coldWait is how long until a cold engine may get one more request; 0 for no wait.
 func (l *Ledger) coldWait(now time.Time) time.Duration {
 	if l.coldRate <= 0 || !now.Before(l.coldUntil) || l.Without.Has(ablator.ColdLimit) {
 		return 0
 	}
 	rate := l.coldRate
-	if now.Sub(l.began) < coldSecond {
+	if now.Sub(l.coldSince) < rateWindow {
 		rate = min(rate, (max(1, l.ColdFactor)-1)*rate+l.ColdSlack)
 		if rate < 1 {
-			return l.began.Add(coldSecond).Sub(now)
+			return l.coldSince.Add(rateWindow).Sub(now)
 		}
 	}
-	if wait, ok := l.recent.room(now, rate); !ok {
+	if wait, ok := l.recentGrants.check(now, rate); !ok {
 		return wait
 	}
 	return 0
@@ -384,19 +376,18 @@
 	return l.Expiry()
 }
 
-// first is how long after the wait before it a job's first token comes: its prompt is read,
-// and a reply begins with its first token. A long prompt that is granted just before the end
-// of the weights' time would begin after it.
-func (l *Ledger) first(j Job, active int) time.Duration {
-	return startMargin + l.scaled(l.reading(j)+PassTime(l.engine, active))
+// firstTokenTime is how long after its wait a job's first token follows: its prompt is read, and a reply starts
+// with its first token. A long prompt granted just before the weights' expiry would start after it.
+func (l *Ledger) firstTokenTime(j Job, active int) time.Duration {
+	return startMargin + l.atCurrentPace(l.nominalReadTime(j)+PassTime(l.engine, active))
 }
 
-// spareShare is the part of an engine's places up to which spare jobs get one. With
-// more, steps are longer and little is left for a burst.
+// spareShare is the part of an engine's slots that spare jobs may fill. Beyond it steps are longer, and little
+// is left for a burst.
 const spareShare = 0.85
 
-// limit is how many requests may hold places once a job has one.
-func (l *Ledger) limit(j Job) int {
+// slotLimit is how many requests may hold slots, the job included.
+func (l *Ledger) slotLimit(j Job) int {
 	if l.Without.Has(ablator.SlotLimit) {
 		return math.MaxInt
 	}
@@ -406,27 +397,26 @@
 	return l.engine.Slots
 }
 
-func (l *Ledger) reason() string {
-	if l.closed == "" {
+func (l *Ledger) closeReason() string {
+	if l.closedReason == "" {
 		return "not ready"
 	}
-	return l.closed
+	return l.closedReason
 }
 
 func (l *Ledger) grant(j Job, owner any, now time.Time) {
-	if l.held == nil {
-		l.held = map[string]*place{}
+	if l.reservations == nil {
+		l.reservations = map[string]*reservation{}
 	}
-	l.recent.add(now, l.coldRate)
-	l.held[j.ID] = &place{Job: j, owner: owner, until: now.Add(j.Left + overdue)}
+	l.recentGrants.record(now, l.coldRate)
+	l.reservations[j.ID] = &reservation{Job: j, owner: owner, expiresAt: now.Add(j.Left + reservationGrace)}
 	if l.readUntil.Before(now) {
 		l.readUntil = now
 	}
-	l.readUntil = l.readUntil.Add(l.cost(j))
+	l.readUntil = l.readUntil.Add(l.readDelay(j))
 }
 
-// readingShare is the part of an engine's time that reading takes from writing at
-// a usual load.
+// readingShare is the part of an engine's time that reading takes from generation at a usual load.
 const readingShare = 0.3
 
 // duration is how long a job takes once its prompt is being read.
@@ -436,92 +426,92 @@
 		answer = l.engine.UsualAnswer
 	}
 	write := time.Duration(float64(answer)*float64(StepTime(l.engine, active))/(1-readingShare)) + PassTime(l.engine, active)
-	return l.scaled(l.reading(j) + write)
+	return l.atCurrentPace(l.nominalReadTime(j) + write)
 }
 
-// cost is how much later everything behind a job is read.
-func (l *Ledger) cost(j Job) time.Duration { return l.scaled(l.reading(j)) }
+// readDelay is by how much a job delays the reading of all prompts behind it.
+func (l *Ledger) readDelay(j Job) time.Duration { return l.atCurrentPace(l.nominalReadTime(j)) }
 
-// reading is cost by the engine's figures. While others write, each pass reads one chunk and takes its steps
-// besides.
-func (l *Ledger) reading(j Job) time.Duration {
+// nominalReadTime is readDelay by the engine's figures. While other requests generate, each pass reads one
+// chunk and takes its steps besides.
+func (l *Ledger) nominalReadTime(j Job) time.Duration {
 	read := ReadTime(l.engine, j.Prompt)
-	if writing := len(l.held) + l.foreign; writing > 0 && l.engine.Chunk > 0 {
+	if writing := len(l.reservations) + l.unreserved; writing > 0 && l.engine.Chunk > 0 {
 		passes := float64(j.Prompt) / float64(l.engine.Chunk)
 		read += time.Duration(passes * float64(PassTime(l.engine, min(writing, l.engine.Slots))))
 	}
 	return read
 }
 
-// Started notes a request's first event: its prompt has been read.
+// Started records a request's first event: its prompt has been read.
 func (l *Ledger) Started(id string) {
 	l.mu.Lock()
 	defer l.mu.Unlock()
-	if p := l.held[id]; p != nil && !p.started {
-		p.started = true
-		l.judgeStart(p, l.Clock.Now())
-		l.reckon()
+	if r := l.reservations[id]; r != nil && !r.started {
+		r.started = true
+		l.evaluateStart(r, l.Clock.Now())
+		l.lowerReadUntil()
 	}
 }
 
-// Ended frees a request's place.
+// Ended frees a request's slot.
 func (l *Ledger) Ended(id string) {
 	l.mu.Lock()
 	defer l.mu.Unlock()
-	if l.held[id] != nil {
-		delete(l.held, id)
-		l.reckon()
+	if l.reservations[id] != nil {
+		delete(l.reservations, id)
+		l.lowerReadUntil()
 	}
 }
 
-// Lost notes that an owner's connection is over, and returns how many places were granted over it.
-// Its requests may run on, as when only the connection failed, so the places stay taken until the
-// engine runs fewer requests: freed at once, they would be granted to others that then wait for
-// longer than predicted, and begin after the end of their weights' time.
-func (l *Ledger) Lost(owner any) int {
+// ConnectionLost records that an owner's connection has ended, and returns how many slots were granted over it.
+// Its requests may still run, as when only the connection failed, so the slots stay taken until the engine runs
+// fewer requests: if freed at once, they would go to jobs that wait for longer than predicted and start after
+// their weights' expiry.
+func (l *Ledger) ConnectionLost(owner any) int {
 	l.mu.Lock()
 	defer l.mu.Unlock()
 	orphaned := 0
-	for _, p := range l.held {
-		if p.owner == owner {
-			p.orphaned = true
+	for _, r := range l.reservations {
+		if r.owner == owner {
+			r.orphaned = true
 			orphaned++
 		}
 	}
 	return orphaned
 }
 
-// freeOrphans frees up to so many of the places whose owner's connection is over, those whose
-// callers have the least time left first.
-func (l *Ledger) freeOrphans(most int) {
-	var orphans []*place
-	for _, p := range l.held {
-		if p.orphaned {
-			orphans = append(orphans, p)
+// freeOrphans frees up to limit slots whose owner's connection has ended, those whose callers have the least
+// time left first.
+func (l *Ledger) freeOrphans(limit int) {
+	var orphans []*reservation
+	for _, r := range l.reservations {
+		if r.orphaned {
+			orphans = append(orphans, r)
 		}
 	}
-	if most <= 0 || len(orphans) == 0 {
+	if limit <= 0 || len(orphans) == 0 {
 		return
 	}
-	slices.SortFunc(orphans, func(a, b *place) int {
-		return cmp.Or(a.until.Compare(b.until), strings.Compare(a.ID, b.ID))
+	slices.SortFunc(orphans, func(a, b *reservation) int {
+		return cmp.Or(a.expiresAt.Compare(b.expiresAt), strings.Compare(a.ID, b.ID))
 	})
-	for _, p := range orphans[:min(most, len(orphans))] {
-		delete(l.held, p.ID)
+	for _, r := range orphans[:min(limit, len(orphans))] {
+		delete(l.reservations, r.ID)
 	}
-	l.reckon()
+	l.lowerReadUntil()
 }
 
-// reckon brings readUntil down to what is still unread. Estimates that were too
-// high would otherwise add up and close the engine for no reason.
-func (l *Ledger) reckon() {
+// lowerReadUntil lowers readUntil to what is still unread. Overestimates would otherwise accumulate and close
+// an engine that has capacity.
+func (l *Ledger) lowerReadUntil() {
 	if l.engine == nil {
 		return
 	}
 	unread := l.Clock.Now()
-	for _, p := range l.held {
-		if !p.started {
-			unread = unread.Add(l.cost(p.Job))
+	for _, r := range l.reservations {
+		if !r.started {
+			unread = unread.Add(l.readDelay(r.Job))
 		}
 	}
 	if unread.Before(l.readUntil) {
@@ -529,11 +519,11 @@
 	}
 }
 
-// sweep frees places whose callers can wait no longer.
-func (l *Ledger) sweep(now time.Time) {
-	for id, p := range l.held {
-		if now.After(p.until) {
-			delete(l.held, id)
+// freeExpired frees slots whose callers' time limits have passed.
+func (l *Ledger) freeExpired(now time.Time) {
+	for id, r := range l.reservations {
+		if now.After(r.expiresAt) {
+			delete(l.reservations, id)
 		}
 	}
 }
--- a/internal/scheduler/memory_test.go
+++ b/internal/scheduler/ledger_memory_test.go
@@ -10,10 +10,10 @@
 	"github.com/oriolecroft/oriolecroft/internal/scheduler"
 )
 
-// An agent runs for weeks and grants some ten places a second. It counts what it let through
-// for the limit of cold engines; were that kept for good, its memory would grow by 20 MB a
-// day, until the VM's limit ends it and with it the only exact count of its engine's places.
-func TestLedgerForgetsWhatHasPassed(t *testing.T) {
+// Guards against a ledger that keeps every grant for the limit of cold engines. At ten grants per second its
+// memory would grow by 20 MB a day, until the VM's limit ends the agent and with it the only exact count of its
+// engine's slots.
+func TestLedgerMemoryStaysBounded(t *testing.T) {
 	l, c := openLedger()
 	grant := func(n int) {
 		for range n {
@@ -25,12 +25,12 @@
 	grant(10_000)
 	before := heapBytes()
 	grant(300_000)
-	const mostGrowth = 1 << 20
-	must.Less(t, before+mostGrowth, heapBytes())
+	const maxGrowth = 1 << 20
+	must.Less(t, before+maxGrowth, heapBytes())
 	runtime.KeepAlive(l)
 }
 
-// heapBytes is how many bytes are in use.
+// heapBytes is how many bytes of heap are in use.
 func heapBytes() uint64 {
 	runtime.GC()
 	var m runtime.MemStats
--- a/internal/scheduler/ledger_test.go
+++ b/internal/scheduler/ledger_test.go
@@ -14,7 +14,7 @@
 	"github.com/oriolecroft/oriolecroft/internal/scheduler"
 )
 
-// figures are those of an engine that reads 20 prompt tokens a millisecond.
+// figures are those of an engine that reads 20 prompt tokens per millisecond.
 func figures() *matcher.Engine {
 	return &matcher.Engine{
 		Slots: 16, Stride: 5, Chunk: 2048, Step: 9 * time.Millisecond,
@@ -31,14 +31,13 @@
 	return l, c
 }
 
-func job(id int, patience time.Duration) scheduler.Job {
-	return scheduler.Job{ID: fmt.Sprint(id), Prompt: 1000, Answer: 90, Patience: patience, Left: 6 * time.Second}
+func job(id int, waitLimit time.Duration) scheduler.Job {
+	return scheduler.Job{ID: fmt.Sprint(id), Prompt: 1000, Answer: 90, Patience: waitLimit, Left: 6 * time.Second}
 }
 
-// Nine entries see an idle engine and send a burst there at the same moment. Its
-// prompts are read one after the other, and without a common count the last caller
-// would wait for all the others' reading: here 20 prompts, over a second.
-func TestBurstOfEntriesIsBounded(t *testing.T) {
+// Guards against an unbounded burst: nine entries see an idle engine and send at once. Prompts are read one
+// after the other, so without a common count the last of 20 callers would wait for over a second.
+func TestBurstIsBoundedByWaitLimit(t *testing.T) {
 	l, _ := openLedger()
 	granted := 0
 	for i := range 20 {
@@ -48,13 +47,13 @@
 			must.LessEq(t, 150*time.Millisecond, v.Wait)
 			continue
 		}
-		must.Positive(t, v.Free, must.Sprint("who is refused is told when to come back"))
+		must.Positive(t, v.Free, must.Sprint("a refusal states when to retry"))
 	}
 	must.Between(t, 2, granted, 5)
 }
 
-// A patient request behind the same burst may still wait, as its objective allows.
-func TestPatienceDecides(t *testing.T) {
+// Guards against a fixed bound: a request with a longer wait limit may still wait behind the same burst.
+func TestWaitLimitDecides(t *testing.T) {
 	l, _ := openLedger()
 	for i := range 20 {
 		l.Reserve(job(i, 50*time.Millisecond), 0)
@@ -63,9 +62,8 @@
 	must.True(t, l.Reserve(job(101, 400*time.Millisecond), 0).Granted)
 }
 
-// Estimates of reading are too high at times. If they only ever added up, an idle
-// engine would look busy for good.
-func TestFirstEventsCorrectTheEstimate(t *testing.T) {
+// Guards against overestimated reading times that accumulate until an idle engine looks busy for good.
+func TestFirstEventsCorrectReadEstimate(t *testing.T) {
 	l, _ := openLedger()
 	for i := range 4 {
 		l.Reserve(job(i, time.Second), 0)
@@ -77,17 +75,16 @@
 	must.True(t, l.Reserve(job(10, 0), 0).Granted)
 }
 
-// An entry is killed with requests under way, and nobody tells their end. Their places
-// would be lost for good: after a while the engine would take nothing. They come back once the
-// engine no longer runs them.
-func TestPlacesOfLostEntriesComeBack(t *testing.T) {
+// Guards against losing the slots of a killed entry, whose requests' ends are never reported: the engine would
+// in the end accept nothing. The slots are free once the engine no longer runs the requests.
+func TestSlotsOfLostEntriesAreFreed(t *testing.T) {
 	l, c := openLedger()
 	for i := range 16 {
 		l.Reserve(job(i, time.Hour), "killed")
 		l.Started(fmt.Sprint(i))
 	}
 	must.False(t, l.Reserve(job(20, time.Hour), "other").Granted)
-	l.Lost("killed")
+	l.ConnectionLost("killed")
 	l.Observe(15, 1)
 	must.True(t, l.Reserve(job(21, time.Hour), "other").Granted)
 	must.False(t, l.Reserve(job(22, time.Hour), "other").Granted)
@@ -102,9 +99,9 @@
 	must.True(t, l.Reserve(job(200, time.Hour), "other").Granted)
 }
 
-// An agent restarts beside a busy engine and knows of no request. Counting from zero it
-// would grant all places a second time.
-func TestEngineCountsWhatTheLedgerDoesNotKnow(t *testing.T) {
+// Guards against an agent that restarts beside a busy engine, counts from zero and grants all slots a second
+// time.
+func TestUnreservedRequestsTakeSlots(t *testing.T) {
 	l, _ := openLedger()
 	l.Observe(16, 1)
 	must.False(t, l.Reserve(job(1, time.Hour), 0).Granted)
@@ -112,9 +109,9 @@
 	must.True(t, l.Reserve(job(2, time.Hour), 0).Granted)
 }
 
-// New weights are loaded only once all requests have ended. With a long one let in
-// just before, the engine would stand idle for seconds, and all engines do so in turn.
-func TestLongRequestsStayOutBeforeASwitch(t *testing.T) {
+// Guards against an engine that idles for seconds before a load. New weights are loaded only once all requests
+// have ended, so long ones must not be granted just before; all engines load in turn.
+func TestLongRequestsAreRefusedBeforeLoad(t *testing.T) {
 	l, c := openLedger()
 	l.OpenUntil(c.Now().Add(time.Second))
 	long := scheduler.Job{ID: "long", Prompt: 1000, Answer: 250, Patience: time.Second, Left: 6 * time.Second}
@@ -125,11 +122,11 @@
 	must.True(t, l.Reserve(long, 0).Granted)
 }
 
-// A failure domain returns with cold engines. They bear a few requests a second and
-// fall over under more; small prompts would let in far more than that.
-func TestColdEngineGetsNoMoreThanItBears(t *testing.T) {
+// Guards against a full load at the cold engines of a returned failure domain: they can take a few requests per
+// second and crash under more, which small prompts would exceed by far.
+func TestColdEngineIsRateLimited(t *testing.T) {
 	l, c := openLedger()
-	l.Cold(5, c.Now().Add(10*time.Second))
+	l.SetColdLimit(5, c.Now().Add(10*time.Second))
 	must.False(t, l.Reserve(scheduler.Job{ID: "early", Prompt: 10, Answer: 1, Patience: time.Hour, Left: time.Second}, 0).Granted)
 	c.Step(time.Second)
 	granted := 0
@@ -149,9 +146,8 @@
 	}
 }
 
-// The answer to a question was lost and the entry asks again; two places must not be
-// taken for one request.
-func TestAskingTwiceTakesOnePlace(t *testing.T) {
+// Guards against two slots for one request whose first reply was lost and that asks again.
+func TestRepeatedReservationTakesOneSlot(t *testing.T) {
 	l, _ := openLedger()
 	first := l.Reserve(job(1, time.Second), 0)
 	second := l.Reserve(job(1, time.Second), 0)
@@ -159,15 +155,15 @@
 	must.Eq(t, first.Active, second.Active)
 }
 
-// Guards against slots of running requests that are granted again when the connection over which
-// they were reserved ends.
+// Guards against granting the slots of running requests again when the connection over which they were reserved
+// ends.
 func TestSlotsOutliveTheirConnection(t *testing.T) {
 	l, _ := openLedger()
 	for i := range 16 {
 		must.True(t, l.Reserve(job(i, time.Hour), "cut").Granted)
 		l.Started(fmt.Sprint(i))
 	}
-	l.Lost("cut")
+	l.ConnectionLost("cut")
 	must.False(t, l.Reserve(job(20, time.Hour), "other").Granted)
 	l.Observe(16, 1)
 	must.False(t, l.Reserve(job(21, time.Hour), "other").Granted)
@@ -176,12 +172,12 @@
 	must.True(t, l.Reserve(job(22, time.Hour), "other").Granted)
 }
 
-// Guards against more requests at an engine than it runs, and against an idle engine that takes
-// none, whatever entries ask, report and lose.
+// Guards against more requests than an engine has slots, and against an idle engine that accepts none, for any
+// sequence of reservations, reports and lost connections.
 func TestLedgerAgainstOracle(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
 		l, c := openLedger()
-		// running is what the engine runs; stale that the ledger can't know some of it ended.
+		// running is what the engine runs; stale reports that some of it ended without a report.
 		running, stale := map[string]int{}, false
 		next := 0
 		t.Repeat(map[string]func(*rapid.T){
@@ -191,13 +187,13 @@
 				next++
 				v := l.Reserve(j, owner)
 				if len(running) == 0 && !stale && !v.Granted {
-					t.Fatalf("an empty engine refuses: %+v", v)
+					t.Fatalf("idle engine refuses: %+v", v)
 				}
 				if v.Granted {
 					running[j.ID] = owner
 				}
 				if len(running) > figures().Slots {
-					t.Fatalf("%d requests hold places", len(running))
+					t.Fatalf("%d requests hold slots", len(running))
 				}
 			},
 			"observe": func(*rapid.T) {
@@ -219,7 +215,7 @@
 			"lose": func(t *rapid.T) {
 				owner := rapid.IntRange(0, 3).Draw(t, "owner")
 				killed := rapid.Bool().Draw(t, "killed")
-				l.Lost(owner)
+				l.ConnectionLost(owner)
 				for id, o := range running {
 					if o == owner && killed {
 						delete(running, id)
@@ -244,80 +240,77 @@
 	return &scheduler.Chooser{Clock: c, Random: rand.New(rand.NewPCG(1, 2))}, c
 }
 
-var three = []scheduler.Candidate{
+var threeCandidates = []scheduler.Candidate{
 	{ID: "near", Distance: scheduler.SameDomain, Slots: 16},
 	{ID: "busy", Distance: scheduler.SameDomain, Slots: 16},
 	{ID: "far", Distance: scheduler.OtherRegion, Slots: 16},
 }
 
-// Requests that cross a region for no reason take the narrow link from weights and
+// Guards against requests that cross regions needlessly: they take the narrow link's capacity from weights and
 // other replies.
-func TestNearEnginesComeFirst(t *testing.T) {
+func TestNearEnginesRankFirst(t *testing.T) {
 	c, _ := newChooser()
-	c.Heard("busy", 200*time.Millisecond, 1)
+	c.RecordLoad("busy", 200*time.Millisecond, 1)
 	for range 50 {
-		got := c.Order(three)
+		got := c.Order(threeCandidates)
 		must.Eq(t, []string{"near", "far", "busy"}, []string{got[0].ID, got[1].ID, got[2].ID})
 	}
 }
 
-// Six empty engines are added at once. Nothing was heard of them yet, so each looks
-// better than those that serve; asked first, they refuse one after the other until the
-// caller has waited long enough and is refused, though others had room.
-func TestEmptyEnginesComeLast(t *testing.T) {
+// Guards against ranking added engines without weights first: no load of theirs is known, and six of them would
+// refuse in turn until the caller's time is up, although others had free slots.
+func TestEmptyEnginesRankLast(t *testing.T) {
 	c, _ := newChooser()
-	c.Heard("busy", 100*time.Millisecond, 0.5)
-	added := []scheduler.Candidate{{ID: "new", Distance: scheduler.SameDomain, Slots: 16, Empty: true}, three[1]}
+	c.RecordLoad("busy", 100*time.Millisecond, 0.5)
+	added := []scheduler.Candidate{{ID: "new", Distance: scheduler.SameDomain, Slots: 16, Empty: true}, threeCandidates[1]}
 	must.Eq(t, "busy", c.Order(added)[0].ID)
 }
 
-// What was heard of an engine is old by the next request. If it were taken as it was,
-// an engine that was busy once would be left alone for good.
-func TestOldLoadFades(t *testing.T) {
+// Guards against using a recorded load unchanged: an engine that was busy once would never be asked again.
+func TestRecordedLoadDecays(t *testing.T) {
 	c, now := newChooser()
-	c.Heard("near", 300*time.Millisecond, 0)
-	must.Eq(t, "busy", c.Order(three)[0].ID)
+	c.RecordLoad("near", 300*time.Millisecond, 0)
+	must.Eq(t, "busy", c.Order(threeCandidates)[0].ID)
 	now.Step(time.Second)
 	first := map[string]int{}
 	for range 200 {
-		first[c.Order(three)[0].ID]++
+		first[c.Order(threeCandidates)[0].ID]++
 	}
 	must.Greater(t, 50, first["near"])
 }
 
-// An upstream that does not answer would be tried by each request, and each would
-// wait for it. It comes last until its time is over, and first again afterwards.
-func TestDeadUpstreamsComeLast(t *testing.T) {
+// Guards against trying an unresponsive upstream with each request, and against not using it once the avoidance
+// has ended.
+func TestDeadUpstreamsRankLast(t *testing.T) {
 	c, now := newChooser()
-	c.Failed("near", true)
+	c.RecordFailure("near", true)
 	must.True(t, c.Avoided("near"))
-	must.Eq(t, "near", c.Order(three)[2].ID)
+	must.Eq(t, "near", c.Order(threeCandidates)[2].ID)
 	now.Step(time.Second)
 	must.False(t, c.Avoided("near"))
-	c.Served("near")
-	c.Heard("busy", time.Second, 1)
-	must.Eq(t, "near", c.Order(three[:2])[0].ID)
+	c.RecordSuccess("near")
+	c.RecordLoad("busy", time.Second, 1)
+	must.Eq(t, "near", c.Order(threeCandidates[:2])[0].ID)
 }
 
-// A grey engine answers its checks and fails part of its requests.
-func TestGreyUpstreamsAreLeftAlone(t *testing.T) {
+// Guards against using an upstream that answers its health checks but fails part of its requests.
+func TestPartlyFailingUpstreamsRankLower(t *testing.T) {
 	c, _ := newChooser()
 	for range 10 {
-		c.Failed("near", false)
+		c.RecordFailure("near", false)
 	}
-	must.Eq(t, "busy", c.Order(three)[0].ID)
+	must.Eq(t, "busy", c.Order(threeCandidates)[0].ID)
 }
 
-// TestFigures holds the model of reading and writing against times that were seen:
-// a lone prompt of 1,000 tokens is read in 50.5 ms, and a pass of five steps with
-// sixteen writers takes 49 ms.
-func TestFigures(t *testing.T) {
+// Compares the model of reading and generation with measured times: a lone prompt of 1,000 tokens is read in
+// 50.5 ms, and a pass of five steps with sixteen streams takes 49 ms.
+func TestTimeModelMatchesMeasurements(t *testing.T) {
 	must.Eq(t, 50500*time.Microsecond, scheduler.ReadTime(figures(), 1000))
 	pass := scheduler.PassTime(figures(), 16)
 	must.Between(t, 46*time.Millisecond, pass, 52*time.Millisecond)
 }
 
-// Guards against callers that are refused although their engine's agent knows when it opens.
+// Guards against refusing callers although their engine's agent can state when it opens.
 func TestClosedEngineStatesWhenItOpens(t *testing.T) {
 	l, c := openLedger()
 	l.CloseUntil("no weights", c.Now().Add(300*time.Millisecond))
--- a/internal/scheduler/late_begin_test.go
+++ b/internal/scheduler/lost_connection_test.go
@@ -13,7 +13,7 @@
 	"github.com/oriolecroft/oriolecroft/internal/scheduler"
 )
 
-// fleetFigures are those of the engines at which a request began 1.08 s after it had reached one.
+// fleetFigures are those of the engines at which a request started 1.08 s after its arrival.
 func fleetFigures() *matcher.Engine {
 	return &matcher.Engine{
 		Slots: 12, Stride: 5, Chunk: 2048, Step: 8870 * time.Microsecond,
@@ -23,9 +23,9 @@
 	}
 }
 
-// Guards against granting the slots of connections that ended while their requests run on: the last
-// request to get one waits at the engine until another ends, and begins after its weights' time.
-func TestLostConnectionsDelayNobodysBegin(t *testing.T) {
+// Guards against granting the slots of ended connections while their requests run on: the last request granted
+// waits at the engine until another ends, and starts after its weights have expired.
+func TestLostConnectionsDelayNoStart(t *testing.T) {
 	c := clocktest.NewFakeClock(time.Unix(1000, 0))
 	l := &scheduler.Ledger{Clock: c}
 	l.Open(fleetFigures())
@@ -37,13 +37,13 @@
 		}
 		return v.Wait, v.Granted
 	}
-	began := map[string]time.Time{}
-	// play has the engine work until a moment.
-	play := func(until time.Time) {
+	startedAt := map[string]time.Time{}
+	// runUntil runs the engine until a given time.
+	runUntil := func(until time.Time) {
 		for next, busy := e.Next(); busy && !next.After(until); next, busy = e.Next() {
 			for _, v := range e.Finish() {
 				if v.First {
-					began[v.ID] = v.At
+					startedAt[v.ID] = v.At
 					l.Started(v.ID)
 				}
 				if v.Last {
@@ -56,22 +56,22 @@
 	for i := range fleetFigures().Slots {
 		_, granted := send(fmt.Sprint("old", i), i%6)
 		must.True(t, granted)
-		play(c.Now().Add(60 * time.Millisecond))
+		runUntil(c.Now().Add(60 * time.Millisecond))
 	}
 	for lost := range 3 {
-		l.Lost(lost)
+		l.ConnectionLost(lost)
 	}
 	for i := range 8 {
-		at := c.Now()
+		sentAt := c.Now()
 		id := fmt.Sprint("new", i)
 		wait, granted := send(id, 6)
 		if !granted {
 			break
 		}
 		t.Cleanup(func() {
-			took := began[id].Sub(at)
+			took := startedAt[id].Sub(sentAt)
 			must.LessEq(t, wait+startMargin, took, must.Sprintf("%s was granted a slot with a wait of %v", id, wait))
 		})
 	}
-	play(c.Now().Add(time.Minute))
+	runUntil(c.Now().Add(time.Minute))
 }
--- a/internal/scheduler/priority_test.go
+++ b/internal/scheduler/priority_test.go
@@ -13,57 +13,57 @@
 	"github.com/oriolecroft/oriolecroft/internal/scheduler"
 )
 
-// byPriority are the mechanisms that act by priority.
-var byPriority = ablator.Set{ablator.PriorityReservation, ablator.UrgentQueue, ablator.WorkspaceShare}
+// priorityMechanisms are the mechanisms that act by priority.
+var priorityMechanisms = ablator.Set{ablator.PriorityReservation, ablator.UrgentQueue, ablator.WorkspaceShare}
 
-func prioritized(id, priority int, workspace string) scheduler.Job {
+func prioritizedJob(id, priority int, workspace string) scheduler.Job {
 	j := job(id, 160*time.Millisecond)
 	j.Prompt, j.Priority, j.Workspace = 100, &priority, workspace
 	return j
 }
 
-// fill takes so many slots by jobs of a priority whose prompts are read.
-func fill(t *testing.T, l *scheduler.Ledger, slots, priority int, workspace string) {
+// fillSlots takes slots with jobs of a priority whose prompts have been read.
+func fillSlots(t *testing.T, l *scheduler.Ledger, slots, priority int, workspace string) {
 	t.Helper()
 	for i := range slots {
-		j := prioritized(1000*(priority+1)+i, priority, workspace)
+		j := prioritizedJob(1000*(priority+1)+i, priority, workspace)
 		j.ID = workspace + j.ID
 		must.True(t, l.Reserve(j, 0).Granted)
 		l.Started(j.ID)
 	}
 }
 
-// live has urgent jobs come for the first time at some engine, and one that found others full.
-func live(l *scheduler.Ledger, jobs int) {
+// sendLiveJobs sends urgent jobs that ask their first engine, and one that found others full.
+func sendLiveJobs(l *scheduler.Ledger, jobs int) {
 	for i := range jobs {
-		j := prioritized(9000+i, 0, "")
+		j := prioritizedJob(9000+i, 0, "")
 		l.Reserve(j, 0)
 		l.Ended(j.ID)
 	}
-	j := prioritized(9999, 0, "")
+	j := prioritizedJob(9999, 0, "")
 	j.Asked, j.Refusals = 3, 3
 	l.Reserve(j, 0)
 	l.Ended(j.ID)
 }
 
-// Guards against decisions that change where all requests are equally urgent: random jobs get the same verdicts
+// Guards against different decisions where all requests are equally urgent: random jobs get the same decisions
 // from a ledger without the mechanisms as from those with them, whether or not they state their priority.
-func TestEqualPrioritiesAreServedAsBefore(t *testing.T) {
+func TestEqualPrioritiesChangeNothing(t *testing.T) {
 	for seed := range uint64(40) {
 		random := rand.New(rand.NewPCG(seed, 1))
 		c := clocktest.NewFakeClock(time.Unix(1000, 0))
-		before := &scheduler.Ledger{Clock: c, Without: byPriority}
+		baseline := &scheduler.Ledger{Clock: c, Without: priorityMechanisms}
 		plain, equal := &scheduler.Ledger{Clock: c}, &scheduler.Ledger{Clock: c}
-		all := []*scheduler.Ledger{before, plain, equal}
-		for _, l := range all {
+		ledgers := []*scheduler.Ledger{baseline, plain, equal}
+		for _, l := range ledgers {
 			l.Open(figures())
 		}
 		for i := range 1500 {
 			c.Step(time.Duration(random.Int64N(int64(20 * time.Millisecond))))
 			known := fmt.Sprint(i - random.IntN(60))
-			what := random.IntN(4)
-			for _, l := range all {
-				switch what {
+			action := random.IntN(4)
+			for _, l := range ledgers {
+				switch action {
 				case 0:
 					l.Ended(known)
 				case 1:
@@ -75,22 +75,22 @@
 			stated := j
 			priority := 2
 			stated.Priority, stated.Workspace, stated.Refusals, stated.Asked = &priority, "abc"[random.IntN(3):][:1], random.IntN(4), random.IntN(2)
-			want := before.Reserve(j, 0)
+			want := baseline.Reserve(j, 0)
 			must.Eq(t, want, plain.Reserve(j, 0))
 			must.Eq(t, want, equal.Reserve(stated, 0))
 		}
 	}
 }
 
-// Guards against batch requests that take the slots of live ones: during a shortage as many stay free as live
-// requests are expected, and less is kept for few than for many.
+// Guards against batch requests that take the slots of live ones: during a shortage as many slots are kept free
+// as live requests are expected, fewer for few than for many.
 func TestSlotsAreKeptForTheExpectedDemand(t *testing.T) {
 	granted := func(liveJobs int) int {
 		l, _ := openLedger()
-		live(l, liveJobs)
+		sendLiveJobs(l, liveJobs)
 		n := 0
 		for i := range figures().Slots {
-			j := prioritized(i, 2, "")
+			j := prioritizedJob(i, 2, "")
 			v := l.Reserve(j, 0)
 			if !v.Granted {
 				must.Eq(t, scheduler.KeptForUrgent, v.Kept)
@@ -100,7 +100,7 @@
 			l.Started(j.ID)
 			n++
 		}
-		must.True(t, l.Reserve(prioritized(5000, 0, ""), 0).Granted, must.Sprint("an urgent request gets what is kept"))
+		must.True(t, l.Reserve(prioritizedJob(5000, 0, ""), 0).Granted, must.Sprint("an urgent request gets a kept slot"))
 		return n
 	}
 	must.Eq(t, figures().Slots, granted(0))
@@ -109,81 +109,82 @@
 	must.Less(t, few, many)
 }
 
-// Guards against slots that stand empty at an engine with room, where urgent requests all found slots, or where an
-// agent that just started knows no demand.
+// Guards against slots kept empty where urgent requests all found slots, or where an agent that just started
+// has measured no demand.
 func TestNothingIsKeptWithoutAShortage(t *testing.T) {
 	l, _ := openLedger()
-	live(l, 4)
-	fill(t, l, 12, 2, "")
+	sendLiveJobs(l, 4)
+	fillSlots(t, l, 12, 2, "")
 
 	l, _ = openLedger()
-	must.True(t, l.Reserve(prioritized(0, 0, ""), 0).Granted)
+	must.True(t, l.Reserve(prioritizedJob(0, 0, ""), 0).Granted)
 	l.Ended("0")
-	fill(t, l, figures().Slots, 2, "")
+	fillSlots(t, l, figures().Slots, 2, "")
 }
 
-// Guards against slots that are kept for urgent requests that no longer come.
-func TestDemandThatEbbsGivesSlotsBack(t *testing.T) {
+// Guards against slots that are kept for urgent requests after these have stopped.
+func TestKeptSlotsAreReleasedWithoutDemand(t *testing.T) {
 	l, c := openLedger()
-	live(l, 30)
-	fill(t, l, 9, 2, "")
-	must.Eq(t, scheduler.KeptForUrgent, l.Reserve(prioritized(0, 2, ""), 0).Kept)
+	sendLiveJobs(l, 30)
+	fillSlots(t, l, 9, 2, "")
+	must.Eq(t, scheduler.KeptForUrgent, l.Reserve(prioritizedJob(0, 2, ""), 0).Kept)
 	c.Step(500 * time.Millisecond)
-	must.True(t, l.Reserve(prioritized(0, 2, ""), 0).Granted)
+	must.True(t, l.Reserve(prioritizedJob(0, 2, ""), 0).Granted)
 }
 
-// Guards against a long prompt that has urgent requests wait for longer than they may: its reading is counted
-// against the smallest budget that they stated.
+// Guards against a long prompt that delays urgent requests beyond their wait limits: its reading counts against
+// the smallest budget that they stated.
 func TestLongPromptsDoNotDelayUrgentRequests(t *testing.T) {
 	l, _ := openLedger()
-	live(l, 0)
-	long := prioritized(0, 2, "")
+	sendLiveJobs(l, 0)
+	long := prioritizedJob(0, 2, "")
 	long.Prompt, long.Patience = 4000, 300*time.Millisecond
 	must.Eq(t, scheduler.KeptForUrgent, l.Reserve(long, 0).Kept)
-	must.True(t, l.Reserve(prioritized(1, 2, ""), 0).Granted)
+	must.True(t, l.Reserve(prioritizedJob(1, 2, ""), 0).Granted)
 }
 
-// Guards against live requests that are refused while batch requests hold all slots, and against a queue at the
-// engine behind requests that are as urgent.
-func TestUrgentRequestWaitsAtTheEngine(t *testing.T) {
+// Guards against refusing live requests while batch requests hold all slots, and against a queue at the engine
+// behind equally urgent requests.
+func TestUrgentRequestQueuesAtFullEngine(t *testing.T) {
 	l, _ := openLedger()
-	fill(t, l, figures().Slots, 2, "")
-	must.False(t, l.Reserve(prioritized(0, 2, ""), 0).Granted)
-	v := l.Reserve(prioritized(1, 0, ""), 0)
+	fillSlots(t, l, figures().Slots, 2, "")
+	must.False(t, l.Reserve(prioritizedJob(0, 2, ""), 0).Granted)
+	v := l.Reserve(prioritizedJob(1, 0, ""), 0)
 	must.True(t, v.Granted)
-	must.GreaterEq(t, scheduler.TurnTime(figures()), v.Wait)
-	must.False(t, l.Reserve(prioritized(2, 0, ""), 0).Granted, must.Sprint("one beyond the batch"))
+	must.GreaterEq(t, scheduler.SlotTurnaround(figures()), v.Wait)
+	must.False(t, l.Reserve(prioritizedJob(2, 0, ""), 0).Granted, must.Sprint("one beyond the batch"))
 
 	for _, e := range []struct {
-		holding  int
-		patience time.Duration
-	}{{0, time.Second}, {2, scheduler.TurnTime(figures()) / 2}} {
+		holding   int
+		waitLimit time.Duration
+	}{{0, time.Second}, {2, scheduler.SlotTurnaround(figures()) / 2}} {
 		l, _ = openLedger()
-		fill(t, l, figures().Slots, e.holding, "")
-		j := prioritized(1, 0, "")
-		j.Patience = e.patience
+		fillSlots(t, l, figures().Slots, e.holding, "")
+		j := prioritizedJob(1, 0, "")
+		j.Patience = e.waitLimit
 		must.False(t, l.Reserve(j, 0).Granted)
 	}
 }
 
-// Guards against a workspace with a third of the demand that finds all slots taken by another one.
+// Guards against one workspace taking all slots from another with a third of the demand.
 func TestWorkspaceWithAThirdOfTheDemandGetsTheLastSlot(t *testing.T) {
 	l, _ := openLedger()
-	fill(t, l, 1, 0, "other")
-	fill(t, l, figures().Slots-1, 2, "large")
-	must.False(t, l.Reserve(prioritized(1, 2, "third"), 0).Granted)
+	fillSlots(t, l, 1, 0, "other")
+	fillSlots(t, l, figures().Slots-1, 2, "large")
+	must.False(t, l.Reserve(prioritizedJob(1, 2, "third"), 0).Granted)
 	l.Ended("large3000")
-	must.Eq(t, scheduler.KeptForWorkspaces, l.Reserve(prioritized(2, 2, "large"), 0).Kept)
-	must.True(t, l.Reserve(prioritized(1, 2, "third"), 0).Granted)
+	must.Eq(t, scheduler.KeptForWorkspaces, l.Reserve(prioritizedJob(2, 2, "large"), 0).Kept)
+	must.True(t, l.Reserve(prioritizedJob(1, 2, "third"), 0).Granted)
 }
 
-// Entries with an older table send no priority for requests to which others give one, or another one. Guards
-// against a ledger that takes those for the most urgent, or doesn't keep slots from them.
-func TestEntriesWithDifferentTables(t *testing.T) {
+// Guards against a ledger that treats requests without a priority as the most urgent, or keeps no slots from
+// them. Entries with an older route table send no priority, or another one, for requests to which others give
+// one.
+func TestEntriesWithDifferentRouteTables(t *testing.T) {
 	l, _ := openLedger()
-	live(l, 20)
-	fill(t, l, 8, 4, "")
-	unstated := prioritized(0, 0, "")
+	sendLiveJobs(l, 20)
+	fillSlots(t, l, 8, 4, "")
+	unstated := prioritizedJob(0, 0, "")
 	unstated.Priority = nil
 	granted := 0
 	for ; l.Reserve(unstated, 0).Granted; granted++ {
@@ -191,24 +192,24 @@
 		unstated.ID += "0"
 	}
 	must.Between(t, 1, granted, figures().Slots-9)
-	must.True(t, l.Reserve(prioritized(1, 0, ""), 0).Granted)
-	must.Eq(t, scheduler.KeptForUrgent, l.Reserve(prioritized(2, 4711, ""), 0).Kept, must.Sprint("counts as the least urgent"))
+	must.True(t, l.Reserve(prioritizedJob(1, 0, ""), 0).Granted)
+	must.Eq(t, scheduler.KeptForUrgent, l.Reserve(prioritizedJob(2, 4711, ""), 0).Kept, must.Sprint("counts as the least urgent"))
 }
 
-// surge has live and batch requests come at several entries, batch at another rate from the fourth second to the
+// surge sends live and batch requests to several entries, batch at another rate from the fourth second to the
 // eleventh.
-func (w *town) surge(live, batch *[]*caller, state bool) {
+func (s *fleetSim) surge(live, batch *[]*caller, state bool) {
 	come := func(into *[]*caller, priority, perSecond int, from, to time.Duration) {
 		for at := from; at < to; at += time.Second / time.Duration(perSecond) {
-			w.after(at, func() {
-				w.next++
-				c := &caller{arrived: w.clock.Now(), job: scheduler.Job{ID: fmt.Sprint(w.next), Prompt: 400 + w.random.IntN(1200),
-					Answer: 40 + w.random.IntN(100), Left: 6 * time.Second}}
+			s.schedule(at, func() {
+				s.lastID++
+				c := &caller{arrived: s.clock.Now(), job: scheduler.Job{ID: fmt.Sprint(s.lastID), Prompt: 400 + s.random.IntN(1200),
+					Answer: 40 + s.random.IntN(100), Left: 6 * time.Second}}
 				if state {
 					c.job.Priority = &priority
 				}
 				*into = append(*into, c)
-				w.try(c)
+				s.try(c)
 			})
 		}
 	}
@@ -228,17 +229,17 @@
 	return float64(n) / float64(len(cs))
 }
 
-// Guards against live requests that are served worse than the batch requests that surge beside them, and against
-// slots that stand empty meanwhile.
+// Guards against live requests that fare worse than a surge of batch requests beside them, and against slots
+// left empty meanwhile.
 func TestBatchSurgeAgainstLiveTraffic(t *testing.T) {
 	share := map[bool][2]float64{}
 	for _, state := range []bool{false, true} {
-		w := newTown(12)
+		s := newFleetSim(12)
 		var live, batch []*caller
-		w.surge(&live, &batch, state)
-		w.run()
+		s.surge(&live, &batch, state)
+		s.run()
 		share[state] = [2]float64{inTimeShare(live), inTimeShare(batch)}
-		t.Logf("priorities stated %v: live %.3f, batch %.3f in time, %d of all", state, share[state][0], share[state][1], w.inTime)
+		t.Logf("priorities stated %v: live %.3f, batch %.3f in time, %d of all", state, share[state][0], share[state][1], s.inTime)
 	}
 	must.Greater(t, share[false][0]+0.05, share[true][0])
 	must.Greater(t, 0.97, share[true][0])
--- a/internal/scheduler/ramp_chooser.go
+++ b/internal/scheduler/ramp_chooser.go
@@ -8,116 +8,116 @@
 )
 
 const (
-	// rampPart is the part of an upstream's slots that entries divide among them while it ramps.
-	rampPart = 0.75
-	// thinnest is the part of its requests for which an entry considers an upstream without an agent
-	// that has just started.
-	thinnest = 0.1
-	// trialShare is the least share at which an ejected upstream's ramp ends: with one, the first
-	// trial would be its whole share.
-	trialShare = 2
-	// trialFailures is after how many failures without a good answer an upstream has to pass a trial
-	// before it gets its share again. After one alone it would mostly be held back for a reply that
-	// was cut, and the others would be late: of tearEverywhere's callers 77 instead of 47.
-	trialFailures = 2
-	// ejected and startedCold are why ramps begin at an entry.
-	ejected     = "back after failures"
-	startedCold = "upstream started"
-	// rampKnown is for how long an agent's word that its engine ramps counts, and warmKnown its word that
-	// it doesn't. Engines that have just started are idle and asked first, so an entry hears more of them
-	// than of the others; the longer time makes up for that.
-	rampKnown = time.Second
-	// failureHalfLife is in which time the cost of earlier failures halves at an upstream without an agent.
-	// Only good answers lowered it before, and one that failed twice got none while the others had room.
-	// At engines it is no gain: tearEverywhere 0.988 instead of 0.990.
+	// rampSlotShare is the part of an upstream's slots that entries divide among them while it ramps.
+	rampSlotShare = 0.75
+	// leastRampShare is the part of its requests for which an entry considers an upstream without an agent that
+	// has just started.
+	leastRampShare = 0.1
+	// minTrialShare is the least share at which an avoided upstream's ramp ends: with one, the first trial
+	// would be its whole share.
+	minTrialShare = 2
+	// failuresBeforeTrial is after how many failures without a good answer an upstream must pass a trial before
+	// it gets its share again. With one, it would mostly be held back for a reply that was cut, and the others
+	// would be late: 77 of tearEverywhere's callers instead of 47.
+	failuresBeforeTrial = 2
+	// reasonEjected and reasonStarted are why an entry starts ramps.
+	reasonEjected = "back after failures"
+	reasonStarted = "upstream started"
+	// rampingValidity is how long an agent's statement that its engine ramps is valid, warmValidity the same
+	// for one that it doesn't. Engines that have just started are idle and asked first, so an entry gets more
+	// such statements; the longer time of the others makes up for that.
+	rampingValidity = time.Second
+	// failureHalfLife is the time in which the cost of earlier failures halves at an upstream without an agent.
+	// Good answers alone can't lower it: an upstream that failed twice gets no requests while others have free
+	// slots. At engines it is no gain: tearEverywhere 0.988 instead of 0.990.
 	failureHalfLife = 2 * time.Second
-	warmKnown       = 3 * time.Second
-	// leastAnswers is of how many engines an entry has to know at least that they ramp before it takes the
-	// whole service to have just started.
-	leastAnswers = 3
+	warmValidity    = 3 * time.Second
+	// minRampingUpstreams is the least number of ramping upstreams from which an entry infers that the whole
+	// service has just started.
+	minRampingUpstreams = 3
 )
 
-// ramped is what an entry knows of an upstream's ramp.
-type ramped struct {
+// upstreamRamp is an entry's state for the ramp of one upstream.
+type upstreamRamp struct {
 	// ramp is this entry's own; nil for none.
 	ramp *Ramp
-	// ejected tells that a ramp begins once the upstream isn't passed over any more, coldKnown that one
-	// has begun for the cold start at coldAt.
-	ejected, coldKnown bool
-	coldAt, ejectedAt  time.Time
+	// ejected reports that a ramp starts once the upstream isn't avoided any more, coldRampStarted that one has
+	// started for the cold start at coldStartedAt.
+	ejected, coldRampStarted bool
+	coldStartedAt, ejectedAt time.Time
 	// failedAt is when an attempt there last failed.
 	failedAt time.Time
-	// rampsUntil is until when the upstream's agent counts as ramping, warmUntil until when as not.
-	rampsUntil, warmUntil time.Time
+	// rampingUntil is until when the upstream's agent counts as ramping, warmUntil until when as not.
+	rampingUntil, warmUntil time.Time
 }
 
-// rampDue tells whether a ramp is under way or has to begin.
-func (s *seen) rampDue(k Candidate, now time.Time) bool {
-	return s.ramp != nil && s.ramp.On() || s.ejected && !now.Before(s.avoidUntil) || s.startsCold(k)
+// rampDue reports whether a ramp is under way or has to start.
+func (u *upstreamState) rampDue(k Candidate, now time.Time) bool {
+	return u.ramp != nil && u.ramp.Active() || u.ejected && !now.Before(u.avoidUntil) || u.coldRampDue(k)
 }
 
-// startsCold tells whether an upstream is cold after a start for which no ramp has begun.
-func (s *seen) startsCold(k Candidate) bool {
-	return k.Cold && (!s.coldKnown || !s.coldAt.Equal(k.StartedAt))
+// coldRampDue reports whether an upstream is cold after a start for which no ramp has started.
+func (u *upstreamState) coldRampDue(k Candidate) bool {
+	return k.Cold && (!u.coldRampStarted || !u.coldStartedAt.Equal(k.StartedAt))
 }
 
-// beginRamp begins a ramp that is due.
-func (c *Chooser) beginRamp(s *seen, k Candidate, now time.Time) {
+// startRamp starts a ramp that is due.
+func (c *Chooser) startRamp(u *upstreamState, k Candidate, now time.Time) {
 	switch {
-	case s.startsCold(k):
-		s.ramp = &Ramp{Least: thinnest}
-		s.ramp.Begin(now, thinnest, startedCold)
-		s.coldAt, s.coldKnown, s.ejected = k.StartedAt, true, false
-	case s.ejected && !now.Before(s.avoidUntil):
-		if s.ramp == nil {
-			s.ramp = &Ramp{}
+	case u.coldRampDue(k):
+		u.ramp = &Ramp{Least: leastRampShare}
+		u.ramp.StartFrom(now, leastRampShare, reasonStarted)
+		u.coldStartedAt, u.coldRampStarted, u.ejected = k.StartedAt, true, false
+	case u.ejected && !now.Before(u.avoidUntil):
+		if u.ramp == nil {
+			u.ramp = &Ramp{}
 		}
-		s.ramp.Least = 1
-		s.ramp.Start(s.ejectedAt, now, 1, ejected)
-		s.ejected = false
+		u.ramp.Least = 1
+		u.ramp.Start(u.ejectedAt, now, 1, reasonEjected)
+		u.ejected = false
 	default:
 		return
 	}
-	logRampBegin(k.ID, s.ramp, c.rampShare(s, k))
+	logRampStart(k.ID, u.ramp, c.rampShare(u, k))
 }
 
 // rampShare is this entry's part of an upstream's slots.
-func (c *Chooser) rampShare(s *seen, k Candidate) float64 {
+func (c *Chooser) rampShare(u *upstreamState, k Candidate) float64 {
 	sharers := 1
 	if c.Sharers != nil {
 		sharers = c.Sharers()
 	}
-	part := float64(Part(k.Slots, rampPart, sharers))
-	if s.ramp.Least >= 1 {
-		return max(trialShare, part)
+	part := float64(EntryQuota(k.Slots, rampSlotShare, sharers))
+	if u.ramp.Least >= 1 {
+		return max(minTrialShare, part)
 	}
 	return part
 }
 
-// holdBack ranks upstreams that have just started or recovered behind the others, beyond the limits of
-// their ramps. None is kept back where most of the candidates ramp, nor where the others are full.
-func (c *Chooser) holdBack(ranked []scored, candidates []Candidate, now time.Time) {
+// rankRampingLast ranks upstreams that have just started or recovered behind the others, beyond the limits of
+// their ramps. It changes nothing where most of the candidates ramp or the others are full.
+func (c *Chooser) rankRampingLast(ranked []rankedCandidate, candidates []Candidate, now time.Time) {
 	if c.Without.Has(ablator.SlowStart) {
 		return
 	}
-	ramping, room := 0, false
+	ramping, othersFree := 0, false
 	var held []int
 	for i := range ranked {
 		k := candidates[ranked[i].index]
-		s := c.seen[k.ID]
+		u := c.upstreams[k.ID]
 		switch {
-		case s.rampDue(k, now) && c.rampOn(s, k, now):
+		case u.rampDue(k, now) && c.updateRamp(u, k, now):
 			ramping++
-			if c.holds(s, now) {
+			if c.rampDefers(u, now) {
 				held = append(held, i)
 				continue
 			}
 			fallthrough
 		default:
-			room = room || !ranked[i].avoided && s.active < 1
+			othersFree = othersFree || !ranked[i].avoided && u.active < 1
 		}
 	}
-	if !room || 2*ramping > len(ranked) {
+	if !othersFree || 2*ramping > len(ranked) {
 		return
 	}
 	for _, i := range held {
@@ -125,100 +125,101 @@
 	}
 }
 
-// rampOn tells whether a ramp is under way, and begins or ends it if that is due.
-func (c *Chooser) rampOn(s *seen, k Candidate, now time.Time) bool {
-	c.beginRamp(s, k, now)
-	if end, ok := s.ramp.End(now, c.rampShare(s, k)); ok {
+// updateRamp starts or ends a ramp that is due, and reports whether one is under way.
+func (c *Chooser) updateRamp(u *upstreamState, k Candidate, now time.Time) bool {
+	c.startRamp(u, k, now)
+	if end, ok := u.ramp.TryEnd(now, c.rampShare(u, k)); ok {
 		logRampEnd(k.ID, end)
 	}
-	return s.ramp.On()
+	return u.ramp.Active()
 }
 
-// holds tells whether a ramp keeps one more request back.
-func (c *Chooser) holds(s *seen, now time.Time) bool {
-	if !s.ramp.Allows(now, s.running) {
+// rampDefers reports whether a ramp keeps one more request back.
+func (c *Chooser) rampDefers(u *upstreamState, now time.Time) bool {
+	if !u.ramp.Allows(now, u.running) {
 		return true
 	}
-	limit := s.ramp.Limit(now)
+	limit := u.ramp.Limit(now)
 	return limit < 1 && c.Random.Float64() >= limit
 }
 
-// Judge notes how long an answer took that was to come within an objective; zero for none. Twice the
-// objective is the bound beyond which an answer counts like a failure.
-func (c *Chooser) Judge(id string, took, objective time.Duration) {
+// RecordLatency records how long an answer took that had an objective; zero for none. An answer beyond twice
+// the objective counts like a failure.
+func (c *Chooser) RecordLatency(id string, took, objective time.Duration) {
 	c.mu.Lock()
 	defer c.mu.Unlock()
-	s := c.seen[id]
-	if s == nil || s.ramp == nil {
+	u := c.upstreams[id]
+	if u == nil || u.ramp == nil {
 		return
 	}
 	switch now := c.Clock.Now(); {
 	case objective == 0 || took <= objective:
-		s.ramp.Good(now)
+		u.ramp.RecordGood(now)
 	case took <= 2*objective:
-		s.ramp.Late(now)
+		u.ramp.RecordLate(now)
 	default:
-		s.ramp.Bad(now)
+		u.ramp.RecordBad(now)
 	}
 }
 
-// failureDecay is what is left of the cost of earlier failures.
-func (c *Chooser) failureDecay(s *seen, k Candidate, now time.Time) float64 {
-	if s.failing == 0 || k.Agent || c.Without.Has(ablator.SlowStart) {
+// failureDecay is the remaining part of the cost of earlier failures.
+func (c *Chooser) failureDecay(u *upstreamState, k Candidate, now time.Time) float64 {
+	if u.failureRate == 0 || k.Agent || c.Without.Has(ablator.SlowStart) {
 		return 1
 	}
-	return math.Exp2(-float64(now.Sub(s.failedAt)) / float64(failureHalfLife))
+	return math.Exp2(-float64(now.Sub(u.failedAt)) / float64(failureHalfLife))
 }
 
-// judgeAlive takes the first sign of life of an ejected upstream for the good answer of its trial. A whole
-// stream takes a second and more.
-func (s *seen) judgeAlive() {
-	if s.ramp != nil && s.ramp.good == 0 {
-		s.ramp.Good(s.alive)
+// completeTrial counts the first progress of an upstream on trial as the trial's good answer, as a whole stream
+// takes a second and more.
+func (u *upstreamState) completeTrial() {
+	if u.ramp != nil && u.ramp.good == 0 {
+		u.ramp.RecordGood(u.progressAt)
 	}
 }
 
-// NoteRamp notes whether the agent beside an upstream said that it ramps, if the upstream is open.
-func (c *Chooser) NoteRamp(id string, ramps, open bool) {
+// RecordRamp records whether the agent beside an upstream stated that it ramps, and whether the upstream is
+// open.
+func (c *Chooser) RecordRamp(id string, ramps, open bool) {
 	c.mu.Lock()
 	defer c.mu.Unlock()
-	s, now := c.of(id), c.Clock.Now()
-	s.rampsUntil, s.warmUntil = time.Time{}, time.Time{}
+	u, now := c.upstream(id), c.Clock.Now()
+	u.rampingUntil, u.warmUntil = time.Time{}, time.Time{}
 	switch {
 	case ramps:
-		s.rampsUntil = now.Add(rampKnown)
-		c.rampsHeardUntil = s.rampsUntil
+		u.rampingUntil = now.Add(rampingValidity)
+		c.anyRampingUntil = u.rampingUntil
 	case open:
-		s.warmUntil = now.Add(warmKnown)
+		u.warmUntil = now.Add(warmValidity)
 	}
 }
 
-// MostRamp tells whether most of the upstreams ramp, as far as their agents said lately.
-func (c *Chooser) MostRamp(n int, id func(int) string) bool {
+// MostlyRamping reports whether most of the upstreams ramp, by recent statements of their agents.
+func (c *Chooser) MostlyRamping(n int, id func(int) string) bool {
 	c.mu.Lock()
 	defer c.mu.Unlock()
 	now := c.Clock.Now()
-	if !now.Before(c.rampsHeardUntil) {
+	if !now.Before(c.anyRampingUntil) {
 		return false
 	}
 	ramping, warm := 0, 0
 	for i := range n {
-		s := c.seen[id(i)]
+		u := c.upstreams[id(i)]
 		switch {
-		case s == nil:
-		case now.Before(s.rampsUntil):
+		case u == nil:
+		case now.Before(u.rampingUntil):
 			ramping++
-		case now.Before(s.warmUntil) && !now.Before(s.avoidUntil):
+		case now.Before(u.warmUntil) && !now.Before(u.avoidUntil):
 			warm++
 		}
 	}
-	return ramping > warm && ramping >= min(leastAnswers, (n+1)/2)
+	return ramping > warm && ramping >= min(minRampingUpstreams, (n+1)/2)
 }
 
-// Ramping tells whether an upstream ramps, as far as this entry knows.
+// Ramping reports whether an upstream ramps, by this entry's own ramp or its agent's statement.
 func (c *Chooser) Ramping(id string) bool {
 	c.mu.Lock()
 	defer c.mu.Unlock()
-	s := c.seen[id]
-	return s != nil && (s.ramp != nil && s.ramp.On() || c.Clock.Now().Before(s.rampsUntil))
+	u := c.upstreams[id]
+	return u != nil && (u.ramp != nil && u.ramp.Active() || c.Clock.Now().Before(u.rampingUntil))
 }
--- a/internal/scheduler/ramp_ledger.go
+++ b/internal/scheduler/ramp_ledger.go
@@ -7,66 +7,66 @@
 )
 
 const (
-	// goodMargin is what a first event may take beyond its predicted wait and reading to be good:
-	// nine in ten came within it on a recorded day. Beyond startMargin it is bad.
+	// goodMargin is how long beyond its predicted wait and reading a first event is good: nine in ten were
+	// within it on a recorded day. Beyond startMargin it is bad.
 	goodMargin = 240 * time.Millisecond
-	// rampFailures is after how many failed requests in a row a ramp begins, without a first event
-	// in between. One or two are the lot of a sound engine behind a bad link.
-	rampFailures = 3
-	requestsFail = "requests fail"
+	// failuresBeforeRamp is after how many failed requests in a row, without a first event in between, a ramp
+	// starts. One or two are normal for a healthy engine behind a bad link.
+	failuresBeforeRamp = 3
+	reasonRequestsFail = "requests fail"
 )
 
-// Why agents begin ramps.
+// Reasons why agents start ramps.
 const (
 	EngineStarted  = "engine started"
 	EngineReturned = "engine answers again"
 )
 
-// Beyond is why a job may be let in beyond the limit of a ramp.
-type Beyond string
+// RampBypass is why a job may exceed the limit of a ramp.
+type RampBypass string
 
-// The reasons. Cold bounds and slots hold for all of them.
+// Values of RampBypass. Cold limits and slots apply to all of them.
 const (
 	// WithinRamp jobs keep to the limit.
-	WithinRamp Beyond = ""
-	// OthersFull jobs found no slot at any other engine. They are let in while the engine answers well.
-	OthersFull Beyond = "othersFull"
+	WithinRamp RampBypass = ""
+	// OthersFull jobs found no slot at any other engine. They are admitted while the engine answers well.
+	OthersFull RampBypass = "othersFull"
 	// AllRamping jobs are for a service of which most engines have just started or recovered.
-	AllRamping Beyond = "allRamping"
+	AllRamping RampBypass = "allRamping"
 )
 
-// RampState is the state of a ramp, for those whom it concerns.
+// RampState is the state of a ramp as stated with a decision.
 type RampState struct {
 	Limit int
-	// Held tells that the ramp alone kept the job out.
+	// Held reports that the ramp alone kept the job out.
 	Held bool
-	// Well tells that the engine answers well so far.
+	// Well reports that the engine has answered well so far.
 	Well bool
 }
 
 // ledgerRamp is the ramp of a ledger's engine.
 type ledgerRamp struct {
 	Ramp
-	// pending is why a ramp begins as soon as the engine takes jobs; empty for none.
-	pending string
+	// pendingReason is why a ramp starts as soon as the engine accepts jobs; empty for none.
+	pendingReason string
 	// closedAt is when the engine last closed.
 	closedAt time.Time
-	// failures are those in a row.
-	failures int
+	// consecutiveFailures counts failures in a row.
+	consecutiveFailures int
 }
 
-// BeginRamp has a ramp begin with the next job that the engine may take: it has just started, or
-// answers again after it did not. Time in which it is closed doesn't count.
-func (l *Ledger) BeginRamp(why string) {
+// StartRamp starts a ramp with the next job that the engine may accept, after its start or once it responds
+// again. Time in which it is closed doesn't count.
+func (l *Ledger) StartRamp(why string) {
 	if l.Without.Has(ablator.SlowStart) {
 		return
 	}
 	l.mu.Lock()
 	defer l.mu.Unlock()
-	l.ramp.pending = why
+	l.ramp.pendingReason = why
 }
 
-// failedAt is when the engine closed before it opened at a moment.
+// failedAt is when the engine closed before it opened at now.
 func (r *ledgerRamp) failedAt(now time.Time) time.Time {
 	if r.closedAt.IsZero() {
 		return now
@@ -74,102 +74,102 @@
 	return r.closedAt
 }
 
-// Ramping tells whether a ramp is under way.
+// Ramping reports whether a ramp is under way.
 func (l *Ledger) Ramping() bool {
 	l.mu.Lock()
 	defer l.mu.Unlock()
-	return l.rampOn(l.Clock.Now())
+	return l.updateRamp(l.Clock.Now())
 }
 
-// rampOn tells whether a ramp is under way, and begins or ends it if that is due.
-func (l *Ledger) rampOn(now time.Time) bool {
+// updateRamp starts or ends a ramp that is due, and reports whether one is under way.
+func (l *Ledger) updateRamp(now time.Time) bool {
 	r := &l.ramp
-	if r.pending == "" && !r.On() || l.engine == nil {
+	if r.pendingReason == "" && !r.Active() || l.engine == nil {
 		return false
 	}
 	share := float64(l.engine.Slots)
-	if r.pending != "" && l.closed == "" {
+	if r.pendingReason != "" && l.closedReason == "" {
 		r.Least = 1
-		r.Start(r.failedAt(now), now, share, r.pending)
-		r.pending, r.failures = "", 0
-		logRampBegin("", &r.Ramp, share)
+		r.Start(r.failedAt(now), now, share, r.pendingReason)
+		r.pendingReason, r.consecutiveFailures = "", 0
+		logRampStart("", &r.Ramp, share)
 	}
-	l.judgeOverdue(now)
-	if end, ok := r.End(now, share); ok {
+	l.evaluateOverdue(now)
+	if end, ok := r.TryEnd(now, share); ok {
 		logRampEnd("", end)
 	}
-	return r.On()
+	return r.Active()
 }
 
-// rampHolds tells whether a ramp keeps a job out, and notes that in its verdict.
-func (l *Ledger) rampHolds(j Job, v *Verdict, now time.Time) bool {
-	if !l.rampOn(now) {
+// rampRefuses reports whether a ramp keeps a job out, and records that in the decision.
+func (l *Ledger) rampRefuses(j Job, v *Decision, now time.Time) bool {
+	if !l.updateRamp(now) {
 		return false
 	}
 	r := &l.ramp
-	v.Ramp = &RampState{Limit: int(r.Limit(now)), Well: r.Well()}
-	if r.Allows(now, v.Active) || j.Beyond == AllRamping || j.Beyond == OthersFull && r.Well() && (r.setbacks == 0 || r.Allows(now, v.Active/2)) {
+	v.Ramp = &RampState{Limit: int(r.Limit(now)), Well: r.Healthy()}
+	if r.Allows(now, v.Active) || j.Beyond == AllRamping || j.Beyond == OthersFull && r.Healthy() && (r.setbacks == 0 || r.Allows(now, v.Active/2)) {
 		return false
 	}
-	v.Ramp.Held, v.Free = true, max(leastOpening, r.Wait(now, v.Active))
+	v.Ramp.Held, v.Free = true, max(minOpensIn, r.Wait(now, v.Active))
 	return true
 }
 
-// expect notes by when the first event of a granted job is good.
-func (l *Ledger) expect(p *place, wait time.Duration, active int, now time.Time) {
-	if l.ramp.On() {
-		p.goodUntil = now.Add(wait + l.first(p.Job, active) - startMargin + goodMargin)
+// setGoodBy sets by when the first event of a granted job is good.
+func (l *Ledger) setGoodBy(r *reservation, wait time.Duration, active int, now time.Time) {
+	if l.ramp.Active() {
+		r.goodBy = now.Add(wait + l.firstTokenTime(r.Job, active) - startMargin + goodMargin)
 	}
 }
 
-// judgeStart judges a request's first event.
-func (l *Ledger) judgeStart(p *place, now time.Time) {
-	l.ramp.failures = 0
-	if p.goodUntil.IsZero() || p.judged {
+// evaluateStart evaluates the time of a request's first event.
+func (l *Ledger) evaluateStart(r *reservation, now time.Time) {
+	l.ramp.consecutiveFailures = 0
+	if r.goodBy.IsZero() || r.evaluated {
 		return
 	}
-	p.judged = true
-	switch late := now.Sub(p.goodUntil); {
+	r.evaluated = true
+	switch late := now.Sub(r.goodBy); {
 	case late <= 0:
-		l.ramp.Good(now)
+		l.ramp.RecordGood(now)
 	case late <= startMargin-goodMargin:
-		l.ramp.Late(now)
+		l.ramp.RecordLate(now)
 	default:
-		l.ramp.Bad(now)
+		l.ramp.RecordBad(now)
 	}
 }
 
-// judgeOverdue judges requests whose first event has not come in time.
-func (l *Ledger) judgeOverdue(now time.Time) {
-	for _, p := range l.held {
-		if !p.started && !p.judged && !p.goodUntil.IsZero() && now.Sub(p.goodUntil) > startMargin-goodMargin {
-			p.judged = true
-			l.ramp.Bad(now)
+// evaluateOverdue evaluates requests whose first event is overdue.
+func (l *Ledger) evaluateOverdue(now time.Time) {
+	for _, r := range l.reservations {
+		if !r.started && !r.evaluated && !r.goodBy.IsZero() && now.Sub(r.goodBy) > startMargin-goodMargin {
+			r.evaluated = true
+			l.ramp.RecordBad(now)
 		}
 	}
 }
 
-// Failed notes that the engine refused a request that has a place, or failed to answer it. A refused
-// one alone begins no ramp: engines that switch weights or ask for rest refuse, too.
-func (l *Ledger) Failed(id string, refused bool) {
+// RecordFailure records that the engine refused a request that holds a slot, or failed to answer it. A refusal
+// alone starts no ramp: engines that switch weights or ask for backoff refuse, too.
+func (l *Ledger) RecordFailure(id string, refused bool) {
 	l.mu.Lock()
 	defer l.mu.Unlock()
-	p := l.held[id]
-	if p == nil || l.Without.Has(ablator.SlowStart) {
-		// It was for an earlier start of the engine.
+	r := l.reservations[id]
+	if r == nil || l.Without.Has(ablator.SlowStart) {
+		// The request was for an earlier start of the engine.
 		return
 	}
 	now := l.Clock.Now()
-	if !p.judged || p.started {
-		l.ramp.Bad(now)
+	if !r.evaluated || r.started {
+		l.ramp.RecordBad(now)
 	}
-	p.judged = true
-	if refused || p.started {
+	r.evaluated = true
+	if refused || r.started {
 		return
 	}
-	if l.ramp.failures++; l.ramp.failures >= rampFailures && !l.ramp.On() && l.engine != nil {
+	if l.ramp.consecutiveFailures++; l.ramp.consecutiveFailures >= failuresBeforeRamp && !l.ramp.Active() && l.engine != nil {
 		l.ramp.Least = 1
-		l.ramp.Begin(now, l.ramp.Least, requestsFail)
-		logRampBegin("", &l.ramp.Ramp, float64(l.engine.Slots))
+		l.ramp.StartFrom(now, l.ramp.Least, reasonRequestsFail)
+		logRampStart("", &l.ramp.Ramp, float64(l.engine.Slots))
 	}
 }
--- a/internal/scheduler/ranking.go
+++ b/internal/scheduler/ranking.go
@@ -5,63 +5,62 @@
 	"time"
 )
 
-// Ranking gives candidates one after the other, the most promising first.
-type Ranking struct{ left scores }
+// Ranking returns candidates one at a time, the most promising first.
+type Ranking struct{ remaining candidateHeap }
 
-// Next gives the position of the next candidate in the list that was ranked; false when there
-// is none left.
+// Next returns the index of the next candidate in the ranked list; false if none is left.
 func (r *Ranking) Next() (int, bool) {
-	if len(r.left) == 0 {
+	if len(r.remaining) == 0 {
 		return 0, false
 	}
-	first := r.left[0].index
-	last := len(r.left) - 1
-	r.left[0] = r.left[last]
-	r.left = r.left[:last]
+	first := r.remaining[0].index
+	last := len(r.remaining) - 1
+	r.remaining[0] = r.remaining[last]
+	r.remaining = r.remaining[:last]
 	if last > 0 {
-		heap.Fix(&r.left, 0)
+		heap.Fix(&r.remaining, 0)
 	}
 	return first, true
 }
 
-// Left is how many candidates are still to come.
-func (r *Ranking) Left() int { return len(r.left) }
+// Left is how many candidates remain.
+func (r *Ranking) Left() int { return len(r.remaining) }
 
-// addUnknown has candidates of unknown load cost as much as one of average load.
-func (r *Ranking) addUnknown(mean time.Duration) {
-	for i := range r.left {
-		if r.left[i].unknown {
-			r.left[i].cost += mean
+// setUnknownLoads gives candidates of unknown load the mean cost of the known loads.
+func (r *Ranking) setUnknownLoads(mean time.Duration) {
+	for i := range r.remaining {
+		if r.remaining[i].unknown {
+			r.remaining[i].cost += mean
 		}
 	}
 }
 
-// scored is a candidate's place in the order.
-type scored struct {
+// rankedCandidate is a candidate with its sort key.
+type rankedCandidate struct {
 	index            int
 	avoided, unknown bool
 	cost             time.Duration
 }
 
-// scores are a heap. Those that are avoided come last.
-type scores []scored
+// candidateHeap is a heap by cost, with avoided candidates last.
+type candidateHeap []rankedCandidate
 
-func (s scores) Len() int { return len(s) }
+func (s candidateHeap) Len() int { return len(s) }
 
-func (s scores) Less(i, j int) bool {
+func (s candidateHeap) Less(i, j int) bool {
 	if s[i].avoided != s[j].avoided {
 		return s[j].avoided
 	}
 	return s[i].cost < s[j].cost
 }
 
-func (s scores) Swap(i, j int) { s[i], s[j] = s[j], s[i] }
+func (s candidateHeap) Swap(i, j int) { s[i], s[j] = s[j], s[i] }
 
 // Push implements heap.Interface.
-func (s *scores) Push(x any) { *s = append(*s, x.(scored)) }
+func (s *candidateHeap) Push(x any) { *s = append(*s, x.(rankedCandidate)) }
 
 // Pop implements heap.Interface.
-func (s *scores) Pop() any {
+func (s *candidateHeap) Pop() any {
 	last := len(*s) - 1
 	x := (*s)[last]
 	*s = (*s)[:last]
--- a/internal/scheduler/ranking_test.go
+++ b/internal/scheduler/ranking_test.go
@@ -12,8 +12,8 @@
 	"github.com/oriolecroft/oriolecroft/internal/scheduler"
 )
 
-// A request is refused only after each engine had its turn, the near and idle ones first and
-// those that failed just now last. One left out would stand idle while callers are refused.
+// Guards against leaving an engine out: a request is refused only after each engine has been ranked, near and
+// idle ones first and those that failed recently last. One left out would idle while callers are refused.
 func TestRankingGivesEachOnce(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
 		c, _ := newChooser()
@@ -25,38 +25,38 @@
 			id := fmt.Sprint(i)
 			all = append(all, scheduler.Candidate{ID: id, Slots: 16})
 			waits[i] = time.Duration(random.IntN(20)) * 50 * time.Millisecond
-			c.Heard(id, waits[i], 0)
+			c.RecordLoad(id, waits[i], 0)
 			if random.IntN(4) == 0 {
-				c.Failed(id, true)
+				c.RecordFailure(id, true)
 			}
 		}
-		given := map[int]bool{}
+		ranked := map[int]bool{}
 		avoided, before := false, time.Duration(0)
 		r := c.Rank(all)
 		for i, ok := r.Next(); ok; i, ok = r.Next() {
-			must.False(t, given[i])
-			given[i] = true
-			must.Eq(t, n-len(given), r.Left())
-			switch now := c.Avoided(all[i].ID); {
-			case now && !avoided:
+			must.False(t, ranked[i])
+			ranked[i] = true
+			must.Eq(t, n-len(ranked), r.Left())
+			switch isAvoided := c.Avoided(all[i].ID); {
+			case isAvoided && !avoided:
 				avoided = true
 			default:
-				must.Eq(t, avoided, now)
-				must.LessEq(t, waits[i], before, must.Sprint("further apart than choices are spread"))
+				must.Eq(t, avoided, isAvoided)
+				must.LessEq(t, waits[i], before, must.Sprint("out of order by more than the jitter"))
 			}
 			before = waits[i]
 		}
-		must.MapLen(t, n, given)
+		must.MapLen(t, n, ranked)
 	})
 }
 
-// Guards against passing over a restarted upstream that keeps its ID for failures of its former start.
-func TestRestartedUpstreamStartsAfresh(t *testing.T) {
+// Guards against avoiding a restarted upstream that keeps its ID for failures of its earlier start.
+func TestRestartResetsUpstreamState(t *testing.T) {
 	chooser, _ := newChooser()
 	a, b := scheduler.Candidate{ID: "a", StartedAt: time.UnixMilli(100)}, scheduler.Candidate{ID: "b", StartedAt: time.UnixMilli(100)}
 	chooser.Order([]scheduler.Candidate{a, b})
-	chooser.Failed("a", true)
-	chooser.Full("a", false, time.Minute)
+	chooser.RecordFailure("a", true)
+	chooser.RecordFull("a", false, time.Minute)
 	must.Eq(t, "b", chooser.Order([]scheduler.Candidate{a, b})[0].ID)
 	must.True(t, chooser.Avoided("a"))
 	a.StartedAt = time.UnixMilli(200)
--- a/internal/scheduler/restart_test.go
+++ b/internal/scheduler/restart_test.go
@@ -12,16 +12,15 @@
 	"github.com/oriolecroft/oriolecroft/internal/scheduler"
 )
 
-// An agent is killed while its engine is cold, and comes back within the second. It does not
-// know what the one before it granted, and grants as much once more; together that is more
-// than the engine bears, and all requests that it runs are lost.
-func TestNewAgentSparesAColdEngine(t *testing.T) {
+// Guards against an agent that is killed while its engine is cold and restarts within the second: without a
+// record of earlier grants it would grant as much once more, and the engine would crash with all its requests.
+func TestRestartedAgentKeepsColdLimit(t *testing.T) {
 	c := clocktest.NewFakeClock(time.Unix(1000, 0))
 	const rate = 26
 	var granted []time.Time
 	for agent := range 5 {
 		l := &scheduler.Ledger{Clock: c, ColdFactor: 1.5, ColdSlack: 5}
-		l.Cold(rate, c.Now().Add(10*time.Second))
+		l.SetColdLimit(rate, c.Now().Add(10*time.Second))
 		l.Open(&matcher.Engine{Slots: 100, ReadPerSecond: 20000, Step: time.Millisecond, Chunk: 512, Stride: 4})
 		for i := range 50 * (agent + 1) {
 			id := fmt.Sprintf("%d-%d", agent, i)
@@ -33,5 +32,5 @@
 		}
 	}
 	must.Positive(t, len(granted))
-	must.LessEq(t, int(1.5*rate+5), mostWithin(granted, time.Second))
+	must.LessEq(t, int(1.5*rate+5), maxWithin(granted, time.Second))
 }
--- a/internal/scheduler/limited_test.go
+++ b/internal/scheduler/stated_limit_test.go
@@ -18,23 +18,23 @@
 	return scheduler.RateShare{Rate: rate, Bound: 5*rate + 5, Sharers: sharers}
 }
 
-// Guards against entries whose parts of an upstream's limit add up to more than the upstream
-// takes, at once or in a mean over four seconds.
-func TestPartsOfALimitStayWithinIt(t *testing.T) {
+// Guards against entries whose parts of an upstream's limit add up to more than the limit, in a burst or on
+// average over four seconds.
+func TestEntriesStayWithinStatedLimit(t *testing.T) {
 	const span = 4 * time.Second
 	for _, rate := range []float64{0.5, 1, 1.6, 10, 100} {
 		for _, entries := range []int{1, 6, 9, 46, 300} {
 			t.Run(fmt.Sprint(rate, entries), func(t *testing.T) {
 				clock := clocktest.NewFakeClock(time.Unix(1000, 0))
-				var cs []*scheduler.Chooser
+				var choosers []*scheduler.Chooser
 				for i := range entries {
-					cs = append(cs, &scheduler.Chooser{Clock: clock, Random: rand.New(rand.NewPCG(uint64(i), 9))})
+					choosers = append(choosers, &scheduler.Chooser{Clock: clock, Random: rand.New(rand.NewPCG(uint64(i), 9))})
 				}
 				var passed []time.Time
 				for range 1200 {
-					for _, c := range cs {
+					for _, c := range choosers {
 						for range 3 {
-							if c.LimitPass("u", limitShare(rate, entries)) {
+							if c.AllowLimited("u", limitShare(rate, entries)) {
 								passed = append(passed, clock.Now())
 							}
 						}
@@ -42,15 +42,14 @@
 					clock.Step(25 * time.Millisecond)
 				}
 				must.Positive(t, len(passed))
-				must.LessEq(t, 1.5*rate*span.Seconds()+5, float64(mostWithin(passed, span)))
+				must.LessEq(t, 1.5*rate*span.Seconds()+5, float64(maxWithin(passed, span)))
 			})
 		}
 	}
 }
 
-// Guards against an engine that gets more than the limit that it states, and against a statement
-// that is passed on late and replaces a newer one.
-func TestLedgerKeepsToAStatedLimit(t *testing.T) {
+// Guards against exceeding an engine's stated limit, and against a delayed statement that replaces a newer one.
+func TestLedgerEnforcesStatedLimit(t *testing.T) {
 	clock := clocktest.NewFakeClock(time.Unix(1000, 0))
 	l := &scheduler.Ledger{Clock: clock}
 	l.Open(figures())
@@ -70,12 +69,12 @@
 		return n
 	}
 	must.Eq(t, 40, granted(time.Second))
-	l.Limit(observer.Limit{Rate: 1.5})
+	l.SetStatedLimit(observer.Limit{Rate: 1.5})
 	must.Between(t, 6, granted(4*time.Second), 7)
-	l.Limit(observer.Limit{Age: 5 * time.Second})
+	l.SetStatedLimit(observer.Limit{Age: 5 * time.Second})
 	must.Between(t, 5, granted(4*time.Second), 7)
-	l.Limit(observer.Limit{Rate: 20, Age: time.Second})
+	l.SetStatedLimit(observer.Limit{Rate: 20, Age: time.Second})
 	must.Between(t, 80, granted(4*time.Second), 85)
-	l.Limit(observer.Limit{})
+	l.SetStatedLimit(observer.Limit{})
 	must.Eq(t, 40, granted(time.Second))
 }
--- a/internal/simulator/caller.go
+++ b/internal/simulator/caller.go
@@ -204,9 +204,9 @@
 		}
 		c.deliver()
 		e.relayer.EventPassed(j)
-		e.relayer.Chooser.Alive(h.id)
+		e.relayer.Chooser.RecordProgress(h.id)
 		if got.Last {
-			e.relayer.Chooser.Served(h.id)
+			e.relayer.Chooser.RecordSuccess(h.id)
 			return nil
 		}
 		if err := e.relayer.Move(ctx, j, p); err != nil {
--- a/internal/simulator/host.go
+++ b/internal/simulator/host.go
@@ -114,7 +114,7 @@
 	r := h.engine.Report(h.time.Now())
 	h.noteSlots(r.Running)
 	h.ledger.Observe(r.Running+r.Waiting, h.statedPace())
-	h.ledger.Cold(h.Engine.ColdRate, h.coldUntil)
+	h.ledger.SetColdLimit(h.Engine.ColdRate, h.coldUntil)
 	if h.ordered {
 		h.ledger.Close("switching weights")
 		return
@@ -362,8 +362,8 @@
 	h.startedAt = h.time.Now()
 	h.coldUntil = h.time.Now().Add(h.Engine.Cold)
 	h.ledger.Reset()
-	h.ledger.BeginRamp(scheduler.EngineStarted)
-	h.ledger.Cold(h.Engine.ColdRate, h.coldUntil)
+	h.ledger.StartRamp(scheduler.EngineStarted)
+	h.ledger.SetColdLimit(h.Engine.ColdRate, h.coldUntil)
 	h.noWeights = true
 	h.time.In(h.Engine.Load, func() { h.noWeights = false })
 }
--- a/internal/stager/ramp.go
+++ b/internal/stager/ramp.go
@@ -25,9 +25,9 @@
 	switch {
 	case r.StartedAt.Equal(s.engineStart):
 		if !silentSince.IsZero() && s.Clock.Since(silentSince) >= returnedAfter {
-			s.Ledger.BeginRamp(scheduler.EngineReturned)
+			s.Ledger.StartRamp(scheduler.EngineReturned)
 		}
 	case !s.engineStart.IsZero() || len(r.Models) == 0:
-		s.Ledger.BeginRamp(scheduler.EngineStarted)
+		s.Ledger.StartRamp(scheduler.EngineStarted)
 	}
 }
--- a/internal/stager/stager.go
+++ b/internal/stager/stager.go
@@ -317,7 +317,7 @@
 	if s.untold {
 		until = s.startedAt.Add(coldUntold)
 	}
-	s.Ledger.Cold(view.Table.Services[s.Service].ColdRate, until)
+	s.Ledger.SetColdLimit(view.Table.Services[s.Service].ColdRate, until)
 }
 
 // observe asks the engine and tells the ledger.
@@ -348,7 +348,7 @@
 	s.looked = s.Registrar.View().Revision
 	s.Ledger.Observe(r.Running+r.Waiting, r.Pace)
 	s.Ledger.SetMemory(r.Memory)
-	s.Ledger.Paced(r.Momentary, 0)
+	s.Ledger.RecordPace(r.Momentary, 0)
 	s.mu.Lock()
 	defer s.mu.Unlock()
 	s.report, s.reportedAt = r, asked
