--- a/internal/scheduler/fleet_sim_test.go
+++ b/internal/scheduler/fleet_sim_test.go
@@ -38,11 +38,11 @@
 
 // caller is one request with all its attempts.
 type caller struct {
-	job     scheduler.Job
-	arrived time.Time
-	attempts   int
-	hasty   bool
-	inTime  bool
+	job      scheduler.Job
+	arrived  time.Time
+	attempts int
+	hasty    bool
+	inTime   bool
 }
 
 func newFleetSim(engines int) *fleetSim {
--- a/internal/scheduler/rate_share.go
+++ b/internal/scheduler/rate_share.go
@@ -87,9 +87,9 @@
 // turnAt numbers the turns of one of many entries, and reports whether one is open.
 //
 // With many entries, one request from each exceeds what the upstream can take. It would crash just when all
-// entries have requests for it, as after the return of a failure domain, and restart cold every few seconds. So
-// each entry sends one request per turn, and has one turn per round. Each entry draws a random phase for each
-// upstream, which spreads the turns over the round without coordination.
+// entries have requests for it, as after the return of a failure domain, and be cold again, which shows as a
+// cold start every few seconds. So each entry sends one request per turn, and has one turn per round. Each
+// entry draws a random phase for each upstream, which spreads the turns over the round without coordination.
 func (s RateShare) turnAt(now time.Time, phase float64) (n int64, open bool) {
 	round := int64(float64(time.Second) * float64(s.Sharers) / (turnShare * s.Rate))
 	elapsed := now.UnixNano() + int64(phase*float64(round))
