--- a/cmd/oriolecroft/platform_entry.go
+++ b/cmd/oriolecroft/platform_entry.go
@@ -62,7 +62,7 @@
 	placer := &relayer.Placer{
 		Registrar: d.registrar, Chooser: chooser, Observer: d.observer, Clock: d.clock,
 		FailureDomain: s.FailureDomain, Region: s.Region, Regions: s.Regions,
-		AgentPort: d.internalPort(reservePort), Agents: &messenger.Clients{Dial: dialPeer, Timeout: relayer.AskTimeout}, WeightsBound: s.Bounds.Weights,
+		AgentPort: d.internalPort(reservePort), Agents: &messenger.Clients{Dial: dialPeer, Timeout: relayer.ReserveTimeout}, WeightsBound: s.Bounds.Weights,
 		ColdFactor: s.Bounds.ColdFactor, ColdSlack: s.Bounds.ColdSlack, Metrics: d.metrics,
 	}
 	opened := metrics.GetOrRegisterCounter("upstreamConnections", d.metrics)
@@ -97,7 +97,7 @@
 	}
 	requests.BlamesSynced = evidence.Synced
 	d.parts.Add(evidence)
-	d.tick(pool.Sweep, placer.Sweep, placer.NoteRamps, requests.SweepCuts)
+	d.tick(pool.Sweep, placer.Sweep, placer.UpdateRampGauges, requests.SweepCuts)
 	return e, e.listenAll()
 }
 
--- a/internal/relayer/admit.go
+++ b/internal/relayer/admit.go
@@ -6,8 +6,8 @@
 	"github.com/oriolecroft/oriolecroft/internal/ablator"
 )
 
-// Admit completes a job of which request, route and workspace are known: the service that
-// may serve it, whether its caller was refused before, and its deadline.
+// Admit completes a job whose request, route and workspace are set: with the target service,
+// whether its caller was refused before, its priority and its deadline.
 func (l *Relayer) Admit(j *Job) {
 	l.mu.Lock()
 	j.Service = j.Route.Target(l.Random.Float64())
@@ -15,11 +15,11 @@
 	if v := l.Registrar.View(); v != nil && v.Table != nil {
 		j.setPriority(v.Table.Services[j.Service])
 	}
-	j.Returned = l.returned(j)
-	j.Deadline = j.Arrived.Add(j.limit() - answerMargin)
+	j.Returned = l.isReturned(j)
+	j.Deadline = j.Arrived.Add(j.timeLimit() - answerMargin)
 }
 
-func (j *Job) limit() time.Duration {
+func (j *Job) timeLimit() time.Duration {
 	d := defaultTimeout
 	if j.Route.Timeout > 0 {
 		d = j.Route.Timeout
@@ -30,13 +30,13 @@
 	return d
 }
 
-// leastPatienceShare is below which part of the longest patience seen on a route a
-// caller must have been waiting before: first attempts differ by some 15 in 100.
-const leastPatienceShare = 0.83
+// returnedLimitShare is the part of the longest time limit seen on a route below which a caller
+// must have waited before: the limits of first attempts differ by some 15 in 100.
+const returnedLimitShare = 0.83
 
-// returned tells whether the caller comes back after a refusal: callers tell what is
-// left of their patience.
-func (l *Relayer) returned(j *Job) bool {
+// isReturned reports whether the caller comes back after a refusal: callers state the rest of their
+// time limit.
+func (l *Relayer) isReturned(j *Job) bool {
 	if j.Patience <= 0 {
 		return false
 	}
@@ -47,26 +47,26 @@
 	}
 	most := max(l.longestPatience[j.Route.Name], j.Patience)
 	l.longestPatience[j.Route.Name] = most
-	return float64(j.Patience) < leastPatienceShare*float64(most)
+	return float64(j.Patience) < returnedLimitShare*float64(most)
 }
 
-// mostSpread is over how long callers that were refused together come back at most.
-const mostSpread = time.Second
+// maxRetrySpread bounds the time over which callers that were refused together come back.
+const maxRetrySpread = time.Second
 
-// RetryAfter is the time to come back that a refused caller is told: the estimate, and up to as much
-// again so that those refused together don't come back together.
+// RetryAfter is the time to come back for a refused caller: the estimate plus a random part of up
+// to as much, so that callers refused together don't come back together.
 func (l *Relayer) RetryAfter(j *Job, e *RefusedError) time.Duration {
 	d := e.RetryAfter
 	if d <= 0 {
-		d = busyRetry
+		d = defaultRetryAfter
 	}
 	if l.Placer.Without.Has(ablator.RetryJitter) {
 		return d
 	}
 	l.mu.Lock()
 	defer l.mu.Unlock()
-	if j.standing != nil && e.Blame == nil && !l.Placer.Without.Has(ablator.PriorityRetry) {
-		return j.retryAfter(d, j.Deadline.Sub(l.Clock.Now()), l.Random)
+	if j.priority != nil && e.Blame == nil && !l.Placer.Without.Has(ablator.PriorityRetry) {
+		return j.priorityRetryAfter(d, j.Deadline.Sub(l.Clock.Now()), l.Random)
 	}
-	return d + time.Duration(l.Random.Int64N(int64(min(d, mostSpread))+1))
+	return d + time.Duration(l.Random.Int64N(int64(min(d, maxRetrySpread))+1))
 }
--- a/internal/relayer/answer.go
+++ b/internal/relayer/answer.go
@@ -137,7 +137,7 @@
 		return &RefusedError{Reason: blamed.Error(), RetryAfter: blamed.RetryAfter, Blame: &blamed.Blame}
 	}
 	if !errors.As(err, &refused) {
-		refused = &RefusedError{Reason: err.Error(), RetryAfter: busyRetry}
+		refused = &RefusedError{Reason: err.Error(), RetryAfter: defaultRetryAfter}
 	}
 	if j.rest > 0 {
 		refused.RetryAfter = j.rest
@@ -150,7 +150,7 @@
 	c.count("refused")
 	wait := c.RetryAfter(&c.Job, e)
 	fields := []any{"reason", e.Reason, "retryAfter", wait, "held", c.Clock.Since(c.Arrived), "returned", c.Returned}
-	if e.Kept() {
+	if e.KeptForOthers() {
 		c.count("refused.kept")
 	}
 	fields = append(fields, e.Met.fields()...)
@@ -166,7 +166,7 @@
 }
 
 // fields are those that aren't zero, for the log.
-func (m Met) fields() []any {
+func (m RefusalSummary) fields() []any {
 	var fields []any
 	for _, f := range []struct {
 		name  string
@@ -222,8 +222,8 @@
 	}
 	fields := append([]any{"request", j.ID, "route", route, "workspace", workspace,
 		"table", j.TableVersion, "after", l.Clock.Since(j.Arrived), "sends", j.sends}, more...)
-	if j.standing != nil {
-		fields = append(fields, "priority", j.standing.priority)
+	if j.priority != nil {
+		fields = append(fields, "priority", j.priority.level)
 	}
 	if left, leaves := l.Placer.cutIn(); leaves {
 		fields = append(fields, "cutIn", left)
--- a/internal/relayer/ask.go
+++ b/internal/relayer/ask.go
@@ -17,102 +17,100 @@
 )
 
 const (
-	// AskTimeout bounds a question to an agent. It is several round trips between
-	// regions; an agent that takes longer is of no help with an objective of half a
-	// second.
-	AskTimeout = 40 * time.Millisecond
-	// unaskedShare is the part of an engine's places that entries divide among them
-	// while its agent is silent. The rest is a margin for disagreement.
-	unaskedShare = 0.75
+	// ReserveTimeout bounds a reservation at an agent. It covers several round trips between
+	// regions; a slower agent can't help with an objective of 0.5 s.
+	ReserveTimeout = 40 * time.Millisecond
+	// ungrantedShare is the part of an engine's slots that entries divide while its agent is
+	// unresponsive. The rest is a margin for differing views.
+	ungrantedShare = 0.75
 )
 
-// ask asks the agent beside an engine for a place, for a request that is already counted
-// there. The verdict is nil when the agent did not answer; the place then is a share of what
-// the engine bears.
-func (p *Placer) ask(ctx context.Context, view *registrar.View, u *registrar.UpstreamView, j *Job, budget time.Duration) (*Place, *messenger.Verdict) {
-	if !p.Chooser.MayAsk(u.ID, j.metSilence) {
-		return p.unasked(view, u, j), nil
+// reserve asks the agent beside an engine for a slot, for a request that is already counted there.
+// The verdict is nil if the agent didn't answer; the request then may get a slot without a grant.
+func (p *Placer) reserve(ctx context.Context, view *registrar.View, u *registrar.UpstreamView, j *Job, budget time.Duration) (*Placement, *messenger.Verdict) {
+	if !p.Chooser.MayAsk(u.ID, j.agentUnresponsive) {
+		return p.placeUngranted(view, u, j), nil
 	}
 	asked := p.Registrar.Clock.Now()
 	e := view.Table.Services[u.Service].Engine
-	prompt, answer, expected := j.size(e)
+	prompt, answer, expected := j.tokenCounts(e)
 	agent := p.agent(netip.AddrPortFrom(u.Address.Addr(), p.AgentPort))
 	q := messenger.Reservation{
 		Request: j.ID, Model: j.Model, StartedAt: u.StartedAt, Prompt: prompt, Answer: p.sizeToReserve(j, answer), Expected: expected,
-		MaxAnswer: j.MaxAnswer, Spare: p.late(j) || j.mover.looking,
+		MaxAnswer: j.MaxAnswer, Spare: p.late(j) || j.mover.placing,
 		PatienceMS: budget.Milliseconds(), LeftMS: j.Deadline.Sub(p.Clock.Now()).Milliseconds(), Limit: p.statedLimit(u),
 	}
 	if j.predicted {
 		q.PauseMS = j.Route.PauseObjective.Milliseconds()
 	}
-	q.BeyondRamp = string(j.beyond)
-	j.reserveBy(&q)
+	q.BeyondRamp = string(j.rampOverride)
+	j.addPriority(&q)
 	v, err := agent.Reserve(ctx, q)
 	if ctx.Err() != nil {
-		// The agent may have granted a place that nobody waits for.
-		agent.Tell(messenger.Progress{Ended: []string{j.ID}})
+		// The agent may have granted a slot that will not be used.
+		agent.SendProgress(messenger.Progress{Ended: []string{j.ID}})
 		return nil, nil
 	}
 	if err != nil {
 		gone := errors.Is(err, syscall.ECONNREFUSED)
 		p.Chooser.Silence(u.ID, gone)
-		j.metSilence = j.metSilence || !gone
+		j.agentUnresponsive = j.agentUnresponsive || !gone
 		klog.InfoS("Agent silent", "upstream", u.ID, "request", j.ID, "gone", gone, "err", err)
 		if !gone {
-			// It may have granted a place since, or do so yet.
-			agent.Tell(messenger.Progress{Ended: []string{j.ID}})
+			// The agent may have granted a slot meanwhile, or may still do so.
+			agent.SendProgress(messenger.Progress{Ended: []string{j.ID}})
 		}
-		return p.unasked(view, u, j), nil
+		return p.placeUngranted(view, u, j), nil
 	}
 	if !v.StartedAt.IsZero() && !v.StartedAt.Equal(u.StartedAt) {
 		p.Chooser.Answered(u.ID)
-		p.noteAnotherEngine(u, asked, &v)
+		p.handleReplacedEngine(u, asked, &v)
 		return nil, &v
 	}
-	p.Chooser.Heard(u.ID, v.Wait(), load(v))
-	p.notePace(u, &v)
+	p.Chooser.Heard(u.ID, v.Wait(), engineLoad(v))
+	p.recordAgentPace(u, &v)
 	p.Chooser.NoteRamp(u.ID, v.Ramp != nil, v.Closed == "")
 	if !v.Granted {
 		return nil, &v
 	}
-	if p.staleGrant(j, &v) {
-		klog.InfoS("Grant on old weights not used", "upstream", u.ID, "request", j.ID, "version", v.Version, "revision", view.Revision)
-		agent.Tell(messenger.Progress{Ended: []string{j.ID}})
+	if p.isStaleGrant(j, &v) {
+		klog.InfoS("Ignored grant on expired weights", "upstream", u.ID, "request", j.ID, "version", v.Version, "revision", view.Revision)
+		agent.SendProgress(messenger.Progress{Ended: []string{j.ID}})
 		v.Granted, v.Closed = false, scheduler.OldWeights
 		return nil, &v
 	}
 	if j.Version != 0 && v.Version != j.Version {
-		agent.Tell(messenger.Progress{Ended: []string{j.ID}})
+		agent.SendProgress(messenger.Progress{Ended: []string{j.ID}})
 		return nil, &v
 	}
-	place := &Place{
-		Upstream: u, Wait: v.Wait(), First: v.Wait() + p.Chooser.Slowed(u.ID, p.work(e, j).First), Ends: p.ends(&v), BeginBy: beginBy(asked, &v), Active: v.Active, Version: j.Version, Held: v.Version,
+	place := &Placement{
+		Upstream: u, Wait: v.Wait(), First: v.Wait() + p.Chooser.Slowed(u.ID, p.workFor(e, j).First), Ends: p.predictedEnd(&v), BeginBy: startDeadline(asked, &v), Active: v.Active, Version: j.Version, Held: v.Version,
 	}
-	place.event = (v.Takes() - place.First) / time.Duration(max(1, answer/max(1, e.Stride)))
-	place.started = func() {
-		agent.Tell(messenger.Progress{Started: []string{j.ID}, Pace: place.statedPace(p.Chooser.Clock.Now())})
+	place.eventInterval = (v.Takes() - place.First) / time.Duration(max(1, answer/max(1, e.Stride)))
+	place.onStarted = func() {
+		agent.SendProgress(messenger.Progress{Started: []string{j.ID}, Pace: place.paceMessage(p.Chooser.Clock.Now())})
 	}
-	place.ended = func() {
+	place.onReleased = func() {
 		p.Chooser.End(u.ID)
-		agent.Tell(place.progressAtEnd(j.ID))
+		agent.SendProgress(place.endProgress(j.ID))
 	}
 	return place, &v
 }
 
-// noteAnotherEngine takes an upstream out of use whose agent stands beside another start of the engine.
-// An agent that last looked at its engine before the record came may not have seen the start that
-// the record states.
-func (p *Placer) noteAnotherEngine(u *registrar.UpstreamView, asked time.Time, v *messenger.Verdict) {
+// handleReplacedEngine marks an upstream as replaced if its agent reports another start of the
+// engine. An agent that last checked its engine before the record arrived may not have seen the
+// start in the record yet.
+func (p *Placer) handleReplacedEngine(u *registrar.UpstreamView, asked time.Time, v *messenger.Verdict) {
 	if v.StartedAt.After(u.StartedAt) || asked.Add(-v.Observed()).After(u.Learned) {
 		p.Registrar.Replaced(u.Upstream)
 	}
 }
 
-// staleGrant tells whether a grant is for weights whose time is over. An agent that stood still or is
-// cut off grants by what it last learned. Without this look at what the entry knows, callers would get
-// replies from stale weights until the news reaches the agent. An entry that has started since the
-// announcement may not know when it was, and leaves it to an agent that states a time.
-func (p *Placer) staleGrant(j *Job, v *messenger.Verdict) bool {
+// isStaleGrant reports whether a grant is for expired weights. An agent that was suspended or is
+// partitioned grants by its last update, so the entry checks its own state, or callers would get
+// replies from stale weights. An entry that started after the announcement may not have its time
+// and relies on an agent that states a time limit.
+func (p *Placer) isStaleGrant(j *Job, v *messenger.Verdict) bool {
 	bound := p.WeightsBound - scheduler.OldWeightsMargin
 	if v.BeginWithinMS > 0 {
 		return p.Registrar.SurelyOutdated(j.Model, v.Version, bound)
@@ -120,25 +118,26 @@
 	return p.Registrar.Outdated(j.Model, v.Version, bound)
 }
 
-// beginBy is until when a granted request may begin, as its agent states; zero for any time. It counts from
-// before the question: the answer may have been on its way for long.
-func beginBy(asked time.Time, v *messenger.Verdict) time.Time {
+// startDeadline is the latest start of a granted request as stated by its agent; zero for any time.
+// It counts from before the reservation was sent, as the reply may have been delayed.
+func startDeadline(asked time.Time, v *messenger.Verdict) time.Time {
 	if v.BeginWithinMS <= 0 {
 		return time.Time{}
 	}
 	return asked.Add(time.Duration(v.BeginWithinMS) * time.Millisecond)
 }
 
-// ends is when the reply to a granted request should end; zero when its agent doesn't tell.
-func (p *Placer) ends(v *messenger.Verdict) time.Time {
+// predictedEnd is when the reply to a granted request should end; zero if its agent doesn't state
+// it.
+func (p *Placer) predictedEnd(v *messenger.Verdict) time.Time {
 	if v.TakesMS <= 0 {
 		return time.Time{}
 	}
 	return p.Clock.Now().Add(v.Takes())
 }
 
-// load is the share of an engine's places that are taken; a closed one has none.
-func load(v messenger.Verdict) float64 {
+// engineLoad is the share of an engine's slots in use; a closed engine has none.
+func engineLoad(v messenger.Verdict) float64 {
 	if v.Slots == 0 {
 		return closedLoad
 	}
@@ -148,37 +147,37 @@
 	return float64(v.Active) / float64(v.Slots)
 }
 
-// closedLoad puts engines that take nothing behind all others.
+// closedLoad ranks engines that take no requests behind all others.
 const closedLoad = 3
 
-// unasked gives a place at an engine whose agent is silent, within this entry's share of what
-// the engine bears, the request itself counted. A cold engine gets none: the agent may well
-// grant others all that it bears, and under more it falls over. Neither does one that shows no
-// life: mostly its whole VM is frozen or cut off. The request would lie there unread until its
-// caller has left, and run in vain when the VM wakes.
-func (p *Placer) unasked(view *registrar.View, u *registrar.UpstreamView, j *Job) *Place {
+// placeUngranted places a request at an engine whose agent is unresponsive, within this entry's
+// share of the engine's slots, the request itself counted. A cold engine gets none: its agent may
+// grant its whole capacity to other entries, and more would crash it. Nor does an engine without
+// other signs of life, as its whole VM is mostly suspended or partitioned: the request would stay
+// unread until its caller has left, and run for nothing after the VM resumes.
+func (p *Placer) placeUngranted(view *registrar.View, u *registrar.UpstreamView, j *Job) *Placement {
 	held := u.Holds(j.Model)
 	if p.Without.Has(ablator.UngrantedSends) || held == 0 || j.Version != 0 && held != j.Version || p.Registrar.Outdated(j.Model, held, p.WeightsBound/2) {
 		return nil
 	}
 	version := j.Version
 	if named, ok := view.Weights(j.Model); ok && held == named.Version {
-		// The record may be out of date; an engine that holds something else refuses.
+		// The record may be outdated; an engine that holds another version refuses.
 		version = held
 	}
-	share := scheduler.Part(u.Slots, unaskedShare, len(view.Members))
-	if p.Chooser.Running(u.ID) > share || p.Chooser.Avoided(u.ID) || !p.Chooser.Lives(u.ID) || u.ColdFor() > 0 || !p.limitPass(view, u) {
+	share := scheduler.Part(u.Slots, ungrantedShare, len(view.Members))
+	if p.Chooser.Running(u.ID) > share || p.Chooser.Avoided(u.ID) || !p.Chooser.Lives(u.ID) || u.ColdFor() > 0 || !p.admitByLimit(view, u) {
 		return nil
 	}
-	return &Place{Upstream: u, Version: version, Held: held, started: func() {}, ended: func() { p.Chooser.End(u.ID) }}
+	return &Placement{Upstream: u, Version: version, Held: held, onStarted: func() {}, onReleased: func() { p.Chooser.End(u.ID) }}
 }
 
-// Agent is the road to the agent beside an engine, for one reservation.
+// Agent is a connection to the agent beside an engine, for one reservation.
 type Agent interface {
 	Reserve(ctx context.Context, r messenger.Reservation) (messenger.Verdict, error)
-	// Tell sends progress without holding up the caller's reply. It may be lost; the engine's
-	// own count then shows what runs.
-	Tell(p messenger.Progress)
+	// SendProgress sends progress without delaying the caller's reply. If it is lost, the engine's
+	// own count corrects the agent's.
+	SendProgress(p messenger.Progress)
 }
 
 func (p *Placer) agent(a netip.AddrPort) Agent {
@@ -189,8 +188,8 @@
 }
 
 // networkAgent is an agent on its own VM. The number distinguishes this reservation from others for
-// the same request: its progress may arrive after the next one is granted, if the connection was
-// replaced meanwhile. It is random, as a caller may retry through another entry.
+// the same request: if the connection was replaced, its progress may arrive after the next
+// reservation is granted. It is random, as a caller may retry through another entry.
 type networkAgent struct {
 	*messenger.Client
 	number uint32
@@ -202,13 +201,13 @@
 	return a.Client.Reserve(ctx, r)
 }
 
-// Tell implements Agent.
-func (a networkAgent) Tell(p messenger.Progress) {
+// SendProgress implements Agent.
+func (a networkAgent) SendProgress(p messenger.Progress) {
 	p.Started, p.Ended = a.numbered(p.Started), a.numbered(p.Ended)
 	p.Failed, p.Refused = a.numbered(p.Failed), a.numbered(p.Refused)
 	go func() {
 		if err := a.Client.Tell(context.Background(), p); err != nil {
-			klog.V(1).InfoS("Progress not told", "agent", a.Address, "err", err)
+			klog.V(1).InfoS("Failed to send progress", "agent", a.Address, "err", err)
 		}
 	}()
 }
--- a/internal/relayer/attempt.go
+++ b/internal/relayer/attempt.go
@@ -33,7 +33,7 @@
 
 // attempt sends the request to a place and hands the reply on. It gives nil once
 // the caller has its answer. Errors are *SendError.
-func (c *call) attempt(ctx context.Context, place *Place) error {
+func (c *call) attempt(ctx context.Context, place *Placement) error {
 	r, err := c.receive(ctx, place)
 	if err == nil {
 		err = c.relay(ctx, r)
@@ -42,7 +42,7 @@
 }
 
 // receive gets the beginning of a place's reply, by the hedge that is under way there or by a new attempt.
-func (c *call) receive(ctx context.Context, place *Place) (*receivedReply, error) {
+func (c *call) receive(ctx context.Context, place *Placement) (*receivedReply, error) {
 	stalled := func(conn *connection) bool { return c.readsOn(ctx, place, conn) }
 	h := c.takeHedge(place)
 	if h == nil {
@@ -79,7 +79,7 @@
 // headerWithin is how long the header of a reply may take before another upstream gets
 // the request. An upstream on a frozen VM takes it and says nothing; only silence
 // tells.
-func (c *call) headerWithin(place *Place) time.Duration {
+func (c *call) headerWithin(place *Placement) time.Duration {
 	if !c.mayRepeat() {
 		return 0
 	}
@@ -87,7 +87,7 @@
 }
 
 // beginWithin is how long an upstream may be silent before another one is asked as well.
-func (c *call) beginWithin(place *Place) time.Duration {
+func (c *call) beginWithin(place *Placement) time.Duration {
 	if c.Route.Kind == matcher.Streaming {
 		return place.FirstEventLimit()
 	}
@@ -130,7 +130,7 @@
 	r.start = nil
 	x.releaseMemory()
 	if r.end == nil {
-		err := c.copyRest(r.body)
+		err := c.copyRemaining(r.body)
 		if err == nil {
 			err = c.checkWhole(ctx, x, r.place)
 		}
@@ -158,12 +158,12 @@
 }
 
 // served counts and logs an answer.
-func (c *call) served(x *exchange, place *Place) {
+func (c *call) served(x *exchange, place *Placement) {
 	upstream, status := x.upstream, x.response.StatusCode
 	c.count("replies_by_" + x.framing().String())
 	if status < 500 {
 		c.Chooser.Served(upstream)
-		c.judgeAnswer(x)
+		c.recordAnswerTime(x)
 	}
 	c.count("served")
 	took := c.Clock.Since(c.Arrived)
--- a/internal/relayer/balance_test.go
+++ b/internal/relayer/balance_test.go
@@ -16,14 +16,14 @@
 )
 
 // moody is the road to an agent that answers as it is drawn, and notes which places it granted.
-type moody struct {
+type randomAgent struct {
 	t       *rapid.T
 	clock   *clocktest.FakeClock
 	leave   context.CancelFunc
 	granted map[string]bool
 }
 
-func (a *moody) Reserve(ctx context.Context, r messenger.Reservation) (messenger.Verdict, error) {
+func (a *randomAgent) Reserve(ctx context.Context, r messenger.Reservation) (messenger.Verdict, error) {
 	a.clock.Step(time.Duration(rapid.IntRange(0, 60).Draw(a.t, "took")) * time.Millisecond)
 	if rapid.IntRange(0, 9).Draw(a.t, "leaves") == 0 {
 		a.leave()
@@ -44,7 +44,7 @@
 	}
 }
 
-func (a *moody) Tell(p messenger.Progress) {
+func (a *randomAgent) SendProgress(p messenger.Progress) {
 	for _, id := range p.Ended {
 		delete(a.granted, id)
 	}
@@ -59,9 +59,9 @@
 		c := clocktest.NewFakeClock(time.Unix(1000, 0))
 		p, table := newPlacer(c, 0, 1)
 		table.Services["engines"].Connections = rapid.IntRange(0, 40).Draw(t, "connections")
-		agent := &moody{t: t, clock: c, granted: map[string]bool{}}
+		agent := &randomAgent{t: t, clock: c, granted: map[string]bool{}}
 		p.Reach = func(netip.AddrPort) relayer.Agent { return agent }
-		var places []*relayer.Place
+		var places []*relayer.Placement
 		for i := range rapid.IntRange(1, 30).Draw(t, "jobs") {
 			ctx, leave := context.WithCancel(context.Background())
 			agent.leave = leave
@@ -89,12 +89,12 @@
 				t.Fatalf("the agent holds %d places for %d requests", len(agent.granted), len(places))
 			}
 			if len(places) > 0 && rapid.Bool().Draw(t, "ends") {
-				places[0].Ended()
+				places[0].Release()
 				places = places[1:]
 			}
 		}
 		for _, place := range places {
-			place.Ended()
+			place.Release()
 		}
 		if p.Chooser.Running("engine") != 0 || len(agent.granted) != 0 {
 			t.Fatalf("%d requests and %d places left over", p.Chooser.Running("engine"), len(agent.granted))
@@ -102,4 +102,4 @@
 	})
 }
 
-var _ relayer.Agent = (*moody)(nil)
+var _ relayer.Agent = (*randomAgent)(nil)
--- a/internal/relayer/begin.go
+++ b/internal/relayer/begin.go
@@ -9,26 +9,26 @@
 )
 
 const (
-	// beginMargin is how much before the end of its weights' time a request that has not begun is
-	// given up: the engine has to learn of it by then, behind the chunks queued on its link.
-	beginMargin = 200 * time.Millisecond
-	// beginCheck is how often the time left is looked at: timers leave out the time for which this
-	// VM is suspended.
-	beginCheck = 100 * time.Millisecond
+	// startMargin is how long before its weights expire a request that hasn't started is given up:
+	// the close must reach the engine by then, behind the chunks queued on its link.
+	startMargin = 200 * time.Millisecond
+	// startCheckInterval is the interval of checks of the time left: timers don't count the time
+	// for which this VM is suspended.
+	startCheckInterval = 100 * time.Millisecond
 )
 
-// StaleWeightsError reports a request that was given up, or not sent, as it could not begin any more
-// within the time of the weights that its upstream holds.
+// StaleWeightsError reports a request that was given up, or not sent, as it could not start before
+// the weights of its upstream expire.
 type StaleWeightsError struct{ Version uint64 }
 
 func (e *StaleWeightsError) Error() string {
 	return fmt.Sprintf("too late to begin on version %d", e.Version)
 }
 
-// BeginWithin is within what time a request has to begin at its place; false for any time. A grant
-// is made on a prediction, which an engine that runs more than its agent knows, or slows down, does
-// not keep: the request would begin on weights whose time is over.
-func (p *Placer) BeginWithin(place *Place, j *Job) (time.Duration, bool) {
+// TimeToStart is the time left for a request to start at its place; false if unlimited. An engine
+// that has more load than its agent counts, or slows down, misses the prediction behind a grant,
+// and the request would start on expired weights.
+func (p *Placer) TimeToStart(place *Placement, j *Job) (time.Duration, bool) {
 	var left time.Duration
 	bounded := false
 	if place.Held != 0 {
@@ -40,53 +40,53 @@
 			left, bounded = stated, true
 		}
 	}
-	return max(0, left-beginMargin), bounded
+	return max(0, left-startMargin), bounded
 }
 
-// closeUnlessBegun closes the connection of a request that does not begin in time. The returned
-// function ends that once the request has begun, or is over. Errors are *StaleWeightsError: it is
+// closeUnlessStarted closes the connection of a request that doesn't start in time. Calling begun
+// once the request has started or ended stops the watch. The error is a *StaleWeightsError if it is
 // too late to send the request.
-func (c *call) closeUnlessBegun(place *Place, conn *connection) (begun func(), err error) {
+func (c *call) closeUnlessStarted(place *Placement, conn *connection) (begun func(), err error) {
 	if place.Held == 0 && place.BeginBy.IsZero() {
 		return func() {}, nil
 	}
-	if left, bounded := c.Placer.BeginWithin(place, &c.Job); bounded && left == 0 {
+	if left, bounded := c.Placer.TimeToStart(place, &c.Job); bounded && left == 0 {
 		return nil, &StaleWeightsError{Version: place.Held}
 	}
-	w := &beginWatch{placer: c.Placer, place: place, job: &c.Job, conn: conn, over: make(chan struct{})}
+	w := &beginWatch{placer: c.Placer, place: place, job: &c.Job, conn: conn, stopped: make(chan struct{})}
 	go w.run()
 	return w.stop, nil
 }
 
-// beginWatch closes the connection of a request that does not begin within the time of its weights.
-// An announcement that arrives while the request waits counts as well.
+// beginWatch closes the connection of a request that doesn't start before its weights expire. It
+// also applies announcements received while the request waits.
 type beginWatch struct {
 	placer *Placer
-	place  *Place
+	place  *Placement
 	job    *Job
 	conn   *connection
-	// end is what comes first, the begin or the end of the time: a connection must not be closed
-	// once it may serve another request.
-	end  sync.Once
-	over chan struct{}
+	// done makes the start and the expiry exclude each other: a connection must not be closed once
+	// it may serve another request.
+	done    sync.Once
+	stopped chan struct{}
 }
 
-func (w *beginWatch) stop() { w.end.Do(func() { close(w.over) }) }
+func (w *beginWatch) stop() { w.done.Do(func() { close(w.stopped) }) }
 
 func (w *beginWatch) run() {
 	for {
 		changed := w.placer.Registrar.Changed()
-		left, bounded := w.placer.BeginWithin(w.place, w.job)
+		left, bounded := w.placer.TimeToStart(w.place, w.job)
 		if bounded && left == 0 {
-			w.end.Do(w.giveUp)
+			w.done.Do(w.giveUp)
 			return
 		}
 		var check <-chan time.Time
 		if bounded {
-			check = time.After(min(left, beginCheck))
+			check = time.After(min(left, startCheckInterval))
 		}
 		select {
-		case <-w.over:
+		case <-w.stopped:
 			return
 		case <-changed:
 		case <-check:
@@ -95,6 +95,6 @@
 }
 
 func (w *beginWatch) giveUp() {
-	klog.InfoS("Request not begun in its weights' time", "request", w.job.ID, "upstream", w.place.Upstream.ID, "version", w.place.Held)
+	klog.InfoS("Gave up request not started before its weights expired", "request", w.job.ID, "upstream", w.place.Upstream.ID, "version", w.place.Held)
 	w.conn.giveUp(&StaleWeightsError{Version: w.place.Held})
 }
--- a/internal/relayer/begin_test.go
+++ b/internal/relayer/begin_test.go
@@ -17,10 +17,10 @@
 const weightsBound = 2 * time.Second
 
 // staleEngine makes an entry that knows of a version newer than the one that its engine holds.
-func staleEngine(t *testing.T, answer func(int, string, net.Conn) bool) *world {
+func entryWithStaleEngine(t *testing.T, answer func(int, string, net.Conn) bool) *world {
 	t.Helper()
-	w := oldEngines(t, clock.RealClock{}, 1, answer, direct).resumable(false)
-	name(w.registrar, 2)
+	w := entryWithOldEngines(t, clock.RealClock{}, 1, answer, directAddress).resumable(false)
+	announce(w.registrar, 2)
 	return w
 }
 
@@ -29,7 +29,7 @@
 func TestRequestThatHasNotBegunIsGivenUp(t *testing.T) {
 	closed := make(chan time.Duration, 1)
 	named := time.Now()
-	w := staleEngine(t, func(_ int, _ string, conn net.Conn) bool {
+	w := entryWithStaleEngine(t, func(_ int, _ string, conn net.Conn) bool {
 		_ = conn.SetReadDeadline(time.Now().Add(patience))
 		// It ends when the entry closes the connection.
 		_, _ = conn.Read(make([]byte, 1))
@@ -42,7 +42,7 @@
 
 // Guards against replies that are cut because they go on beyond the time of their weights.
 func TestReplyThatHasBegunGoesOn(t *testing.T) {
-	w := staleEngine(t, func(_ int, id string, conn net.Conn) bool {
+	w := entryWithStaleEngine(t, func(_ int, id string, conn net.Conn) bool {
 		say(conn, streamHead(id)+chunked(event(1)))
 		time.Sleep(weightsBound)
 		say(conn, chunked(event(2))+"0\r\n\r\n")
@@ -59,11 +59,11 @@
 	p, _ := newPlacer(c, time.Hour, 1)
 	p.WeightsBound = weightsBound
 	within := func() (time.Duration, bool) {
-		return p.BeginWithin(&relayer.Place{Held: 1}, &relayer.Job{Request: relayer.Request{Model: "m"}})
+		return p.TimeToStart(&relayer.Placement{Held: 1}, &relayer.Job{Request: relayer.Request{Model: "m"}})
 	}
 	_, bounded := within()
 	must.False(t, bounded, must.Sprint("while no newer version is known"))
-	name(p.Registrar, 2)
+	announce(p.Registrar, 2)
 	c.Step(time.Second)
 	left, bounded := within()
 	must.True(t, bounded)
--- a/internal/relayer/bench_test.go
+++ b/internal/relayer/bench_test.go
@@ -27,7 +27,7 @@
 		FreeMS: v.Free.Milliseconds(), Active: v.Active, Slots: v.Slots}, nil
 }
 
-func (a ledgerAgent) Tell(p messenger.Progress) {
+func (a ledgerAgent) SendProgress(p messenger.Progress) {
 	for _, id := range p.Ended {
 		a.ledger.Ended(id)
 	}
@@ -89,7 +89,7 @@
 	if err != nil {
 		return false
 	}
-	place.Ended()
+	place.Release()
 	return true
 }
 
--- a/internal/relayer/closing_test.go
+++ b/internal/relayer/closing_test.go
@@ -73,7 +73,7 @@
 
 // play has a caller leave, and expects that the upstream sees the close soon after.
 func (d departure) play(t *testing.T) {
-	f := freezeAt(d.at)
+	f := suspendAt(d.at)
 	w := newWorld(t, newUpstream(t, "u1", func(n int, id string, conn net.Conn) bool {
 		if id == "before" {
 			say(conn, sealed(id, "done"))
@@ -93,7 +93,7 @@
 	} else {
 		c = w.call(t, d.path, "r1", d.fields, d.body, d.more)
 	}
-	<-f.came
+	<-f.arrived
 	_, err := io.WriteString(c, d.later)
 	must.NoError(t, err)
 	time.Sleep(100 * time.Millisecond)
@@ -144,7 +144,7 @@
 	return messenger.Verdict{Granted: true, Version: 1, Slots: 12}, nil
 }
 
-func (a *granting) Tell(p messenger.Progress) {
+func (a *granting) SendProgress(p messenger.Progress) {
 	for _, id := range p.Ended {
 		a.ended <- id
 	}
@@ -265,7 +265,7 @@
 // Guards against a place that stays taken, or a request that is sent, when the caller leaves just as
 // a place to take over is granted.
 func TestCallerLeavesAsATakeOverIsGranted(t *testing.T) {
-	f := freezeAt(beforeHeader)
+	f := suspendAt(beforeHeader)
 	w := engines(t, f.answer("engine"), openLedger(12), openLedger(12)).resumable(true)
 	ctx, leave := context.WithCancel(t.Context())
 	defer leave()
--- a/internal/relayer/crash.go
+++ b/internal/relayer/crash.go
@@ -76,7 +76,7 @@
 
 // noteCut finds out whether a failed attempt was cut by a crash of its upstream. Upstreams that are well
 // reset connections too, and so do links.
-func (l *Relayer) noteCut(j *Job, place *Place, err error, events int) {
+func (l *Relayer) noteCut(j *Job, place *Placement, err error, events int) {
 	if l.Prober == nil || len(j.Parts) == 0 || !isCut(err) || l.Placer.terms(place.Upstream).Leaving {
 		return
 	}
--- a/internal/relayer/engine.go
+++ b/internal/relayer/engine.go
@@ -47,7 +47,7 @@
 // connections in use isn't asked: its agent doesn't know of connections and would grant a
 // place that can't be used. A connection counts from the question on, so that requests of
 // the same moment don't all count on the last one.
-func (p *Placer) placeAtEngine(ctx context.Context, view *registrar.View, s *matcher.Service, j *Job) (*Place, error) {
+func (p *Placer) placeAtEngine(ctx context.Context, view *registrar.View, s *matcher.Service, j *Job) (*Placement, error) {
 	us, err := p.eligible(view, j)
 	if err != nil {
 		return nil, err
@@ -60,19 +60,19 @@
 	}
 	began := p.Clock.Now()
 	budget := p.queueingBudget(s, j)
-	j.noteBudget(budget)
+	j.setBudget(budget)
 	free, opens := time.Duration(0), time.Duration(0)
 	var waits []engineWait
 	var endsLate *ShutdownError
 	var ramping []*registrar.UpstreamView
-	j.beyond = p.beyondRamps(us)
-	met := &j.met
+	j.rampOverride = p.rampOverrideFor(us)
+	met := &j.refusals
 	met.PassedOver, met.Unasked, met.Silent, met.Connections, met.EndsLate, met.CallerLeaves, met.Ramping = 0, 0, 0, 0, 0, 0, 0
-	order := p.order(us, j.Model, p.work(s.Engine, j))
+	order := p.rank(us, j.Model, p.workFor(s.Engine, j))
 	for next, ok := order.Next(); ok; next, ok = order.Next() {
 		u, first := us[next], len(us)-order.Left() <= firstAsked
 		if p.askedLongEnough(j, began) {
-			met.countRest(p, j, us, order, next)
+			met.countUnasked(p, j, us, order, next)
 			break
 		}
 		if full := p.fullFor(u.ID, j); full > 0 {
@@ -84,7 +84,7 @@
 		if first {
 			limit = min(goodWait, budget)
 		}
-		if !p.Chooser.BeginWithin(u.ID, p.connections(u)) {
+		if !p.Chooser.BeginWithin(u.ID, p.connectionLimit(u)) {
 			met.Connections++
 			continue
 		}
@@ -119,24 +119,24 @@
 			continue
 		}
 		free = least(free, v.Free())
-		if isHeld(v) {
+		if isHeldByRamp(v) {
 			met.Ramping++
-			ramping = p.noteHeld(u, j, v, ramping)
+			ramping = p.addHeldByRamp(u, j, v, ramping)
 			continue
 		}
 		room := v.Wait() <= budget && v.Active < v.Slots && v.Kept == ""
 		if !room {
-			j.noteRefusal(v)
+			j.countRefusal(v)
 		}
 		if !room || limit == budget {
-			p.noteNoSlot(u.ID, j, v)
+			p.markNoSlot(u.ID, j, v)
 			continue
 		}
 		waits = append(waits, engineWait{u, v.Wait()})
 	}
 	slices.SortFunc(waits, func(a, b engineWait) int { return int(a.wait - b.wait) })
 	for _, w := range waits {
-		if !p.Chooser.BeginWithin(w.upstream.ID, p.connections(w.upstream)) {
+		if !p.Chooser.BeginWithin(w.upstream.ID, p.connectionLimit(w.upstream)) {
 			met.Connections++
 			continue
 		}
@@ -149,10 +149,10 @@
 		}
 		p.Chooser.End(w.upstream.ID)
 		if v != nil && v.Closed == "" && !v.EndsLate {
-			p.noteNoSlot(w.upstream.ID, j, v)
+			p.markNoSlot(w.upstream.ID, j, v)
 		}
 	}
-	if place := p.askBeyondRamp(ctx, view, ramping, j, budget); place != nil {
+	if place := p.reserveBeyondRamp(ctx, view, ramping, j, budget); place != nil {
 		return place, nil
 	}
 	if ctx.Err() != nil {
@@ -164,7 +164,7 @@
 	if met.CallerLeaves > 0 && free == 0 && opens == 0 && met.Silent+met.Unasked+met.Connections == 0 {
 		return nil, p.refuseLate(j)
 	}
-	return nil, &RefusedError{Reason: met.reason(j), RetryAfter: max(free, busyRetry), Opens: opens, Met: *met}
+	return nil, &RefusedError{Reason: met.reason(j), RetryAfter: max(free, defaultRetryAfter), Opens: opens, Met: *met}
 }
 
 // closedFor is how long an engine isn't asked that takes nothing and should open after a time; 0 when
@@ -177,7 +177,7 @@
 }
 
 // passOver counts an engine that isn't asked; why is what its agent said if it was closed.
-func (m *Met) passOver(why string) {
+func (m *RefusalSummary) passOver(why string) {
 	m.PassedOver++
 	if why != "" {
 		m.WhyClosed = why
@@ -185,7 +185,7 @@
 }
 
 // note counts an agent's answer that is no grant; nil when there was none.
-func (m *Met) note(v *messenger.Verdict) {
+func (m *RefusalSummary) note(v *messenger.Verdict) {
 	switch {
 	case v == nil:
 		m.Silent++
@@ -215,7 +215,7 @@
 
 // noteFull keeps that an engine has no place, or none to spare.
 func (p *Placer) noteFull(id string, j *Job, free time.Duration) {
-	if p.late(j) || j.mover.looking {
+	if p.late(j) || j.mover.placing {
 		p.Chooser.Full(id, true, min(free, sparePause))
 		return
 	}
@@ -240,7 +240,7 @@
 
 // budgetLimit bounds how long a request may queue at a service's engines.
 func (p *Placer) budgetLimit(s *matcher.Service, j *Job) time.Duration {
-	if s.Objective == 0 || p.urgentBudget(j) || !p.contention.Contended(s.Name, p.Clock.Now()) || p.Without.Has(ablator.EqualBudgets) {
+	if s.Objective == 0 || p.usesFullBudget(j) || !p.contention.Contended(s.Name, p.Clock.Now()) || p.Without.Has(ablator.EqualBudgets) {
 		return mostBudget
 	}
 	return min(max(time.Duration(contendedShare*float64(s.Objective)), leastBudget), mostBudget)
--- a/internal/relayer/engine_connections_test.go
+++ b/internal/relayer/engine_connections_test.go
@@ -78,7 +78,7 @@
 }
 
 // placeDraft looks for a place for one generation that came some time ago.
-func placeDraft(p *relayer.Placer, c *clocktest.FakeClock, id string, waited time.Duration) (*relayer.Place, error) {
+func placeDraft(p *relayer.Placer, c *clocktest.FakeClock, id string, waited time.Duration) (*relayer.Placement, error) {
 	j := &relayer.Job{Route: engineTable().Routes[0], Service: "engines", Arrived: c.Now().Add(-waited), Deadline: c.Now().Add(5 * time.Second)}
 	j.ID, j.Model, j.Prompt = id, "m", 800
 	return p.Place(context.Background(), j)
--- a/internal/relayer/exchange.go
+++ b/internal/relayer/exchange.go
@@ -183,7 +183,7 @@
 		close(x.written)
 		return err
 	}
-	x.account.share()
+	x.account.addUser()
 	go func() {
 		defer x.account.close()
 		_, err := x.conn.Write(head)
--- a/internal/relayer/frozen_test.go
+++ b/internal/relayer/frozen_test.go
@@ -51,14 +51,14 @@
 }
 
 // callerLook is the time between two looks of a caller for an answer.
-const callerLook = 10 * time.Millisecond
+const callerPollInterval = 10 * time.Millisecond
 
 // waitAnswer waits for the head of an answer, for as long as callers do. The wait is counted in
 // looks: time for which the test itself gets no processor is no wait of its caller.
 func (c *caller) waitAnswer(gap time.Duration) (*http.Response, error) {
 	var err error
-	for range gap / callerLook {
-		_ = c.SetReadDeadline(time.Now().Add(callerLook))
+	for range gap / callerPollInterval {
+		_ = c.SetReadDeadline(time.Now().Add(callerPollInterval))
 		if _, err = c.reader.Peek(1); err == nil {
 			_ = c.SetReadDeadline(time.Now().Add(patience))
 			return http.ReadResponse(c.reader, nil)
@@ -91,25 +91,25 @@
 
 // freezing are upstreams of which the first that gets a request freezes at a stage, and tells when it
 // got the request and saw its connection closed.
-type freezing struct {
-	first      once
-	at         stage
-	came       chan time.Time
-	closed     chan time.Time
-	bothFreeze bool
+type suspendingUpstreams struct {
+	first       once
+	at          stage
+	arrived     chan time.Time
+	closed      chan time.Time
+	bothSuspend bool
 }
 
-func freezeAt(at stage) *freezing {
-	return &freezing{at: at, came: make(chan time.Time, 10), closed: make(chan time.Time, 10)}
+func suspendAt(at stage) *suspendingUpstreams {
+	return &suspendingUpstreams{at: at, arrived: make(chan time.Time, 10), closed: make(chan time.Time, 10)}
 }
 
-func (f *freezing) answer(name string) func(int, string, net.Conn) bool {
+func (f *suspendingUpstreams) answer(name string) func(int, string, net.Conn) bool {
 	return func(_ int, id string, conn net.Conn) bool {
-		if !f.first.is(name) && !f.bothFreeze {
+		if !f.first.is(name) && !f.bothSuspend {
 			say(conn, streamHead(id)+chunked(event(1))+chunked(event(2))+"0\r\n\r\n")
 			return true
 		}
-		f.came <- time.Now()
+		f.arrived <- time.Now()
 		f.at(id, conn)
 		_ = conn.SetReadDeadline(time.Now().Add(patience))
 		_, err := conn.Read(make([]byte, 1))
@@ -130,7 +130,7 @@
 }
 
 // impatient makes the callers of streams leave after callerGap without an event.
-func (w *world) impatient() *world {
+func (w *world) withEventTimeout() *world {
 	for _, r := range w.registrar.View().Table.Routes {
 		if r.Kind == matcher.Streaming {
 			r.EventTimeout = callerGap
@@ -147,49 +147,51 @@
 }
 
 // orders are those in which an upstream's VM freezes with a stream.
-func orders() map[string]func(t *testing.T) (*world, *freezing) {
-	two := func(f *freezing) func(t *testing.T) (*world, *freezing) {
-		return func(t *testing.T) (*world, *freezing) {
+func suspensionCases() map[string]func(t *testing.T) (*world, *suspendingUpstreams) {
+	two := func(f *suspendingUpstreams) func(t *testing.T) (*world, *suspendingUpstreams) {
+		return func(t *testing.T) (*world, *suspendingUpstreams) {
 			return newWorld(t, newUpstream(t, "u1", f.answer("u1")), newUpstream(t, "u2", f.answer("u2"))), f
 		}
 	}
-	alone := func(f *freezing) func(t *testing.T) (*world, *freezing) {
-		return func(t *testing.T) (*world, *freezing) { return newWorld(t, newUpstream(t, "u1", f.answer("u1"))), f }
+	alone := func(f *suspendingUpstreams) func(t *testing.T) (*world, *suspendingUpstreams) {
+		return func(t *testing.T) (*world, *suspendingUpstreams) {
+			return newWorld(t, newUpstream(t, "u1", f.answer("u1"))), f
+		}
 	}
-	poor := func(f *freezing) func(t *testing.T) (*world, *freezing) {
-		return func(t *testing.T) (*world, *freezing) {
+	poor := func(f *suspendingUpstreams) func(t *testing.T) (*world, *suspendingUpstreams) {
+		return func(t *testing.T) (*world, *suspendingUpstreams) {
 			w, f := two(f)(t)
 			return w.withoutRetries(), f
 		}
 	}
-	once := func(f *freezing) func(t *testing.T) (*world, *freezing) {
-		return func(t *testing.T) (*world, *freezing) {
+	once := func(f *suspendingUpstreams) func(t *testing.T) (*world, *suspendingUpstreams) {
+		return func(t *testing.T) (*world, *suspendingUpstreams) {
 			w, f := two(f)(t)
 			return w.resumable(false), f
 		}
 	}
-	both := func(f *freezing) func(t *testing.T) (*world, *freezing) {
-		f.bothFreeze = true
+	both := func(f *suspendingUpstreams) func(t *testing.T) (*world, *suspendingUpstreams) {
+		f.bothSuspend = true
 		return two(f)
 	}
 	// full is before engines whose agents grant: the second takes nothing.
-	full := func(f *freezing) func(t *testing.T) (*world, *freezing) {
-		return func(t *testing.T) (*world, *freezing) {
+	full := func(f *suspendingUpstreams) func(t *testing.T) (*world, *suspendingUpstreams) {
+		return func(t *testing.T) (*world, *suspendingUpstreams) {
 			return engines(t, f.answer("engine"), openLedger(12), closedLedger("full")).resumable(true), f
 		}
 	}
-	return map[string]func(t *testing.T) (*world, *freezing){
-		"before the header, another is free":                 two(freezeAt(beforeHeader)),
-		"before the header, no other":                        alone(freezeAt(beforeHeader)),
-		"before the header, all other engines full":          full(freezeAt(beforeHeader)),
-		"before the header, no retry left":                   poor(freezeAt(beforeHeader)),
-		"before the header, not resumable":                   once(freezeAt(beforeHeader)),
-		"before the header, the one that takes over as well": both(freezeAt(beforeHeader)),
-		"after the header, another is free":                  two(freezeAt(afterHeader)),
-		"after the header, all other engines full":           full(freezeAt(afterHeader)),
-		"after the header, no retry left":                    poor(freezeAt(afterHeader)),
-		"after the header, not resumable":                    once(freezeAt(afterHeader)),
-		"after a late header, another is free":               two(freezeAt(afterLateHeader)),
+	return map[string]func(t *testing.T) (*world, *suspendingUpstreams){
+		"before the header, another is free":                 two(suspendAt(beforeHeader)),
+		"before the header, no other":                        alone(suspendAt(beforeHeader)),
+		"before the header, all other engines full":          full(suspendAt(beforeHeader)),
+		"before the header, no retry left":                   poor(suspendAt(beforeHeader)),
+		"before the header, not resumable":                   once(suspendAt(beforeHeader)),
+		"before the header, the one that takes over as well": both(suspendAt(beforeHeader)),
+		"after the header, another is free":                  two(suspendAt(afterHeader)),
+		"after the header, all other engines full":           full(suspendAt(afterHeader)),
+		"after the header, no retry left":                    poor(suspendAt(afterHeader)),
+		"after the header, not resumable":                    once(suspendAt(afterHeader)),
+		"after a late header, another is free":               two(suspendAt(afterLateHeader)),
 	}
 }
 
@@ -203,12 +205,12 @@
 // Guards against callers that leave a stream that has not begun without any answer, although their
 // entry is well: the engine begins their requests when its VM wakes.
 func TestCallerOfAFrozenVMIsAnsweredBeforeItLeaves(t *testing.T) {
-	for name, order := range orders() {
+	for name, order := range suspensionCases() {
 		t.Run(name, func(t *testing.T) {
 			t.Parallel()
 			w, f := order(t)
-			c := w.impatient().call(t, streamPath(w), "r1", "", "order", "")
-			<-f.came
+			c := w.withEventTimeout().call(t, streamPath(w), "r1", "", "order", "")
+			<-f.arrived
 			res, err := c.waitAnswer(callerGap)
 			if err != nil {
 				left := time.Now()
@@ -229,7 +231,7 @@
 		for _, path := range []string{"/safe/", "/once/"} {
 			t.Run(name+path, func(t *testing.T) {
 				t.Parallel()
-				f := freezeAt(at)
+				f := suspendAt(at)
 				w := newWorld(t, newUpstream(t, "u1", f.answer("u1")))
 				c := w.call(t, path, "r1", "Patience: 1000\r\n", "order", "")
 				res, err := c.waitAnswer(time.Second)
@@ -244,11 +246,11 @@
 // Guards against callers that leave without an answer while their entry looks for a slot, after an
 // engine was given up at the end of its weights' time.
 func TestCallerIsAnsweredBeforeItLeavesAfterItsWeightsTime(t *testing.T) {
-	f := freezeAt(beforeHeader)
-	w := staleEngine(t, f.answer("engine")).resumable(true).impatient()
+	f := suspendAt(beforeHeader)
+	w := entryWithStaleEngine(t, f.answer("engine")).resumable(true).withEventTimeout()
 	w.relayer.Placer.WeightsBound = callerGap - 200*time.Millisecond
 	c := w.call(t, "/draft", "r1", "", "order", "")
-	<-f.came
+	<-f.arrived
 	res, err := c.waitAnswer(callerGap)
 	t.Logf("the engine saw the close after %v", (<-f.closed).Sub(c.sent))
 	must.NoError(t, err, must.Sprint("caller had got nothing when it left"))
@@ -257,14 +259,14 @@
 
 // Guards against the same when all slots of an engine are granted just before its VM freezes.
 func TestAllCallersOfAFrozenEngineAreAnsweredBeforeTheyLeave(t *testing.T) {
-	f := freezeAt(beforeHeader)
-	f.came, f.closed, f.bothFreeze = make(chan time.Time, 100), make(chan time.Time, 100), true
+	f := suspendAt(beforeHeader)
+	f.arrived, f.closed, f.bothSuspend = make(chan time.Time, 100), make(chan time.Time, 100), true
 	ledgers := []*scheduler.Ledger{openLedger(12), openLedger(12)}
-	w := engines(t, f.answer("engine"), ledgers...).resumable(true).impatient()
+	w := engines(t, f.answer("engine"), ledgers...).resumable(true).withEventTimeout()
 	answered := make(chan error)
 	for i := range 12 {
 		c := w.call(t, "/draft/", fmt.Sprintf("r%d", i), "", "order", "")
-		<-f.came
+		<-f.arrived
 		go func() {
 			res, err := c.waitAnswer(callerGap)
 			if err == nil {
--- a/internal/relayer/given_up_test.go
+++ b/internal/relayer/given_up_test.go
@@ -22,30 +22,30 @@
 // any time. The announcement is older than the entry's start, from which it can count at the latest.
 func TestStartedEntryBoundsWhatAnAgentGrantsThatHasNotHeard(t *testing.T) {
 	waits := newWaitsForClose(t)
-	w := oldEngines(t, clock.RealClock{}, 1, waits.answer, direct)
-	name(w.registrar, 2)
+	w := entryWithOldEngines(t, clock.RealClock{}, 1, waits.answer, directAddress)
+	announce(w.registrar, 2)
 	w.restart()
 	started := time.Now()
 	w.ask(t, "/draft/", "r1")
-	if len(waits.came) == 0 {
+	if len(waits.arrived) == 0 {
 		return // Not sent at all, which is as good.
 	}
-	waits.within(t, started, weightsBound)
+	waits.mustCloseWithin(t, started, weightsBound)
 }
 
 // Guards against the same where the started entry has seen a further announcement itself.
 func TestStartedEntryGoesByTheNextAnnouncement(t *testing.T) {
 	waits := newWaitsForClose(t)
-	w := oldEngines(t, clock.RealClock{}, 1, waits.answer, direct)
-	name(w.registrar, 2)
+	w := entryWithOldEngines(t, clock.RealClock{}, 1, waits.answer, directAddress)
+	announce(w.registrar, 2)
 	w.restart()
 	announced := time.Now()
-	name(w.registrar, 3)
+	announce(w.registrar, 3)
 	w.ask(t, "/draft/", "r1")
-	if len(waits.came) == 0 {
+	if len(waits.arrived) == 0 {
 		return
 	}
-	waits.within(t, announced, weightsBound)
+	waits.mustCloseWithin(t, announced, weightsBound)
 }
 
 // Guards against a time that the agent states and the entry leaves out, as the agent doesn't tell the
@@ -55,11 +55,11 @@
 	announced := time.Now()
 	ledger := openLedger(12)
 	ledger.Expiry = func() time.Time { return announced.Add(weightsBound - scheduler.OldWeightsMargin) }
-	w := oldEnginesOf(t, clock.RealClock{}, []*scheduler.Ledger{ledger}, waits.answer, direct)
+	w := entryWithLedgers(t, clock.RealClock{}, []*scheduler.Ledger{ledger}, waits.answer, directAddress)
 	g := &granter.Granter{Ledger: ledger, Holds: func(string) uint64 { return 0 }, Clock: clock.RealClock{}}
 	w.relayer.Placer.Reach = func(netip.AddrPort) relayer.Agent { return granterAgent{g} }
 	w.ask(t, "/draft/", "r1")
-	waits.within(t, announced, weightsBound)
+	waits.mustCloseWithin(t, announced, weightsBound)
 }
 
 // granterAgent asks a granter without a network.
@@ -69,14 +69,14 @@
 	return a.Granter.Reserve(r, nil), nil
 }
 
-func (a granterAgent) Tell(p messenger.Progress) { a.Progress(p, nil) }
+func (a granterAgent) SendProgress(p messenger.Progress) { a.Progress(p, nil) }
 
 // Guards against passing over an upstream that is well, as its entry kept a request back itself: its
 // caller was about to leave, or its time was over.
 func TestRequestKeptBackSaysNothingOfItsUpstream(t *testing.T) {
 	for _, path := range []string{"/stream/", "/brief/"} {
 		t.Run(path, func(t *testing.T) {
-			w := newWorld(t, newUpstream(t, "u1", streams)).impatient()
+			w := newWorld(t, newUpstream(t, "u1", streams)).withEventTimeout()
 			w.relayer.Pool.Opened = func() { time.Sleep(callerGap) }
 			a := w.ask(t, path, "r1")
 			must.Eq(t, 503, a.status)
@@ -90,8 +90,8 @@
 // its weights: the engine did not fail, and may have new weights by then.
 func TestGivenUpRequestSaysNothingOfItsUpstream(t *testing.T) {
 	waits := newWaitsForClose(t)
-	w := oldEngines(t, clock.RealClock{}, 1, waits.answer, direct)
-	name(w.registrar, 2)
+	w := entryWithOldEngines(t, clock.RealClock{}, 1, waits.answer, directAddress)
+	announce(w.registrar, 2)
 	done := make(chan struct{})
 	go func() {
 		defer close(done)
@@ -106,8 +106,8 @@
 // Guards against an entry that stays without the age of an announcement that it found in the store,
 // although others tell it.
 func TestStartedEntryLearnsSinceWhenFromAnother(t *testing.T) {
-	w := oldEngines(t, clock.RealClock{}, 1, streams, direct)
-	name(w.registrar, 2)
+	w := entryWithOldEngines(t, clock.RealClock{}, 1, streams, directAddress)
+	announce(w.registrar, 2)
 	other := w.registrar
 	w.restart()
 	_, known := w.registrar.TimeLeft("", 1, weightsBound)
@@ -120,7 +120,7 @@
 // Guards against answers that come sooner than they should: a caller that takes a while to send its
 // body has not waited for a first event meanwhile.
 func TestSlowBodyTakesNothingOffTheWaitForAnEvent(t *testing.T) {
-	w := newWorld(t, newUpstream(t, "u1", streams)).impatient()
+	w := newWorld(t, newUpstream(t, "u1", streams)).withEventTimeout()
 	conn, err := net.Dial("tcp", w.Listener.Addr().String())
 	must.NoError(t, err)
 	defer conn.Close()
--- a/internal/relayer/hedge.go
+++ b/internal/relayer/hedge.go
@@ -16,7 +16,7 @@
 
 // hedge is another attempt beside one whose upstream is silent.
 type hedge struct {
-	place     *Place
+	place     *Placement
 	startedAt time.Time
 	cancel    context.CancelFunc
 	// done is closed once reply or err is set, and ended once the hedge touches no connection any more.
@@ -36,7 +36,7 @@
 func (e *PanicError) Error() string { return fmt.Sprintf("panic: %v", e.Value) }
 
 // startHedge makes another attempt at a place, beside the one under way, which is woken when it is over.
-func (c *call) startHedge(ctx context.Context, place *Place, wake func()) {
+func (c *call) startHedge(ctx context.Context, place *Placement, wake func()) {
 	c.count("hedges.started")
 	ctx, cancel := context.WithCancel(ctx)
 	h := &hedge{place: place, startedAt: time.Now(), cancel: cancel, done: make(chan struct{}), ended: make(chan struct{})}
@@ -95,7 +95,7 @@
 }
 
 // takeHedge gives the hedge that has a place, as the attempt that goes on; nil if there is none.
-func (c *call) takeHedge(place *Place) *hedge {
+func (c *call) takeHedge(place *Placement) *hedge {
 	h := c.hedge
 	if h == nil || h.place != place {
 		return nil
@@ -174,7 +174,7 @@
 // hedgeFailed notes a hedge that failed while the first upstream is still silent.
 func (c *call) hedgeFailed(h *hedge) {
 	c.count("hedges.failed")
-	c.judge(h.place, h.err)
+	c.recordOutcome(h.place, h.err)
 	c.note(&c.Job, h.place, h.err, 0)
 	c.endHedge(h)
 }
--- a/internal/relayer/left_test.go
+++ b/internal/relayer/left_test.go
@@ -25,7 +25,7 @@
 	return messenger.Verdict{}, ctx.Err()
 }
 
-func (a *leaving) Tell(p messenger.Progress) { a.ended = append(a.ended, p.Ended...) }
+func (a *leaving) SendProgress(p messenger.Progress) { a.ended = append(a.ended, p.Ended...) }
 
 // A caller leaves just while its entry asks an agent for a place, and the agent grants one.
 // Nobody will use it. If the agent isn't told, the place stays taken for as long as the caller
--- a/internal/relayer/limit_races_test.go
+++ b/internal/relayer/limit_races_test.go
@@ -68,16 +68,16 @@
 func TestEndOfTheTimeClosesNoConnectionOfAnother(t *testing.T) {
 	var mu sync.Mutex
 	last := map[string]string{}
-	w := oldEngines(t, clock.RealClock{}, 1, func(_ int, id string, conn net.Conn) bool {
+	w := entryWithOldEngines(t, clock.RealClock{}, 1, func(_ int, id string, conn net.Conn) bool {
 		mu.Lock()
 		last[conn.RemoteAddr().String()] = id
 		mu.Unlock()
 		say(conn, sealed(id, "done"))
 		return true
-	}, direct)
+	}, directAddress)
 	w.registrar.View().Table.Routes[0].Kind = matcher.Idempotent
 	w.relayer.Placer.WeightsBound = 1500 * time.Millisecond
-	name(w.registrar, 2)
+	announce(w.registrar, 2)
 	ended := time.Now().Add(1700 * time.Millisecond)
 	var group sync.WaitGroup
 	broken := 0
@@ -103,7 +103,7 @@
 
 // Guards against watches that outlive their requests, on each way out.
 func TestNoWatchOutlivesItsRequest(t *testing.T) {
-	w := oldEngines(t, clock.RealClock{}, 1, func(n int, id string, conn net.Conn) bool {
+	w := entryWithOldEngines(t, clock.RealClock{}, 1, func(n int, id string, conn net.Conn) bool {
 		switch n % 6 {
 		case 0: // reset before the header
 			return false
@@ -123,11 +123,11 @@
 			say(conn, "HTTP/1.1 500 Bad\r\nId: "+id+"\r\nSeal: x\r\nContent-Length: 0\r\n\r\n")
 			return true
 		}
-	}, direct)
+	}, directAddress)
 	waiting := newWaitsForClose(t)
-	stays := oldEngines(t, clock.RealClock{}, 1, waiting.answer, direct)
+	stays := entryWithOldEngines(t, clock.RealClock{}, 1, waiting.answer, directAddress)
 	go stays.ask(t, "/draft/", "stays")
-	<-waiting.came
+	<-waiting.arrived
 	watches := func() int {
 		buf := make([]byte, 4<<20)
 		stacks := string(buf[:runtime.Stack(buf, true)])
@@ -141,7 +141,7 @@
 		}
 	}
 	must.Eq(t, 1, watches(), must.Sprint("the watch of the request that stays"))
-	name(stays.registrar, 2)
+	announce(stays.registrar, 2)
 	<-waiting.closed
 	for _, kind := range []matcher.Kind{matcher.Streaming, matcher.Idempotent, matcher.NonIdempotent} {
 		w.registrar.View().Table.Routes[0].Kind = kind
@@ -168,7 +168,7 @@
 func TestStartedEntryUsesNoUnaskedSlotOnOldWeights(t *testing.T) {
 	c := clocktest.NewFakeClock(time.Unix(1000, 0))
 	p, table := newPlacer(c, 0, 1)
-	name(p.Registrar, 2)
+	announce(p.Registrar, 2)
 	p.Registrar = restarted(p.Registrar)
 	must.False(t, placed(p, c, table))
 }
@@ -176,8 +176,8 @@
 // Guards against answers to given up requests that end their caller's connection: an upstream's silence
 // is no reason to end it.
 func TestGivenUpRequestKeepsItsCallersConnection(t *testing.T) {
-	f := freezeAt(beforeHeader)
-	w := newWorld(t, newUpstream(t, "u1", f.answer("u1"))).impatient()
+	f := suspendAt(beforeHeader)
+	w := newWorld(t, newUpstream(t, "u1", f.answer("u1"))).withEventTimeout()
 	c := w.call(t, "/stream/", "r1", "", "order", "")
 	res, err := c.waitAnswer(callerGap)
 	must.NoError(t, err)
--- a/internal/relayer/limits_test.go
+++ b/internal/relayer/limits_test.go
@@ -79,12 +79,12 @@
 			c.Step(50 * time.Millisecond)
 		}
 		must.Positive(t, len(passed), must.Sprintf("%d entries send nothing at all", n))
-		must.LessEq(t, int(coldBound), mostWithin(passed, time.Second), must.Sprintf("%d entries", n))
+		must.LessEq(t, int(coldBound), maxWithin(passed, time.Second), must.Sprintf("%d entries", n))
 	}
 }
 
 // mostWithin is the largest number of moments within a span, in order of time.
-func mostWithin(ts []time.Time, span time.Duration) int {
+func maxWithin(ts []time.Time, span time.Duration) int {
 	most, from := 0, 0
 	for i, t := range ts {
 		for t.Sub(ts[from]) >= span {
--- a/internal/relayer/liveness.go
+++ b/internal/relayer/liveness.go
@@ -44,7 +44,7 @@
 
 // checkWhole checks that a reply which was read to its end is whole, as far as its body can't tell: a process that
 // dies closes its connections like one that has sent all. Errors are *SendError.
-func (l *Relayer) checkWhole(ctx context.Context, x *exchange, place *Place) error {
+func (l *Relayer) checkWhole(ctx context.Context, x *exchange, place *Placement) error {
 	if l.Liveness == nil || x.framing() != bodyreader.ByConnection {
 		return nil
 	}
--- a/internal/relayer/memory.go
+++ b/internal/relayer/memory.go
@@ -16,15 +16,17 @@
 )
 
 const (
-	// requestBytes is what a request holds besides its body and its reply: the buffers of two connections, an event
-	// reader and, for about half of it, the stacks of its goroutines.
+	// requestBytes is the memory of a request besides its body and its reply: the buffers of two
+	// connections, an event reader and, for about half of it, the stacks of its goroutines.
 	requestBytes = 64 << 10
-	// unkeptReply is how much of a plain reply is read without being counted, in bytes: it is part of requestBytes.
-	unkeptReply = 4 << 10
+	// uncountedReply is how much of a plain reply is read without being counted, in bytes: it is
+	// part of requestBytes.
+	uncountedReply = 4 << 10
 )
 
-// Memory bounds what all requests of an entry hold at once: bodies, replies that are kept whole, long events and
-// buffers. Set the exported fields before use; nil is no bound. It is safe for concurrent use.
+// Memory bounds the memory of all requests of an entry: bodies, replies that are buffered whole,
+// long events and buffers. Set the exported fields before use; nil is unbounded. It is safe for
+// concurrent use.
 type Memory struct {
 	// Bytes is the bound.
 	Bytes int64
@@ -35,7 +37,7 @@
 	free *semaphore.Weighted
 }
 
-// MemoryError reports something that doesn't fit into the memory for requests.
+// MemoryError reports data that doesn't fit into the memory for requests.
 type MemoryError struct {
 	What  string
 	Bytes int64
@@ -45,7 +47,7 @@
 	return fmt.Sprintf("no memory for %s of %d bytes", e.What, e.Bytes)
 }
 
-func (m *Memory) take(bytes int64) bool {
+func (m *Memory) acquire(bytes int64) bool {
 	m.once.Do(func() { m.free = semaphore.NewWeighted(m.Bytes) })
 	if !m.free.TryAcquire(bytes) {
 		metrics.GetOrRegisterCounter("memory.refused", m.Metrics).Inc(1)
@@ -60,16 +62,16 @@
 	metrics.GetOrRegisterCounter("memory.held", m.Metrics).Dec(bytes)
 }
 
-// account is what one request holds of the memory. Its handler uses it, and each goroutine that writes the body to
-// an upstream. Nil holds without a bound.
+// account counts the memory of one request. It is shared by the request's handler and each
+// goroutine that writes the body to an upstream. Nil is unbounded.
 type account struct {
 	memory *Memory
 	held   atomic.Int64
 	users  atomic.Int32
 }
 
-// open gives an account that its first user has to close.
-func (m *Memory) open() *account {
+// openAccount returns an account that its first user must close.
+func (m *Memory) openAccount() *account {
 	if m == nil {
 		return nil
 	}
@@ -78,26 +80,26 @@
 	return a
 }
 
-// share adds a user.
-func (a *account) share() {
+// addUser adds a user.
+func (a *account) addUser() {
 	if a != nil {
 		a.users.Add(1)
 	}
 }
 
-// close gives everything back once its last user has closed the account.
+// close releases all memory once the last user has closed the account.
 func (a *account) close() {
 	if a != nil && a.users.Add(-1) == 0 {
 		a.release(a.held.Load())
 	}
 }
 
-// take tells whether so many more bytes may be held.
-func (a *account) take(bytes int64) bool {
+// acquire reports whether this many more bytes are available, and counts them.
+func (a *account) acquire(bytes int64) bool {
 	if a == nil {
 		return true
 	}
-	if !a.memory.take(bytes) {
+	if !a.memory.acquire(bytes) {
 		return false
 	}
 	a.held.Add(bytes)
@@ -111,14 +113,14 @@
 	}
 }
 
-// admitMemory takes the memory that each request needs, or refuses it.
+// admitMemory acquires the memory that each request needs, or refuses it.
 func (c *call) admitMemory() bool {
-	return c.takeMemory("a request", requestBytes)
+	return c.acquireMemory("a request", requestBytes)
 }
 
-// takeMemory takes memory, or refuses the request, which hasn't been sent to any upstream.
-func (c *call) takeMemory(what string, bytes int64) bool {
-	if c.account.take(bytes) {
+// acquireMemory acquires memory, or refuses the request, which hasn't been sent to any upstream.
+func (c *call) acquireMemory(what string, bytes int64) bool {
+	if c.account.acquire(bytes) {
 		return true
 	}
 	c.refuseMemory(&MemoryError{What: what, Bytes: bytes})
@@ -126,38 +128,40 @@
 }
 
 func (c *call) refuseMemory(err *MemoryError) {
-	c.refuse(&RefusedError{Reason: err.Error(), RetryAfter: busyRetry})
+	c.refuse(&RefusedError{Reason: err.Error(), RetryAfter: defaultRetryAfter})
 }
 
-// bodySource reads a caller's body, and takes memory for one whose length isn't known as it comes.
+// bodySource returns a reader of a caller's body; one of unknown length acquires memory as it
+// reads.
 func (c *call) bodySource(limit int64) io.Reader {
-	// The server's own writer learns that the connection has to close behind a body that is too long.
+	// MaxBytesReader needs the server's own writer to close the connection after a body that is too
+	// long.
 	body := http.MaxBytesReader(c.out.ResponseWriter, c.r.Body, limit)
 	if c.r.ContentLength >= 0 {
 		return body
 	}
-	return &countedReader{from: body, account: c.account}
+	return &countedReader{source: body, account: c.account}
 }
 
-// countedReader takes memory for all that it reads.
+// countedReader acquires memory for all that it reads.
 type countedReader struct {
-	from    io.Reader
+	source  io.Reader
 	account *account
 }
 
-// Read implements io.Reader. Errors are *MemoryError and those of the reader.
+// Read implements io.Reader. Errors are *MemoryError and those of the source.
 func (r *countedReader) Read(b []byte) (int, error) {
-	n, err := r.from.Read(b)
-	// A buffer grows to twice of what it holds.
-	if needed := 2 * int64(n); n > 0 && !r.account.take(needed) {
+	n, err := r.source.Read(b)
+	// A buffer grows to twice its content.
+	if needed := 2 * int64(n); n > 0 && !r.account.acquire(needed) {
 		return 0, &MemoryError{What: "more of a body", Bytes: needed}
 	}
 	return n, err
 }
 
-// take takes memory that is given back when the exchange ends.
-func (x *exchange) take(bytes int64) bool {
-	if !x.account.take(bytes) {
+// acquire acquires memory that is released when the exchange ends.
+func (x *exchange) acquire(bytes int64) bool {
+	if !x.account.acquire(bytes) {
 		return false
 	}
 	x.kept.Add(bytes)
@@ -166,9 +170,10 @@
 
 func (x *exchange) releaseMemory() { x.account.release(x.kept.Swap(0)) }
 
-// readStart reads a plain reply whole, or its start if it is longer than bufferedReply or than the memory allows.
-func (x *exchange) readStart(body *bodyreader.Reader) (start []byte, ended bool, err error) {
-	start = make([]byte, 0, unkeptReply)
+// readReplyStart reads a plain reply whole, or its start if it is longer than bufferedReply or than
+// the available memory.
+func (x *exchange) readReplyStart(body *bodyreader.Reader) (start []byte, ended bool, err error) {
+	start = make([]byte, 0, uncountedReply)
 	for {
 		n, err := body.Read(start[len(start):cap(start)])
 		start = start[:len(start)+n]
@@ -181,12 +186,12 @@
 			continue
 		}
 		size := min(2*cap(start), bufferedReply)
-		if size == cap(start) || !x.take(int64(size)) {
+		if size == cap(start) || !x.acquire(int64(size)) {
 			return start, false, nil
 		}
 		longer := make([]byte, len(start), size)
 		copy(longer, start)
-		if len(start) > unkeptReply {
+		if len(start) > uncountedReply {
 			x.kept.Add(-int64(len(start)))
 			x.account.release(int64(len(start)))
 		}
@@ -194,22 +199,23 @@
 	}
 }
 
-// endsForMemory tells whether an attempt ended as there was no memory for its reply.
-func endsForMemory(err error) bool {
+// failedForMemory reports whether an attempt ended for lack of memory for its reply.
+func failedForMemory(err error) bool {
 	var full *bodyreader.RoomError
 	return errors.As(err, &full)
 }
 
-// copyBuffers are for replies that are passed on while they come.
-var copyBuffers = sync.Pool{New: func() any { return new([copyBuffer]byte) }}
+// copyBufferPool holds buffers for replies that are passed on as they arrive.
+var copyBufferPool = sync.Pool{New: func() any { return new([copyBufferSize]byte) }}
 
-// copyBuffer is in bytes. Half of what io.Copy takes is as fast on loopback and counts twice less.
-const copyBuffer = 16 << 10
+// copyBufferSize is in bytes. Half of io.Copy's buffer is as fast on loopback and counts half as
+// much.
+const copyBufferSize = 16 << 10
 
-// copyRest passes the rest of a plain reply on as it comes.
-func (c *call) copyRest(body *bodyreader.Reader) error {
-	buffer := copyBuffers.Get().(*[copyBuffer]byte)
-	defer copyBuffers.Put(buffer)
+// copyRemaining passes on the rest of a plain reply as it arrives.
+func (c *call) copyRemaining(body *bodyreader.Reader) error {
+	buffer := copyBufferPool.Get().(*[copyBufferSize]byte)
+	defer copyBufferPool.Put(buffer)
 	_, err := io.CopyBuffer(c.w, body, buffer[:])
 	return err
 }
--- a/internal/relayer/move.go
+++ b/internal/relayer/move.go
@@ -13,34 +13,36 @@
 )
 
 const (
-	// pacedEvents is after how many events of a reply their pace is known: three passes, of which one may have read the
-	// prompts of others.
-	pacedEvents = 4
-	// moveMargin is how much past the deadline the predicted end has to be: about two events, by which the
-	// prediction is off anyway.
+	// minPacedEvents is how many events of a reply determine its pace: three passes, of which one
+	// may have read the prompts of others.
+	minPacedEvents = 4
+	// moveMargin is how far past the deadline the predicted end must be: about two events, the
+	// usual error of the prediction.
 	moveMargin = 100 * time.Millisecond
-	// moveGain is how much earlier the reply has to end at the other engine: less isn't worth reading the prompt
-	// again.
-	moveGain = 300 * time.Millisecond
-	// moveSpeedup is by what factor events have to come faster at the other engine than they came so far. An answer that
-	// is long for its caller's time gains nothing between engines of like pace: with 1.5 a steady load without slow engines had
-	// more late streams than without moves (38 for 23 of 57,436), with 2.0 none.
-	moveSpeedup = 2.0
-	// movePause is the pause between two looks for another engine for the same stream; it doubles with each, as the
-	// engines that are full or too slow for one stream are so for some time.
-	movePause = 200 * time.Millisecond
-	// moveOverhead is what the first event at the other engine takes beyond waiting, reading and writing: a
-	// connection, and the pass that is under way there.
+	// minMoveGain is how much earlier the reply must end at the other engine to be worth reading
+	// the prompt again.
+	minMoveGain = 300 * time.Millisecond
+	// minMoveSpeedup is the least ratio of the event intervals here and at the other engine. Moves
+	// between engines of similar pace don't help an answer that is too long for its caller's time:
+	// under steady load without slow engines, 1.5 gave more late streams than no moves (38 for 23
+	// of 57,436), 2.0 gave none.
+	minMoveSpeedup = 2.0
+	// moveRetryInterval is the pause between two searches for another engine for the same stream;
+	// it doubles with each, as engines that are full or too slow for a stream remain so for some
+	// time.
+	moveRetryInterval = 200 * time.Millisecond
+	// moveOverhead is the time of the first event at the other engine beyond waiting, reading and
+	// writing: a connection, and the pass in progress there.
 	moveOverhead = 60 * time.Millisecond
 )
 
-// MovedError reports an attempt that was given up while its reply went on, as it would have ended after its caller's
-// deadline. Another engine goes on with the reply.
+// MovedError reports an attempt that was given up although its reply continued, as it would have
+// ended after its caller's deadline. Another engine continues the reply.
 type MovedError struct {
 	// To is the other engine.
 	To string
-	// Late is how much after the deadline the reply would have ended, and Gain how much earlier it should end at the
-	// other engine.
+	// Late is how far after the deadline the reply would have ended, and Gain how much earlier it
+	// should end at the other engine.
 	Late, Gain time.Duration
 }
 
@@ -48,28 +50,29 @@
 	return fmt.Sprintf("moved to %s, would have ended %v after the deadline, should end %v earlier there", e.To, e.Late, e.Gain)
 }
 
-// isMoved tells whether an attempt was given up as its stream moves.
+// isMoved reports whether an attempt was given up because its stream moves.
 func isMoved(err error) bool {
 	var moved *MovedError
 	return errors.As(err, &moved)
 }
 
-// mover is what a job keeps on looks for another engine.
-type mover struct {
-	// next is when the next look may be, and pause the pause after it.
-	next  time.Time
-	pause time.Duration
-	// noted tells that the pace of the present reply has been learned from.
-	noted bool
-	// looking tells that a place for a move is looked for.
-	looking bool
-	// moving tells that the next place is that of a move.
+// moveState is a job's state about moves to another engine.
+type moveState struct {
+	// nextAttempt is the earliest time of the next search, and retryInterval the pause after it.
+	nextAttempt   time.Time
+	retryInterval time.Duration
+	// paceLearned is set once the slowdown was updated from the present reply.
+	paceLearned bool
+	// placing is set while a place for a move is requested.
+	placing bool
+	// moving is set if the next place is that of a move.
 	moving bool
 }
 
-// Move decides, after an event, whether a stream goes on elsewhere as it would end too late where it is. If so it gets
-// the place for that, and the returned error ends the present attempt. The error is a *SendError; nil to stay.
-func (l *Relayer) Move(ctx context.Context, j *Job, place *Place) error {
+// Move decides, after an event, whether a stream moves because it would end too late at its place.
+// If so, the job's next place is set, and the returned *SendError ends the present attempt; nil to
+// stay.
+func (l *Relayer) Move(ctx context.Context, j *Job, place *Placement) error {
 	ends, late := l.endsLate(j, place)
 	if !late || !l.mayMove(j) || ctx.Err() != nil {
 		return nil
@@ -84,50 +87,52 @@
 	return &SendError{Upstream: place.Upstream.ID, Outcome: retrier.Ran, Err: moved}
 }
 
-// endsLate predicts by the pace of its events when a reply ends, and tells whether that is too late for its caller.
-func (l *Relayer) endsLate(j *Job, place *Place) (ends time.Time, late bool) {
-	if j.events < pacedEvents || j.Route.Kind != matcher.Streaming || l.Placer.Without.Has(ablator.StreamMove) {
+// endsLate predicts the end of a reply by the pace of its events, and whether that is too late for
+// its caller.
+func (l *Relayer) endsLate(j *Job, place *Placement) (ends time.Time, late bool) {
+	if j.events < minPacedEvents || j.Route.Kind != matcher.Streaming || l.Placer.Without.Has(ablator.StreamMove) {
 		return time.Time{}, false
 	}
 	now := l.Clock.Now()
-	if now.Before(j.mover.next) {
+	if now.Before(j.mover.nextAttempt) {
 		return time.Time{}, false
 	}
-	e := l.engineOf(j)
+	e := l.engineFor(j)
 	if e == nil {
 		return time.Time{}, false
 	}
-	_, _, expected := j.size(e)
+	_, _, expected := j.tokenCounts(e)
 	if expected == 0 {
 		return time.Time{}, false
 	}
 	stride := max(1, e.Stride)
 	left := time.Duration((expected + stride - 1) / stride)
-	ends = now.Add(left * l.perEvent(j, place, now.Sub(j.begunAt)))
+	ends = now.Add(left * l.eventInterval(j, place, now.Sub(j.begunAt)))
 	return ends, ends.Sub(j.Deadline) > moveMargin
 }
 
-// perEvent is how long an event of the present reply should take whose events took a time so far. The agent's prediction counts
-// as much as events seen for PaceSpan: a pace that changes that often says little of the rest of a reply.
-func (l *Relayer) perEvent(j *Job, place *Place, took time.Duration) time.Duration {
+// eventInterval predicts the time per event of the present reply, whose events took this long so
+// far. The agent's prediction has the weight of PaceSpan of observed events, as the pace varies too
+// much for shorter observation to predict the rest.
+func (l *Relayer) eventInterval(j *Job, place *Placement, took time.Duration) time.Duration {
 	events := float64(j.events - 1)
 	observed := took.Seconds() / events
-	if place.event <= 0 {
-		return seconds(observed)
+	if place.eventInterval <= 0 {
+		return secondsToDuration(observed)
 	}
-	if took >= scheduler.PaceSpan && !j.mover.noted {
-		j.mover.noted = true
-		l.slowdowns.note(j.Service, observed/place.event.Seconds())
+	if took >= scheduler.PaceSpan && !j.mover.paceLearned {
+		j.mover.paceLearned = true
+		l.slowdowns.record(j.Service, observed/place.eventInterval.Seconds())
 	}
-	predicted := l.slowdowns.of(j.Service) * place.event.Seconds()
+	predicted := l.slowdowns.get(j.Service) * place.eventInterval.Seconds()
 	span := scheduler.PaceSpan.Seconds()
-	return seconds((span*predicted + took.Seconds()*observed) / (span + took.Seconds()))
+	return secondsToDuration((span*predicted + took.Seconds()*observed) / (span + took.Seconds()))
 }
 
-func seconds(s float64) time.Duration { return time.Duration(s * float64(time.Second)) }
+func secondsToDuration(s float64) time.Duration { return time.Duration(s * float64(time.Second)) }
 
-// engineOf are the figures of the engines that serve a job; nil for a plain service.
-func (l *Relayer) engineOf(j *Job) *matcher.Engine {
+// engineFor returns the configuration of the engines that serve a job; nil for a plain service.
+func (l *Relayer) engineFor(j *Job) *matcher.Engine {
 	view := l.Registrar.View()
 	if view == nil || view.Table == nil || view.Table.Services[j.Service] == nil {
 		return nil
@@ -135,53 +140,54 @@
 	return view.Table.Services[j.Service].Engine
 }
 
-// mayMove tells whether a stream may go on elsewhere although its upstream is well.
+// mayMove reports whether a stream may move although its upstream works.
 func (l *Relayer) mayMove(j *Job) bool {
 	if !j.repeatable() || j.attempts+1 >= j.Route.MaxAttempts || j.sends >= maxSends {
 		return false
 	}
-	// One upstream alone may get a request with a blamed part.
+	// Only one upstream may get a request with a blamed part.
 	return l.Placer.Without.Has(ablator.PromptBlame) || !l.Localizer.AnyBlamed(j.SharedParts())
 }
 
-// placeMove gets a place at which a stream ends in time that would end at a moment where it is; nil if there is none.
-func (l *Relayer) placeMove(ctx context.Context, j *Job, ends time.Time) *Place {
+// placeMove reserves a place at which a stream ends in time, if it would end at the given time
+// where it is; nil if there is none.
+func (l *Relayer) placeMove(ctx context.Context, j *Job, ends time.Time) *Placement {
 	began := l.Clock.Now()
-	j.mover.pause = max(movePause, 2*j.mover.pause)
-	j.mover.next = began.Add(j.mover.pause)
+	j.mover.retryInterval = max(moveRetryInterval, 2*j.mover.retryInterval)
+	j.mover.nextAttempt = began.Add(j.mover.retryInterval)
 	again := j.Again
-	j.Again, j.mover.looking = true, true
-	place, err := l.Placer.placeNow(ctx, j)
-	j.Again, j.mover.looking = again, false
+	j.Again, j.mover.placing = true, true
+	place, err := l.Placer.placeOnce(ctx, j)
+	j.Again, j.mover.placing = again, false
 	if err != nil || place == nil {
 		return nil
 	}
 	if !l.worthMoving(j, place, began, ends) {
-		place.Ended()
+		place.Release()
 		return nil
 	}
 	if !l.Budgets.Of(j.Service).Take() {
 		l.log(j, "No retry left in the budget", nil)
-		place.Ended()
+		place.Release()
 		return nil
 	}
 	l.count("retries")
 	return place
 }
 
-// worthMoving tells whether a stream that would end at a moment where it is, and had its last event at another one, should go on
-// at a place.
-func (l *Relayer) worthMoving(j *Job, place *Place, last, ends time.Time) bool {
+// worthMoving reports whether a stream should continue at a place, given the time of its last event
+// and its predicted end where it is.
+func (l *Relayer) worthMoving(j *Job, place *Placement, last, ends time.Time) bool {
 	if place.Ends.IsZero() {
 		return false
 	}
 	first := l.Clock.Now().Add(place.First)
-	slowdown := l.slowdowns.of(j.Service)
+	slowdown := l.slowdowns.get(j.Service)
 	there := first.Add(time.Duration(slowdown * float64(place.Ends.Sub(first))))
-	if there.After(j.Deadline) || ends.Sub(there) < moveGain {
+	if there.After(j.Deadline) || ends.Sub(there) < minMoveGain {
 		return false
 	}
-	if observed := l.Clock.Since(j.begunAt).Seconds() / float64(j.events-1); observed < moveSpeedup*slowdown*place.event.Seconds() {
+	if observed := l.Clock.Since(j.begunAt).Seconds() / float64(j.events-1); observed < minMoveSpeedup*slowdown*place.eventInterval.Seconds() {
 		return false
 	}
 	pause := l.Clock.Since(last) + place.First + moveOverhead
--- a/internal/relayer/move_test.go
+++ b/internal/relayer/move_test.go
@@ -23,23 +23,23 @@
 	*world
 	slow once
 	// left is closed when the slow one's reply is given up.
-	left chan struct{}
+	abandoned chan struct{}
 }
 
 // movingEvents is how many events a stream of unevenEngines has.
 const movingEvents = 50
 
 func newUnevenEngines(t *testing.T) *unevenEngines {
-	u := &unevenEngines{left: make(chan struct{})}
+	u := &unevenEngines{abandoned: make(chan struct{})}
 	u.world = engines(t, u.answer, openLedger(12), openLedger(12)).resumable(true)
-	u.relayer.NotePace(&relayer.Place{Upstream: u.registrar.View().Upstreams[0]}, 1)
+	u.relayer.RecordPace(&relayer.Placement{Upstream: u.registrar.View().Upstreams[0]}, 1)
 	return u
 }
 
 // Guards against predictions for services that don't call for them: all their requests have one priority, and no
 // upstream has stated a pace.
 func TestStreamsStayWhereNoUpstreamStatesAPace(t *testing.T) {
-	u := &unevenEngines{left: make(chan struct{})}
+	u := &unevenEngines{abandoned: make(chan struct{})}
 	u.world = engines(t, u.answer, openLedger(12), openLedger(12)).resumable(true)
 	must.True(t, u.ask(t).broken)
 	must.Eq(t, 0, u.moves())
@@ -59,7 +59,7 @@
 	}
 	for i := 1; i <= movingEvents; i++ {
 		if _, err := conn.Write([]byte(chunked(event(i)))); err != nil {
-			close(u.left)
+			close(u.abandoned)
 			return true
 		}
 		time.Sleep(60 * time.Millisecond)
@@ -90,7 +90,7 @@
 	}
 	must.Eq(t, whole.String(), a.body)
 	must.Eq(t, 1, u.moves())
-	<-u.left
+	<-u.abandoned
 	for i := range 2 {
 		id := fmt.Sprintf("engine-%d", i)
 		must.SliceLen(t, 1, u.upstreams[i].came())
@@ -132,7 +132,7 @@
 	return messenger.Verdict{Granted: true, Version: 1, Slots: 12, TakesMS: time.Minute.Milliseconds()}, nil
 }
 
-func (slowAgent) Tell(messenger.Progress) {}
+func (slowAgent) SendProgress(messenger.Progress) {}
 
 // Guards against streams that are begun, and engines that are asked, although the shortest likely answer takes longer than
 // the caller waits.
--- a/internal/relayer/pace.go
+++ b/internal/relayer/pace.go
@@ -13,33 +13,36 @@
 )
 
 const (
-	// hintWeight is how much of an answer's length, in the logarithm, is taken from its hint; the rest is the usual
-	// length. Lengths are spread by 0.76 in the logarithm where their standard deviation is 0.9 of the mean, and
-	// hints by 0.5 around them, so that long hints mostly belong to shorter answers.
+	// hintWeight is the weight of the hint in the logarithm of an answer's expected length; the
+	// rest is that of the usual length. Lengths have a logarithmic spread of 0.76 where their
+	// standard deviation is 0.9 of the mean, and hints one of 0.5 around them, so long hints mostly
+	// belong to shorter answers.
 	hintWeight = 0.7
-	// leastRest is the part of the expected answer that a stream still has to come at least, however long it is: of
-	// answers spread as above that are as long as hinted, or up to twice as long, half have that much left.
-	leastRest = 0.4
-	// halfFull is the part of an engine's slots that the predictions of an entry assume to be taken.
-	halfFull = 0.5
+	// minRemainingShare is the least part of the expected answer assumed to remain of a stream,
+	// whatever its length: of answers spread as above that are as long as hinted, or up to twice as
+	// long, half have that much left.
+	minRemainingShare = 0.4
+	// assumedOccupancy is the part of an engine's slots that an entry's predictions assume to be in
+	// use.
+	assumedOccupancy = 0.5
 )
 
-// size is a job's size at an engine, in tokens, without what has been delivered of its answer. Expected is 0 if nobody
-// knows how long the answer is.
-func (j *Job) size(e *matcher.Engine) (prompt, answer, expected int) {
+// tokenCounts returns a job's tokens at an engine, without the delivered part of its answer.
+// Expected is 0 if the answer's length is unknown.
+func (j *Job) tokenCounts(e *matcher.Engine) (prompt, answer, expected int) {
 	if !j.predicted {
 		return j.Prompt, j.Answer(), 0
 	}
 	delivered := j.delivered * max(1, e.Stride)
-	prompt, answer = j.Prompt+delivered, j.remaining(j.Answer(), delivered)
+	prompt, answer = j.Prompt+delivered, j.remainingTokens(j.Answer(), delivered)
 	if j.Hint > 0 && j.LastEvent == "" {
-		expected = j.remaining(j.expected(e), delivered)
+		expected = j.remainingTokens(j.expectedAnswer(e), delivered)
 	}
 	return prompt, answer, expected
 }
 
-// expected is how long the whole answer should be by its hint.
-func (j *Job) expected(e *matcher.Engine) int {
+// expectedAnswer is the expected length of the whole answer by its hint.
+func (j *Job) expectedAnswer(e *matcher.Engine) int {
 	expected := float64(j.Hint)
 	if e.UsualAnswer > 0 {
 		expected = math.Pow(expected, hintWeight) * math.Pow(float64(e.UsualAnswer), 1-hintWeight)
@@ -50,78 +53,79 @@
 	return max(1, int(expected))
 }
 
-// remaining is how much is still to come of an answer of an expected size.
-func (j *Job) remaining(expected, delivered int) int {
+// remainingTokens is the part of an answer of an expected length that is still to be generated.
+func (j *Job) remainingTokens(expected, delivered int) int {
 	if delivered == 0 {
 		return expected
 	}
-	rest := max(expected-delivered, int(leastRest*float64(expected)))
+	rest := max(expected-delivered, int(minRemainingShare*float64(expected)))
 	if j.MaxAnswer > 0 {
 		rest = min(rest, j.MaxAnswer-delivered)
 	}
 	return max(1, rest)
 }
 
-// unevenServices are the services of which an upstream has stated a pace: a momentary one in a reply, or that it works
-// slower than its figures. The zero value is ready for use by several goroutines.
-type unevenServices struct{ known sync.Map }
+// pacedServices are the services with an upstream that stated a pace: a momentary one in a reply,
+// or one slower than its configured figures. The zero value is ready for use by several goroutines.
+type pacedServices struct{ known sync.Map }
 
-func (s *unevenServices) add(service string) {
+func (s *pacedServices) add(service string) {
 	if !s.has(service) {
 		s.known.Store(service, true)
 	}
 }
 
-func (s *unevenServices) has(service string) bool {
+func (s *pacedServices) has(service string) bool {
 	_, ok := s.known.Load(service)
 	return ok
 }
 
-// predicts tells whether the ends of a service's streams are predicted, and acted on. Without priorities and with
-// engines that work by their figures, streams are placed by load and distance alone.
-func (p *Placer) predicts(s *matcher.Service) bool { return s.Prioritized || p.uneven.has(s.Name) }
+// predictsEnds reports whether the ends of a service's streams are predicted and acted on. Without
+// priorities and with engines that work at their configured pace, load and distance alone place
+// streams.
+func (p *Placer) predictsEnds(s *matcher.Service) bool { return s.Prioritized || p.paced.has(s.Name) }
 
-// NotePace notes the momentary pace that the reply at a place states; 0 for none.
-func (l *Relayer) NotePace(place *Place, factor float64) {
+// RecordPace records the momentary pace stated by the reply at a place; 0 for none.
+func (l *Relayer) RecordPace(place *Placement, factor float64) {
 	if factor <= 0 {
 		return
 	}
-	l.Placer.uneven.add(place.Upstream.Service)
-	place.pace = scheduler.Momentary{Factor: factor, At: l.Clock.Now()}
+	l.Placer.paced.add(place.Upstream.Service)
+	place.replyPace = scheduler.Momentary{Factor: factor, At: l.Clock.Now()}
 	l.Chooser.Paced(place.Upstream.ID, factor)
 }
 
-// notePaceOf is NotePace for a reply that comes from the upstream for sure.
-func (c *call) notePaceOf(place *Place, r *Reply) {
+// recordReplyPace is RecordPace for a reply that certainly comes from the upstream.
+func (c *call) recordReplyPace(place *Placement, r *Reply) {
 	if r.Sealed && r.ID == c.ID {
-		c.NotePace(place, r.Pace)
+		c.RecordPace(place, r.Pace)
 	}
 }
 
-// statedPace is the pace that the reply at the place stated, for the agent; nil for none.
-func (p *Place) statedPace(now time.Time) *messenger.MomentaryPace {
-	if p.pace.Factor == 0 {
+// paceMessage returns the pace stated by the reply, for the agent; nil for none.
+func (p *Placement) paceMessage(now time.Time) *messenger.MomentaryPace {
+	if p.replyPace.Factor == 0 {
 		return nil
 	}
-	return &messenger.MomentaryPace{Pace: messenger.InHundredths(p.pace.Factor), AgeMS: now.Sub(p.pace.At).Milliseconds()}
+	return &messenger.MomentaryPace{Pace: messenger.InHundredths(p.replyPace.Factor), AgeMS: now.Sub(p.replyPace.At).Milliseconds()}
 }
 
-// notePace notes the pace of an engine that its agent stated.
-func (p *Placer) notePace(u *registrar.UpstreamView, v *messenger.Verdict) {
+// recordAgentPace records the pace of an engine as stated by its agent.
+func (p *Placer) recordAgentPace(u *registrar.UpstreamView, v *messenger.Verdict) {
 	var m scheduler.Momentary
 	if v.Momentary != nil {
 		m = scheduler.Momentary{Factor: v.Momentary.Pace.Factor(), At: p.Chooser.Clock.Now().Add(-v.Momentary.Age())}
 	}
 	if m.Factor > 0 || v.Pace.Factor() > 1 {
-		p.uneven.add(u.Service)
+		p.paced.add(u.Service)
 	}
 	p.Chooser.Reported(u.ID, v.Pace.Factor(), m)
 }
 
-// work is what a job needs at an engine of the normal pace.
-func (p *Placer) work(e *matcher.Engine, j *Job) scheduler.Work {
-	prompt, _, expected := j.size(e)
-	writing := max(1, int(halfFull*float64(e.Slots)))
+// workFor estimates the time that a job needs at an engine of normal pace.
+func (p *Placer) workFor(e *matcher.Engine, j *Job) scheduler.Work {
+	prompt, _, expected := j.tokenCounts(e)
+	writing := max(1, int(assumedOccupancy*float64(e.Slots)))
 	w := scheduler.Work{
 		First: scheduler.ReadTime(e, prompt) + scheduler.PassTime(e, writing),
 		Left:  j.Deadline.Sub(p.Clock.Now()),
@@ -132,10 +136,10 @@
 	return w
 }
 
-// checkCanEnd refuses a job that no engine could end in time, not even with a short answer and alone at one of the normal
-// pace. Errors are *RefusedError.
+// checkCanEnd refuses a job that no engine could end in time, even with a short answer and alone at
+// an engine of normal pace. Errors are *RefusedError.
 func (p *Placer) checkCanEnd(e *matcher.Engine, j *Job) error {
-	prompt, _, expected := j.size(e)
+	prompt, _, expected := j.tokenCounts(e)
 	if expected == 0 || p.Without.Has(ablator.DeadlineAdmission) {
 		return nil
 	}
@@ -146,7 +150,7 @@
 	return p.refuseLate(j)
 }
 
-// refuseLate is the refusal of a job that no engine could end within the time its caller has left.
+// refuseLate refuses a job that no engine could end within its caller's time limit.
 func (p *Placer) refuseLate(j *Job) *RefusedError {
-	return &RefusedError{Reason: "no engine could end it in time", RetryAfter: busyRetry, TooLate: true, Met: j.met}
+	return &RefusedError{Reason: "no engine could end it in time", RetryAfter: defaultRetryAfter, TooLate: true, Met: j.refusals}
 }
--- a/internal/relayer/place.go
+++ b/internal/relayer/place.go
@@ -20,124 +20,124 @@
 )
 
 const (
-	// leastSharers is among how many entries a cold upstream's rate is divided at least:
-	// after a loss of all, each knows only itself at first.
-	leastSharers = 24
-	// busyRetry is the time to come back when nothing better is known.
-	busyRetry = time.Second
+	// minColdSharers is the least number of entries among which a cold upstream's rate is divided:
+	// after a loss of all processes, each entry has only its own record at first.
+	minColdSharers = 24
+	// defaultRetryAfter is the time to come back without a better estimate.
+	defaultRetryAfter = time.Second
 )
 
-// Job is a request that looks for an upstream.
+// Job is a request to be placed at an upstream.
 type Job struct {
 	Request
 	Route     *matcher.Route
 	Workspace *matcher.Workspace
 	Service   string
-	// TableVersion is that of the route table by which the request is served.
+	// TableVersion is the version of the route table by which the request is served.
 	TableVersion uint64
-	// Deadline is when the caller has waited long enough.
+	// Deadline is when the caller's time limit ends.
 	Deadline time.Time
-	// Arrived is when the request came.
+	// Arrived is when the request was received.
 	Arrived time.Time
-	// Again tells that an attempt failed or a stream broke off. What has been done for
-	// the caller would be lost, so it need not be in time.
+	// Again is set after an attempt failed or a stream broke off. To preserve what the caller
+	// already got, such a request may miss its objective.
 	Again bool
-	// Returned requests were refused before and have come back: their objective has
-	// passed meanwhile.
+	// Returned marks requests whose caller comes back after a refusal, and whose objective has
+	// passed therefore.
 	Returned bool
-	// Tried are the upstreams that had it already.
+	// Tried lists the upstreams that already got the request.
 	Tried []string
-	// Version is the version of the weights that a stream has to go on with; 0 for
-	// any.
+	// Version is the version of the weights that a stream must continue on; 0 for any.
 	Version uint64
 
-	met Met
-	// standing is nil at services whose requests all have the same priority.
-	standing *standing
-	// predicted tells that the end of its reply is predicted.
+	refusals RefusalSummary
+	// priority is nil at services whose requests all have the same priority.
+	priority *priorityState
+	// predicted is set if the end of the reply is predicted.
 	predicted bool
-	// metSilence tells that an agent did not answer this request.
-	metSilence bool
+	// agentUnresponsive is set once an agent didn't answer this request.
+	agentUnresponsive bool
 	tries
-	// beyond is why engines should take it in beyond their slow start.
-	beyond scheduler.Beyond
-	// left tells that the caller is gone; nil for one that stays.
-	left func() bool
+	// rampOverride is why engines should admit the request beyond their slow start's limit.
+	rampOverride scheduler.Beyond
+	// callerLeft reports whether the caller has disconnected; nil for one that stays.
+	callerLeft func() bool
 }
 
-// Place is where a request may go now.
-type Place struct {
+// Placement is the result of a placement: the upstream to which a request may be sent.
+type Placement struct {
 	Upstream *registrar.UpstreamView
-	// Wait is the predicted wait before a prompt is read.
+	// Wait is the predicted time until the engine reads the prompt.
 	Wait time.Duration
-	// First is how long its first event should take from the grant on, its wait included.
+	// First is the predicted time from the grant to the first event, Wait included.
 	First time.Duration
-	// Ends is when the reply should end; zero if unknown.
+	// Ends is the predicted end of the reply; zero if unknown.
 	Ends time.Time
-	// Active is how many requests held places at the engine after this one got its
-	// own; 0 when not told.
+	// Active counts the requests with a slot at the engine, this one included; 0 if not stated.
 	Active int
-	// Version binds the attempt to that version of the weights; 0 for any.
+	// Version binds the attempt to this version of the weights; 0 for any.
 	Version uint64
-	// Held is the version that the engine held when the place was granted; 0 when unknown.
+	// Held is the version that the engine held when the slot was granted; 0 if unknown.
 	Held uint64
-	// BeginBy is until when the request may begin on these weights, as its agent says and by the
-	// registrar's clock; zero for any time. An entry that started after an announcement doesn't
-	// know itself.
+	// BeginBy is the latest start of the request on these weights, as stated by its agent and by
+	// the registrar's clock; zero for any time. An entry that started after an announcement can't
+	// determine it by itself.
 	BeginBy time.Time
 
-	// event is how long each further event should take; 0 if unknown.
-	event time.Duration
-	// pace is what the reply there stated of the upstream's momentary pace.
-	pace scheduler.Momentary
+	// eventInterval is the predicted time per further event; 0 if unknown.
+	eventInterval time.Duration
+	// replyPace is the upstream's momentary pace as stated by the reply.
+	replyPace scheduler.Momentary
 
-	started, ended func()
-	// attempt is what the place's upstream did with the request, for its slow start.
-	attempt attemptEnd
+	onStarted, onReleased func()
+	// outcome is what the attempt shows of the upstream, for its slow start.
+	outcome attemptOutcome
 }
 
-// Started tells the agent that the reply has begun: its prompt has been read.
-func (p *Place) Started() { p.started() }
+// ReportStarted reports to the agent that the reply has started, so its prompt has been read.
+func (p *Placement) ReportStarted() { p.onStarted() }
 
-// Ended gives the place back.
-func (p *Place) Ended() { p.ended() }
+// Release gives the slot back.
+func (p *Placement) Release() { p.onReleased() }
 
-// RefusedError reports that no upstream can take a request now.
+// RefusedError reports that no upstream can take a request at present.
 type RefusedError struct {
 	Reason string
-	// RetryAfter is when there may be room; 0 when that is not known.
+	// RetryAfter is when a slot may be free; 0 if unknown.
 	RetryAfter time.Duration
-	// Opens is in how long an engine that loads weights should take requests; 0 when that isn't known.
+	// Opens is the time until an engine that loads weights should take requests; 0 if unknown.
 	Opens time.Duration
-	// Rest is in how long the first upstream that asked for rest takes requests again, if only such
-	// are left; else 0.
+	// Rest is the time until the first upstream ends its backoff, if all those left are backing
+	// off; else 0.
 	Rest time.Duration
-	// TooLate tells that no engine could end the reply within the time its caller has left.
+	// TooLate is set if no engine could end the reply within the caller's time limit.
 	TooLate bool
-	// Met is what the request met at the upstreams.
-	Met Met
-	// Blame is why the request is refused wherever it goes; nil for another reason.
+	// Met summarizes the refusals that the request encountered.
+	Met RefusalSummary
+	// Blame is set if the request is refused wherever it is sent; else nil.
 	Blame *localizer.Blame
-	// Shutdown is why the request is refused by an entry that leaves; nil for another reason.
+	// Shutdown is set if the request is refused because the entry shuts down; else nil.
 	Shutdown *ShutdownError
 }
 
-// Met counts what became of a request's questions, for the log: most refusals have no line at
-// any agent, as engines known to be full or closed aren't asked.
-type Met struct {
-	// Full engines had no place when asked, Closed ones took nothing, as WhyClosed says of
-	// the last of them; over all rounds.
+// RefusalSummary counts the results of a request's reservations, for the log. Most refusals are in
+// no agent's log, as engines already marked full or closed aren't asked.
+type RefusalSummary struct {
+	// Full counts engines without a free slot, Closed those that take no requests, with the reason
+	// of the last one in WhyClosed; over all rounds.
 	Full, Closed int
 	WhyClosed    string
-	// Kept engines had slots that they keep for others, as WhyKept says; over all rounds.
+	// Kept counts engines whose free slots are kept for others, for the reason in WhyKept; over all
+	// rounds.
 	Kept    int
 	WhyKept string
-	// PassedOver engines had no place or were closed shortly before, Unasked ones came too
-	// late in the order, and the agents of Silent ones don't answer; at Connections of them
-	// this entry had all its connections in use; at EndsLate of them the reply could not have ended
-	// before this entry does, at CallerLeaves not before the caller leaves; in the last round.
+	// PassedOver counts engines recently found full or closed, Unasked those not asked in time,
+	// Silent those with unresponsive agents, Connections those at which this entry has all its
+	// connections in use, EndsLate those where the reply could not end before this entry does,
+	// CallerLeaves those where it could not end before the caller leaves; in the last round.
 	PassedOver, Unasked, Silent, Connections, EndsLate, CallerLeaves int
-	// Ramping engines kept the request out for their slow start alone, in the last round.
+	// Ramping counts engines that refused the request only because of their slow start, in the last
+	// round.
 	Ramping int
 }
 
@@ -145,48 +145,46 @@
 	return fmt.Sprintf("%s, room in %v", e.Reason, e.RetryAfter)
 }
 
-// Placer finds upstreams for requests. Set the exported fields before use.
+// Placer places requests at upstreams. Set the exported fields before use.
 type Placer struct {
 	Registrar *registrar.Registrar
 	Chooser   *scheduler.Chooser
-	// Clock is that of the requests' deadlines; the registrar may have another.
+	// Clock is the clock of the requests' deadlines; the registrar may have another.
 	Clock clock.Clock
-	// FailureDomain and Region are this entry's, Regions those of all failure domains.
+	// FailureDomain and Region are this entry's, Regions maps all failure domains to theirs.
 	FailureDomain, Region string
 	Regions               map[string]string
-	// AgentPort is where the agent beside an engine listens, on the engine's own
-	// address.
+	// AgentPort is the port of the agent beside an engine, at the engine's address.
 	AgentPort uint16
-	// Agents are the clients of the agents; their timeout should be AskTimeout.
+	// Agents are the clients of the agents; their timeout should be ReserveTimeout.
 	Agents *messenger.Clients
-	// Reach gives the road to an agent; nil for the network, by Agents.
+	// Reach returns the connection to an agent; nil for Agents over the network.
 	Reach func(agent netip.AddrPort) Agent
-	// WeightsBound is how long after the naming of a version older weights may begin
-	// a reply.
+	// WeightsBound is how long after the announcement of a version a reply may still start on older
+	// weights.
 	WeightsBound time.Duration
-	// ColdFactor and ColdSlack bound what a cold upstream may get from all entries in a
-	// second: so many times its rate, and a number besides.
+	// ColdFactor and ColdSlack bound the requests per second from all entries to a cold upstream: a
+	// multiple of its rate, plus a constant.
 	ColdFactor, ColdSlack float64
-	// Observer keeps what upstreams state of themselves; nil for upstreams that state nothing.
+	// Observer keeps the statements of upstreams; nil if they make none.
 	Observer *observer.Observer
-	// Shutdown tells of this entry's end; nil for one that doesn't leave.
+	// Shutdown states this entry's shutdown; nil for one that doesn't shut down.
 	Shutdown Shutdown
-	// Metrics counts what became of late requests that looked for a slot; nil for no count.
+	// Metrics counts the outcomes of late requests that waited for a slot; nil for no count.
 	Metrics metrics.Registry
-	// Without are the mechanisms that an experiment switches off.
+	// Without lists the mechanisms that an experiment disables.
 	Without ablator.Set
 
-	uneven     unevenServices
+	paced      pacedServices
 	contention scheduler.Contention
 	lateWaits  scheduler.LateWaits
-	// fullMarks and admission decide at services whose requests have priorities.
+	// fullMarks and admission apply to services whose requests have priorities.
 	fullMarks scheduler.FullMarks
 	admission scheduler.Admission
 }
 
-// placeNow finds an upstream that takes a request at once. Errors are *RefusedError and the
-// context's.
-func (p *Placer) placeNow(ctx context.Context, j *Job) (*Place, error) {
+// placeOnce places a request without waiting. Errors are *RefusedError and the context's.
+func (p *Placer) placeOnce(ctx context.Context, j *Job) (*Placement, error) {
 	view := p.Registrar.View()
 	service := view.Table.Services[j.Service]
 	switch {
@@ -195,19 +193,19 @@
 	case service.Engine == nil:
 		return p.placeAtService(view, j)
 	default:
-		j.predicted = p.predicts(service)
+		j.predicted = p.predictsEnds(service)
 		return p.placeAtEngine(ctx, view, service, j)
 	}
 }
 
-// eligible lists the upstreams to which the request may go by what they state of themselves and by
-// what route and workspace allow. Errors are *RefusedError: there is none.
+// eligible lists the upstreams that the request may use by their own statements and by its route
+// and workspace. The error is a *RefusedError if there is none.
 func (p *Placer) eligible(view *registrar.View, j *Job) ([]*registrar.UpstreamView, error) {
 	all := view.Service(j.Service)
 	us := make([]*registrar.UpstreamView, 0, len(all))
 	var rest time.Duration
 	for _, u := range all {
-		if slices.Contains(j.Tried, u.ID) || !p.reachable(view, u, j) {
+		if slices.Contains(j.Tried, u.ID) || !p.mayUse(view, u, j) {
 			continue
 		}
 		switch t := p.terms(u); {
@@ -222,19 +220,19 @@
 	case len(us) > 0:
 		return us, nil
 	case rest > 0:
-		return nil, &RefusedError{Reason: "all upstreams asked for rest", RetryAfter: busyRetry, Rest: rest}
+		return nil, &RefusedError{Reason: "all upstreams asked for rest", RetryAfter: defaultRetryAfter, Rest: rest}
 	default:
-		return nil, &RefusedError{Reason: "no upstream", RetryAfter: busyRetry}
+		return nil, &RefusedError{Reason: "no upstream", RetryAfter: defaultRetryAfter}
 	}
 }
 
-// reachable tells whether a request may go to an upstream by what its route, its workspace and the
-// operators allow.
-func (p *Placer) reachable(view *registrar.View, u *registrar.UpstreamView, j *Job) bool {
-	return !view.Drained(u.FailureDomain) && p.permitted(u, j)
+// mayUse reports whether a request may use an upstream by its route, its workspace and the
+// operators' drains.
+func (p *Placer) mayUse(view *registrar.View, u *registrar.UpstreamView, j *Job) bool {
+	return !view.Drained(u.FailureDomain) && p.regionPermitted(u, j)
 }
 
-func (p *Placer) permitted(u *registrar.UpstreamView, j *Job) bool {
+func (p *Placer) regionPermitted(u *registrar.UpstreamView, j *Job) bool {
 	if len(j.Route.Regions) == 0 && (j.Workspace == nil || len(j.Workspace.Regions) == 0) {
 		return true
 	}
@@ -242,9 +240,9 @@
 	return matcher.Permits(j.Route.Regions, region) && (j.Workspace == nil || matcher.Permits(j.Workspace.Regions, region))
 }
 
-// order ranks upstreams by promise. The model is that which engines should hold; empty
-// for plain services.
-func (p *Placer) order(us []*registrar.UpstreamView, model string, w scheduler.Work) *scheduler.Ranking {
+// rank orders upstreams by preference. The model is the one that the engines should hold; empty for
+// plain services.
+func (p *Placer) rank(us []*registrar.UpstreamView, model string, w scheduler.Work) *scheduler.Ranking {
 	candidates := make([]scheduler.Candidate, 0, len(us))
 	for _, u := range us {
 		candidates = append(candidates, scheduler.Candidate{
@@ -266,70 +264,69 @@
 	}
 }
 
-// placeAtService places a request at a plain service. These have no agent: the own
-// count and the load on their replies must do.
-func (p *Placer) placeAtService(view *registrar.View, j *Job) (*Place, error) {
+// placeAtService places a request at a plain service. Without an agent, it relies on this entry's
+// own count and the load stated in replies.
+func (p *Placer) placeAtService(view *registrar.View, j *Job) (*Placement, error) {
 	us, err := p.eligible(view, j)
 	if err != nil {
 		return nil, err
 	}
 	if !p.admitPlain(j) {
-		return nil, &RefusedError{Reason: scheduler.KeptForUrgent, RetryAfter: busyRetry}
+		return nil, &RefusedError{Reason: scheduler.KeptForUrgent, RetryAfter: defaultRetryAfter}
 	}
 	reason := "all upstreams cold"
-	order := p.order(us, "", scheduler.Work{})
+	order := p.rank(us, "", scheduler.Work{})
 	for i, ok := order.Next(); ok; i, ok = order.Next() {
 		u := us[i]
-		if limit := p.connections(u); limit > 0 && p.Chooser.Running(u.ID) >= limit {
+		if limit := p.connectionLimit(u); limit > 0 && p.Chooser.Running(u.ID) >= limit {
 			reason = "all upstreams have all connections in use"
 			continue
 		}
-		if !p.coldPass(view, u) {
+		if !p.admitCold(view, u) {
 			continue
 		}
-		if !p.limitPass(view, u) {
+		if !p.admitByLimit(view, u) {
 			reason = "all upstreams at their rate limit"
 			continue
 		}
 		p.Chooser.Begin(u.ID)
-		return &Place{Upstream: u, started: func() {}, ended: func() { p.Chooser.End(u.ID) }}, nil
+		return &Placement{Upstream: u, onStarted: func() {}, onReleased: func() { p.Chooser.End(u.ID) }}, nil
 	}
-	return nil, &RefusedError{Reason: reason, RetryAfter: busyRetry}
+	return nil, &RefusedError{Reason: reason, RetryAfter: defaultRetryAfter}
 }
 
-// coldPass tells whether an upstream without an agent may get one more request now. A
-// cold one bears only so many a second from all entries together; each takes its part.
-func (p *Placer) coldPass(view *registrar.View, u *registrar.UpstreamView) bool {
+// admitCold reports whether an upstream without an agent may get one more request. A cold one can
+// serve only a limited rate from all entries together, and each uses its share.
+func (p *Placer) admitCold(view *registrar.View, u *registrar.UpstreamView) bool {
 	service := view.Table.Services[u.Service]
 	if service == nil || service.ColdRate <= 0 || u.ColdFor() == 0 {
 		return true
 	}
 	return p.Chooser.ColdPass(u.ID, scheduler.RateShare{
 		Rate: service.ColdRate, Bound: max(1, p.ColdFactor)*service.ColdRate + p.ColdSlack,
-		Sharers: max(leastSharers, len(view.Members)),
+		Sharers: max(minColdSharers, len(view.Members)),
 	})
 }
 
 const (
-	// connectionsPart is the part of an upstream's connections that entries divide among
-	// them. The rest is for entries that are not known, and for connections that are closed
-	// here and still count there.
-	connectionsPart = 0.8
-	// leastConnectionSharers is among how many entries they are divided at least.
-	leastConnectionSharers = 6
+	// connectionsShare is the part of an upstream's connections that the known entries divide. The
+	// rest is for unknown entries and for connections closed here that still count there.
+	connectionsShare = 0.8
+	// minConnectionSharers is the least number of entries among which they are divided.
+	minConnectionSharers = 6
 )
 
-// connections is how many this entry may have at an upstream; 0 for any.
-func (p *Placer) connections(u *registrar.UpstreamView) int {
+// connectionLimit is how many connections this entry may have to an upstream; 0 for any.
+func (p *Placer) connectionLimit(u *registrar.UpstreamView) int {
 	view := p.Registrar.View()
 	service := view.Table.Services[u.Service]
 	if service == nil || service.Connections <= 0 {
 		return 0
 	}
-	return scheduler.Part(service.Connections, connectionsPart, max(leastConnectionSharers, len(view.Members)))
+	return scheduler.Part(service.Connections, connectionsShare, max(minConnectionSharers, len(view.Members)))
 }
 
-// Sweep closes the connections to agents whose engines are gone.
+// Sweep closes the connections to agents whose engines have left.
 func (p *Placer) Sweep() {
 	view := p.Registrar.View()
 	if view == nil {
--- a/internal/relayer/place_test.go
+++ b/internal/relayer/place_test.go
@@ -58,7 +58,7 @@
 }
 
 // granted is how many of many entries send a request to the engine at once.
-func granted(t *testing.T, cold time.Duration) int {
+func countPlaced(t *testing.T, cold time.Duration) int {
 	t.Helper()
 	n := 0
 	for seed := range uint64(46) {
@@ -78,9 +78,9 @@
 // what the agent grants to others; a cold engine falls over under it, and all that it
 // runs is lost.
 func TestColdEngineGetsNothingUnasked(t *testing.T) {
-	must.Eq(t, 0, granted(t, 3*time.Second))
+	must.Eq(t, 0, countPlaced(t, 3*time.Second))
 	// A warm engine whose agent alone is gone goes on serving.
-	must.Eq(t, 46, granted(t, 0))
+	must.Eq(t, 46, countPlaced(t, 0))
 }
 
 // An entry tells ages by a clock that counts suspended time, and deadlines by the steady
@@ -104,7 +104,7 @@
 func TestFrozenVMGetsNothingUnasked(t *testing.T) {
 	c := clocktest.NewFakeClock(time.Unix(1000, 0))
 	p, table := newPlacer(c, 0, 1)
-	freezeAgent(t, p)
+	suspendAgent(t, p)
 	must.False(t, placed(p, c, table))
 	// Its replies go on, so it is the agent alone that is late.
 	p.Chooser.Alive("engine")
@@ -115,12 +115,12 @@
 
 // freezeAgent gives the engine of a placer an agent on a frozen VM: the kernel takes connections, and
 // nobody reads from them.
-func freezeAgent(t *testing.T, p *relayer.Placer) {
+func suspendAgent(t *testing.T, p *relayer.Placer) {
 	l, err := net.Listen("tcp", "127.0.0.1:0")
 	must.NoError(t, err)
 	t.Cleanup(func() { l.Close() })
 	p.AgentPort = netip.MustParseAddrPort(l.Addr().String()).Port()
-	p.Agents.Timeout = relayer.AskTimeout
+	p.Agents.Timeout = relayer.ReserveTimeout
 }
 
 // An engine's VM freezes right after an event. Its agent is silent at once; how long is the engine
@@ -128,7 +128,7 @@
 func TestFrozenVMGetsNothingUnaskedAfterItsLastEvent(t *testing.T) {
 	c := clocktest.NewFakeClock(time.Unix(1000, 0))
 	p, table := newPlacer(c, 0, 1)
-	freezeAgent(t, p)
+	suspendAgent(t, p)
 	p.Chooser.Alive("engine")
 	var sent []time.Duration
 	for d := time.Duration(0); d <= 500*time.Millisecond; d += 50 * time.Millisecond {
@@ -150,11 +150,11 @@
 func TestEngineTwoVersionsBehindGetsNothingUnasked(t *testing.T) {
 	c := clocktest.NewFakeClock(time.Unix(1000, 0))
 	p, table := newPlacer(c, 0, 1)
-	name(p.Registrar, 2)
+	announce(p.Registrar, 2)
 	must.True(t, placed(p, c, table), must.Sprint("version 1 is allowed for a while"))
 	c.Step(9 * time.Second)
 	must.False(t, placed(p, c, table))
-	name(p.Registrar, 3)
+	announce(p.Registrar, 3)
 	must.False(t, placed(p, c, table))
 }
 
@@ -164,14 +164,14 @@
 func TestNamingMissedByAStoppedEntryCounts(t *testing.T) {
 	c := clocktest.NewFakeClock(time.Unix(1000, 0))
 	p, table := newPlacer(c, 0, 1)
-	name(p.Registrar, 1)
+	announce(p.Registrar, 1)
 	must.True(t, placed(p, c, table))
 	at, _, _ := p.Registrar.At()
 	seen, _ := newPlacer(c, 0, 1)
 	seen.Registrar.Apply(p.Registrar.Since(0))
-	name(seen.Registrar, 2)
+	announce(seen.Registrar, 2)
 	c.Step(9 * time.Second)
-	name(seen.Registrar, 3)
+	announce(seen.Registrar, 3)
 	p.Registrar.Apply(seen.Registrar.Since(at))
 	must.False(t, placed(p, c, table))
 }
@@ -184,9 +184,9 @@
 func TestGrantOnOldWeightsIsNotUsed(t *testing.T) {
 	c := clocktest.NewFakeClock(time.Unix(1000, 0))
 	p, table := newPlacer(c, 0, 1)
-	a := grant(t, p, messenger.Verdict{Granted: true, Version: 1, Slots: 12})
+	a := serveVerdict(t, p, messenger.Verdict{Granted: true, Version: 1, Slots: 12})
 	must.True(t, placed(p, c, table))
-	name(p.Registrar, 2)
+	announce(p.Registrar, 2)
 	c.Step(7200 * time.Millisecond)
 	must.True(t, placed(p, c, table), must.Sprint("version 1 is allowed until 0.7 s before the bound"))
 	c.Step(200 * time.Millisecond)
@@ -204,21 +204,21 @@
 func TestEntryThatStartsLeavesOldWeightsToTheAgents(t *testing.T) {
 	c := clocktest.NewFakeClock(time.Unix(1000, 0))
 	seen, table := newPlacer(c, 0, 1)
-	name(seen.Registrar, 2)
+	announce(seen.Registrar, 2)
 	p, _ := newPlacer(c, 0, 1)
 	p.Registrar = restarted(seen.Registrar)
-	grant(t, p, messenger.Verdict{Granted: true, Version: 1, Slots: 12, BeginWithinMS: 7000})
+	serveVerdict(t, p, messenger.Verdict{Granted: true, Version: 1, Slots: 12, BeginWithinMS: 7000})
 	must.True(t, placed(p, c, table))
 }
 
 // willingAgent is an agent that says the same to everybody.
-type willingAgent struct{ asked, ended atomic.Int32 }
+type grantingAgent struct{ asked, ended atomic.Int32 }
 
 // grant gives the engine of a placer a willingAgent.
-func grant(t *testing.T, p *relayer.Placer, v messenger.Verdict) *willingAgent {
+func serveVerdict(t *testing.T, p *relayer.Placer, v messenger.Verdict) *grantingAgent {
 	l, err := net.Listen("tcp", "127.0.0.1:0")
 	must.NoError(t, err)
-	a := &willingAgent{}
+	a := &grantingAgent{}
 	s := &messenger.Server{Listener: l, OnLost: func(*messenger.Link) {},
 		OnProgress: func(p messenger.Progress, _ *messenger.Link) { a.ended.Add(int32(len(p.Ended))) },
 		OnReserve: func(messenger.Reservation, *messenger.Link) messenger.Verdict {
@@ -236,7 +236,7 @@
 // listener of an agent.
 func newLateAgent(t *testing.T, c *clocktest.FakeClock) (*relayer.Placer, *matcher.Table, *scheduler.Ledger, net.Listener) {
 	p, table := newPlacer(c, time.Hour, 1)
-	p.Agents.Timeout = relayer.AskTimeout
+	p.Agents.Timeout = relayer.ReserveTimeout
 	ledger := &scheduler.Ledger{Clock: c}
 	ledger.Open(table.Services["engines"].Engine)
 	l, err := net.Listen("tcp", "127.0.0.1:0")
@@ -285,7 +285,7 @@
 }
 
 // name makes a version the one to hold.
-func name(r *registrar.Registrar, version byte) {
+func announce(r *registrar.Registrar, version byte) {
 	at, _, _ := r.At()
 	r.Apply(registrar.Batch{After: at, At: at + 1, Records: []registrar.Record{
 		{Key: "weights", Value: []byte{version}, Revision: at + 1}}})
--- a/internal/relayer/priority_test.go
+++ b/internal/relayer/priority_test.go
@@ -30,7 +30,7 @@
 	return a.verdict(r), nil
 }
 
-func (scriptedAgent) Tell(messenger.Progress) {}
+func (scriptedAgent) SendProgress(messenger.Progress) {}
 
 // newPrioritized makes an entry with a live and a batch route before engines whose agents answer as scripted.
 func newPrioritized(engines int, verdict func(messenger.Reservation) messenger.Verdict) (d *decider, live, batch relayer.Job, asked *[]messenger.Reservation) {
@@ -68,18 +68,18 @@
 	}
 }
 
-func kept(r messenger.Reservation) messenger.Verdict {
+func keepsForUrgent(r messenger.Reservation) messenger.Verdict {
 	return messenger.Verdict{Granted: *r.Priority == 0, Kept: scheduler.KeptForUrgent, Version: 1, FreeMS: 100, Active: 11, Slots: 12}
 }
 
 // Guards against a refused caller, or an operator, who reads that all engines are full while slots are kept for
 // others; and against urgent requests that pass over an engine which keeps a slot for them.
 func TestRequestRefusedForUrgentOnesIsToldSo(t *testing.T) {
-	d, live, batch, asked := newPrioritized(3, kept)
+	d, live, batch, asked := newPrioritized(3, keepsForUrgent)
 	var refused *relayer.RefusedError
 	must.True(t, errors.As(d.place(&batch), &refused))
 	must.Eq(t, scheduler.KeptForUrgent, refused.Reason)
-	must.True(t, refused.Kept())
+	must.True(t, refused.KeptForOthers())
 	must.Positive(t, refused.Met.Kept)
 	refusals := 0
 	for i, r := range *asked {
@@ -133,7 +133,7 @@
 // Guards against callers that were refused together and come back together, against the least urgent ones that
 // come back first, and against a time that callers don't wait for.
 func TestRefusedCallersComeBackByPriority(t *testing.T) {
-	d, live, batch, _ := newPrioritized(1, kept)
+	d, live, batch, _ := newPrioritized(1, keepsForUrgent)
 	estimate := 200 * time.Millisecond
 	for _, patience := range []time.Duration{6 * time.Second, 900 * time.Millisecond} {
 		sum, distinct := map[string]time.Duration{}, map[time.Duration]bool{}
@@ -158,7 +158,7 @@
 // A plain service has no agent to ask. Guards against less urgent requests that fill its upstreams while these
 // refuse, and against the most urgent ones being held back as well.
 func TestPlainServiceInAShortageTakesUrgentRequests(t *testing.T) {
-	d, live, batch, _ := newPrioritized(3, kept)
+	d, live, batch, _ := newPrioritized(3, keepsForUrgent)
 	table := d.Registrar.View().Table
 	table.Services["engines"].Engine = nil
 	for _, r := range table.Routes {
@@ -184,12 +184,12 @@
 		sent, j := false, e.job
 		j.Arrived = d.clock.Now()
 		d.Admit(&j)
-		err := d.Serve(context.Background(), &j, func(context.Context, *relayer.Place) error {
+		err := d.Serve(context.Background(), &j, func(context.Context, *relayer.Placement) error {
 			sent = true
 			return e.answer
 		})
 		must.Eq(t, e.sent, sent)
 		var refused *relayer.RefusedError
-		must.True(t, sent || errors.As(err, &refused) && refused.Kept())
+		must.True(t, sent || errors.As(err, &refused) && refused.KeptForOthers())
 	}
 }
--- a/internal/relayer/ramp.go
+++ b/internal/relayer/ramp.go
@@ -15,66 +15,68 @@
 	"github.com/oriolecroft/oriolecroft/internal/scheduler"
 )
 
-// attemptEnd is how an attempt ended, as far as it tells of its upstream.
-type attemptEnd uint8
+// attemptOutcome is what an attempt's end shows of its upstream.
+type attemptOutcome uint8
 
 const (
-	attemptUnjudged attemptEnd = iota
+	attemptNeutral attemptOutcome = iota
 	attemptFailed
 	attemptRefused
 )
 
-// progressAtEnd is what an agent learns when a request needs its slot no more.
-func (p *Place) progressAtEnd(id string) messenger.Progress {
+// endProgress is the progress reported to an agent when a request frees its slot.
+func (p *Placement) endProgress(id string) messenger.Progress {
 	progress := messenger.Progress{Ended: []string{id}}
-	switch p.attempt {
+	switch p.outcome {
 	case attemptFailed:
 		progress.Failed = progress.Ended
 	case attemptRefused:
 		progress.Refused = progress.Ended
-	case attemptUnjudged:
+	case attemptNeutral:
 	}
 	return progress
 }
 
-// judge notes at its place how an attempt ended. What its caller or this entry ended tells nothing of
-// the upstream. Silence is judged by the agent's own clock, and a connection that was never made by its look
-// at the engine.
-func (j *Job) judge(place *Place, err error) {
+// recordOutcome records at its place how an attempt ended. An end by the caller or this entry shows
+// nothing of the upstream. The agent detects an unresponsive engine by its own timeout, and a
+// failed connection by its checks of the engine.
+func (j *Job) recordOutcome(place *Placement, err error) {
 	var s *SendError
-	if !errors.As(err, &s) || keptBack(err) || isOvertaken(err) || j.left != nil && j.left() {
+	if !errors.As(err, &s) || keptBack(err) || isOvertaken(err) || j.callerLeft != nil && j.callerLeft() {
 		return
 	}
 	switch {
 	case s.Status >= http.StatusInternalServerError && s.Outcome != retrier.NotRun || isCut(err):
-		place.attempt = attemptFailed
+		place.outcome = attemptFailed
 	case s.Status == http.StatusServiceUnavailable || s.Status == http.StatusTooManyRequests:
-		place.attempt = attemptRefused
+		place.outcome = attemptRefused
 	}
 }
 
-// judgeAnswer tells the slow start of an upstream without an agent how long its answer took.
-func (c *call) judgeAnswer(x *exchange) {
+// recordAnswerTime reports the duration of an answer to the slow start of an upstream without an
+// agent.
+func (c *call) recordAnswerTime(x *exchange) {
 	if c.stream == nil {
 		c.Chooser.Judge(x.upstream, time.Since(x.sentAt), c.Route.Objective)
 	}
 }
 
-// isHeld tells whether the slow start of an engine alone kept a request out.
-func isHeld(v *messenger.Verdict) bool { return v.Ramp != nil && v.Ramp.Held }
+// isHeldByRamp reports whether only the slow start of an engine refused a request.
+func isHeldByRamp(v *messenger.Verdict) bool { return v.Ramp != nil && v.Ramp.Held }
 
-// beyondRamps is why a request need not keep to the slow starts of engines, if most of them have just
-// started.
-func (p *Placer) beyondRamps(us []*registrar.UpstreamView) scheduler.Beyond {
+// rampOverrideFor returns why a request may exceed the slow starts of engines: most of them have
+// just started.
+func (p *Placer) rampOverrideFor(us []*registrar.UpstreamView) scheduler.Beyond {
 	if p.Chooser.MostRamp(len(us), func(i int) string { return us[i].ID }) {
 		return scheduler.AllRamping
 	}
 	return scheduler.WithinRamp
 }
 
-// noteHeld adds an engine whose slow start kept a request out to those that are asked again if the others
-// are full. One that hasn't answered well so far isn't, and isn't asked by others for a moment either.
-func (p *Placer) noteHeld(u *registrar.UpstreamView, j *Job, v *messenger.Verdict, held []*registrar.UpstreamView) []*registrar.UpstreamView {
+// addHeldByRamp adds an engine that refused a request only for its slow start to those asked again
+// if the others are full. One without good answers so far isn't added, and is marked as full for a
+// moment.
+func (p *Placer) addHeldByRamp(u *registrar.UpstreamView, j *Job, v *messenger.Verdict, held []*registrar.UpstreamView) []*registrar.UpstreamView {
 	if !v.Ramp.Well {
 		p.noteFull(u.ID, j, v.Free())
 		return held
@@ -82,13 +84,13 @@
 	return append(held, u)
 }
 
-// askBeyondRamp asks engines in their slow start again for a request that found no slot elsewhere; nil
-// if none lets it in.
-func (p *Placer) askBeyondRamp(ctx context.Context, view *registrar.View, us []*registrar.UpstreamView, j *Job, budget time.Duration) *Place {
-	j.beyond = scheduler.OthersFull
+// reserveBeyondRamp asks engines in slow start again for a request that found no slot elsewhere;
+// nil if none admits it.
+func (p *Placer) reserveBeyondRamp(ctx context.Context, view *registrar.View, us []*registrar.UpstreamView, j *Job, budget time.Duration) *Placement {
+	j.rampOverride = scheduler.OthersFull
 	for _, u := range us[:min(len(us), firstAsked)] {
-		if !p.Chooser.BeginWithin(u.ID, p.connections(u)) {
-			j.met.Connections++
+		if !p.Chooser.BeginWithin(u.ID, p.connectionLimit(u)) {
+			j.refusals.Connections++
 			continue
 		}
 		place, _, late := p.askInTime(ctx, view, u, j, budget)
@@ -105,8 +107,8 @@
 	return nil
 }
 
-// NoteRamps updates the gauges of slow starts, one for each service.
-func (p *Placer) NoteRamps() {
+// UpdateRampGauges updates the gauges of slow starts, one per service.
+func (p *Placer) UpdateRampGauges() {
 	view := p.Registrar.View()
 	if view == nil || view.Table == nil || p.Metrics == nil || p.Without.Has(ablator.SlowStart) {
 		return
--- a/internal/relayer/ramp_test.go
+++ b/internal/relayer/ramp_test.go
@@ -39,7 +39,7 @@
 	return d, started
 }
 
-func (d *decider) placeOwn(t *testing.T) (*relayer.Place, error) {
+func (d *decider) placeOwn(t *testing.T) (*relayer.Placement, error) {
 	t.Helper()
 	j := d.job
 	j.Arrived = d.clock.Now()
@@ -92,14 +92,14 @@
 	} {
 		t.Run(name, func(t *testing.T) {
 			d := newDecider(1, 1, 0)
-			recorder := &tellRecorder{Agent: d.Placer.Reach(netip.AddrPortFrom(netip.AddrFrom4([4]byte{10, 0, 0, 0}), 1))}
+			recorder := &progressRecorder{Agent: d.Placer.Reach(netip.AddrPortFrom(netip.AddrFrom4([4]byte{10, 0, 0, 0}), 1))}
 			d.Placer.Reach = func(netip.AddrPort) relayer.Agent { return recorder }
 			d.Budgets = &retrier.Budgets{New: func() *retrier.Budget { return &retrier.Budget{Clock: d.clock} }}
 			j := d.job
 			j.Arrived = d.clock.Now()
 			d.Admit(&j)
 			d.pump(t)
-			must.Error(t, d.Serve(t.Context(), &j, func(context.Context, *relayer.Place) error { return e.err }))
+			must.Error(t, d.Serve(t.Context(), &j, func(context.Context, *relayer.Placement) error { return e.err }))
 			must.Eq(t, e.ends, len(recorder.last.Failed)+len(recorder.last.Refused) == 1)
 			must.SliceLen(t, 1, recorder.last.Ended)
 		})
@@ -107,12 +107,12 @@
 }
 
 // tellRecorder keeps the last progress that was sent.
-type tellRecorder struct {
+type progressRecorder struct {
 	relayer.Agent
 	last messenger.Progress
 }
 
-func (r *tellRecorder) Tell(p messenger.Progress) {
+func (r *progressRecorder) SendProgress(p messenger.Progress) {
 	r.last = p
-	r.Agent.Tell(p)
+	r.Agent.SendProgress(p)
 }
--- a/internal/relayer/reason_test.go
+++ b/internal/relayer/reason_test.go
@@ -15,18 +15,18 @@
 )
 
 // silentAgent takes the whole time for an answer and gives none.
-type silentAgent struct {
+type unresponsiveAgent struct {
 	*decider
 	asked *int
 }
 
-func (a silentAgent) Reserve(context.Context, messenger.Reservation) (messenger.Verdict, error) {
+func (a unresponsiveAgent) Reserve(context.Context, messenger.Reservation) (messenger.Verdict, error) {
 	*a.asked++
-	a.clock.Step(relayer.AskTimeout)
+	a.clock.Step(relayer.ReserveTimeout)
 	return messenger.Verdict{}, context.DeadlineExceeded
 }
 
-func (silentAgent) Tell(messenger.Progress) {}
+func (unresponsiveAgent) SendProgress(messenger.Progress) {}
 
 // overloaded is an entry before 50 engines, of which so many have silent agents and all others no slot; asked counts
 // questions to silent ones.
@@ -36,7 +36,7 @@
 	reach := d.Placer.Reach
 	d.Placer.Reach = func(a netip.AddrPort) relayer.Agent {
 		if int(a.Addr().As4()[3]) < silent {
-			return silentAgent{d, asked}
+			return unresponsiveAgent{d, asked}
 		}
 		return reach(a)
 	}
--- a/internal/relayer/reception.go
+++ b/internal/relayer/reception.go
@@ -19,7 +19,7 @@
 // receivedReply is a reply of which nothing has been handed on so far.
 type receivedReply struct {
 	x     *exchange
-	place *Place
+	place *Placement
 	// events are those of a stream behind start; nil for a plain reply, which goes on with body.
 	events *bodyreader.EventReader
 	body   *bodyreader.Reader
@@ -34,7 +34,7 @@
 // hedge's runs beside the call's own goroutine.
 type reception struct {
 	c       *call
-	place   *Place
+	place   *Placement
 	message message
 	// hedged receptions run beside another attempt.
 	hedged bool
@@ -54,7 +54,7 @@
 	begun func()
 }
 
-func (c *call) newReception(place *Place) *reception {
+func (c *call) newReception(place *Placement) *reception {
 	// A kept connection may be closed by the upstream just as the request is sent,
 	// and its end is then unknown; what may run only once goes on a new one. Where that has
 	// happened, others that rested as long may be gone as well, at other upstreams too: the
@@ -96,17 +96,17 @@
 // exchange is receive but for panics.
 func (r *reception) exchange(ctx context.Context) (*receivedReply, error) {
 	c, u := r.c, r.place.Upstream
-	o := sendOptions{fresh: r.fresh, headerWithin: r.headerWithin, connections: c.Placer.connections(u), stalled: r.stalled, opened: r.opened}
+	o := sendOptions{fresh: r.fresh, headerWithin: r.headerWithin, connections: c.Placer.connectionLimit(u), stalled: r.stalled, opened: r.opened}
 	x, err := c.Pool.send(ctx, c.Codec, u.ID, u.Address, &r.message, c.ID, o)
 	if err != nil {
 		return nil, err
 	}
-	c.noteStatements(u.Upstream, x)
-	c.notePaceOf(r.place, &x.reply)
+	c.recordStatements(u.Upstream, x)
+	c.recordReplyPace(r.place, &x.reply)
 	if x.reply.Slots > 0 && !c.Route.Generates {
 		active := float64(x.reply.Running+x.reply.Waiting) / float64(x.reply.Slots)
 		c.Chooser.Heard(u.ID, 0, active)
-		c.Placer.notePlainLoad(&c.Job, &x.reply)
+		c.Placer.recordPlainLoad(&c.Job, &x.reply)
 	}
 	if err := r.usable(x); err != nil {
 		x.abandon()
@@ -128,7 +128,7 @@
 // opened decides whether a request is sent on a connection, and looks after its begin.
 func (r *reception) opened(conn *connection) (begun func(), err error) {
 	// The slot may have been granted, and the connection opened, long ago.
-	if err := r.c.Placer.withhold(r.place.Upstream); err != nil {
+	if err := r.c.Placer.checkWithheld(r.place.Upstream); err != nil {
 		return nil, err
 	}
 	// This entry may have begun to leave meanwhile.
@@ -140,7 +140,7 @@
 		return nil, err
 	}
 	r.c.Localizer.Sent(r.c.ID, r.c.SharedParts())
-	begun, err = r.c.closeUnlessBegun(r.place, conn)
+	begun, err = r.c.closeUnlessStarted(r.place, conn)
 	if err == nil {
 		r.conn, r.begun = conn, begun
 	}
@@ -159,7 +159,7 @@
 	x.begun()
 	r.setGap(x, 0)
 	body := &bodyreader.Reader{Response: x.response}
-	start, ended, err := x.readStart(body)
+	start, ended, err := x.readReplyStart(body)
 	if err != nil {
 		x.abandon()
 		return nil, x.cutError(err)
@@ -184,7 +184,7 @@
 		return nil, &SendError{Upstream: x.upstream, Outcome: retrier.Unknown, Err: err}
 	}
 	events := bodyreader.NewEventReader(x.response, maxEvent)
-	events.Room = x.take
+	events.Room = x.acquire
 	r.setGap(x, r.place.FirstEventLimit())
 	var start []byte
 	event, err := events.Next()
@@ -200,7 +200,7 @@
 		}
 		if !r.sequence.resumes {
 			x.begun()
-			r.place.Started()
+			r.place.ReportStarted()
 			return &receivedReply{x: x, place: r.place, events: events, sequence: r.sequence, start: start}, nil
 		}
 		if len(start) > maxComments {
--- a/internal/relayer/relayer.go
+++ b/internal/relayer/relayer.go
@@ -88,12 +88,12 @@
 // ServeHTTP implements http.Handler.
 func (l *Relayer) ServeHTTP(w http.ResponseWriter, r *http.Request) {
 	out := &callerWriter{ResponseWriter: w}
-	c := &call{Relayer: l, w: out, out: out, r: r, account: l.Memory.open()}
+	c := &call{Relayer: l, w: out, out: out, r: r, account: l.Memory.openAccount()}
 	defer c.account.close()
 	out.limit(defaultTimeout)
 	c.Arrived = l.Clock.Now()
 	c.Request = l.Codec.Request(r.Header)
-	c.left = func() bool { return r.Context().Err() != nil }
+	c.callerLeft = func() bool { return r.Context().Err() != nil }
 	defer c.recoverPanic()
 	l.count("requests")
 	if !c.admitMemory() || !c.route() || !c.readBody() {
@@ -115,7 +115,7 @@
 func (c *call) route() bool {
 	view := c.Registrar.View()
 	if view == nil || view.Table == nil {
-		c.refuse(&RefusedError{Reason: "no route table yet", RetryAfter: startRetry(c.Clock.Since(c.Started))})
+		c.refuse(&RefusedError{Reason: "no route table yet", RetryAfter: startupRetryAfter(c.Clock.Since(c.Started))})
 		return false
 	}
 	if len(c.Parts) > 0 && c.BlamesSynced != nil && !c.BlamesSynced() {
@@ -175,7 +175,7 @@
 		c.answer(http.StatusRequestEntityTooLarge, "body too long", 0)
 		return false
 	}
-	if c.r.ContentLength > 0 && !c.takeMemory("a body", c.r.ContentLength) {
+	if c.r.ContentLength > 0 && !c.acquireMemory("a body", c.r.ContentLength) {
 		return false
 	}
 	control := http.NewResponseController(c.w)
--- a/internal/relayer/replaced_test.go
+++ b/internal/relayer/replaced_test.go
@@ -76,7 +76,7 @@
 }
 
 // place looks for a slot for a request that has been refused before, so that it is looked for once.
-func (w *restartedEngines) place() (*relayer.Place, error) {
+func (w *restartedEngines) place() (*relayer.Placement, error) {
 	j := &relayer.Job{Route: engineTable().Routes[0], Service: "engines", Arrived: w.clock.Now(), Deadline: w.clock.Now().Add(5 * time.Second), Returned: true}
 	j.ID, j.Model, j.Prompt = "r", "m", 100
 	return w.placer.Place(context.Background(), j)
@@ -105,7 +105,7 @@
 		place, err := w.place()
 		must.NoError(t, err)
 		must.Eq(t, "well", place.Upstream.ID)
-		place.Ended()
+		place.Release()
 	}
 	must.LessEq(t, 11, w.asked, must.Sprint("the former start is asked once at most"))
 }
--- a/internal/relayer/resume_test.go
+++ b/internal/relayer/resume_test.go
@@ -36,7 +36,7 @@
 		}
 	}}
 	reg.Apply(registrar.Batch{Whole: true, At: 10, Records: []registrar.Record{{Key: "table", Revision: 1}, {Key: "engine", Revision: 2}}})
-	name(reg, 2)
+	announce(reg, 2)
 	p := &relayer.Placer{
 		Registrar: reg, Clock: c, FailureDomain: "a", Region: "r", Regions: map[string]string{"a": "r"},
 		Chooser:   &scheduler.Chooser{Clock: c, Random: rand.New(rand.NewPCG(1, 1))},
--- a/internal/relayer/serve.go
+++ b/internal/relayer/serve.go
@@ -11,7 +11,7 @@
 
 // Attempt sends a request to the upstream of a place and hands the reply on. It gives nil once
 // the caller has its answer. Errors are *SendError.
-type Attempt func(ctx context.Context, place *Place) error
+type Attempt func(ctx context.Context, place *Placement) error
 
 // tries is what became of a job's attempts.
 type tries struct {
@@ -32,8 +32,8 @@
 	// unnumbered tells that the last data that went out has no id: its rest can't be asked for.
 	unnumbered bool
 	// next is the place that the next attempt already has; nil for none.
-	next  *Place
-	mover mover
+	next  *Placement
+	mover moveState
 	// rest is for how long all upstreams want nothing from this entry, once the job is given up.
 	rest time.Duration
 }
@@ -43,7 +43,7 @@
 func (l *Relayer) Serve(ctx context.Context, j *Job, attempt Attempt) error {
 	err := l.serve(ctx, j, attempt)
 	if err != nil {
-		j.rest = l.Placer.rest(j)
+		j.rest = l.Placer.backoffLeft(j)
 	}
 	return err
 }
@@ -69,7 +69,7 @@
 			return nil
 		}
 		l.note(j, place, err, j.events)
-		if ctx.Err() != nil || isShutdown(err) || isUnread(err) || endsForMemory(err) || !l.again(j) {
+		if ctx.Err() != nil || isShutdown(err) || isUnread(err) || failedForMemory(err) || !l.again(j) {
 			return err
 		}
 		j.Again = j.attempts > 0
@@ -79,17 +79,17 @@
 // attemptAt makes an attempt and frees its place however it ends. A reply that has to be cut
 // ends in a panic for the HTTP server; the place left taken, the upstream would look fuller
 // with each such reply until nothing goes there.
-func (l *Relayer) attemptAt(ctx context.Context, j *Job, place *Place, attempt Attempt) error {
-	defer place.Ended()
+func (l *Relayer) attemptAt(ctx context.Context, j *Job, place *Placement, attempt Attempt) error {
+	defer place.Release()
 	j.sends++
-	j.events, j.begunAt, j.mover.noted = 0, time.Time{}, false
+	j.events, j.begunAt, j.mover.paceLearned = 0, time.Time{}, false
 	err := attempt(ctx, place)
-	j.judge(place, err)
+	j.recordOutcome(place, err)
 	return err
 }
 
 // note counts what an attempt that failed after some events means for the request and the upstream.
-func (l *Relayer) note(j *Job, place *Place, err error, events int) {
+func (l *Relayer) note(j *Job, place *Placement, err error, events int) {
 	upstream := place.Upstream.ID
 	j.failed = j.failed || !keptBack(err)
 	var s *SendError
@@ -102,7 +102,7 @@
 	if s.Outcome != retrier.NotRun {
 		j.attempts++
 	}
-	if j.left != nil && j.left() {
+	if j.callerLeft != nil && j.callerLeft() {
 		// The caller left; that says nothing of the upstream.
 		return
 	}
@@ -111,7 +111,7 @@
 	}
 	if s.Outcome == retrier.NotRun && s.Status != 0 {
 		l.Chooser.Avoid(upstream, refusedPause)
-		l.Placer.notePlainRefusal(j)
+		l.Placer.recordPlainRefusal(j)
 	}
 	if isMoved(err) {
 		l.log(j, "Stream moved", err, "upstream", upstream, "events", events)
@@ -129,7 +129,7 @@
 	var unsent *UnsentError
 	var withheld *WithheldError
 	var blamed *localizer.BlamedError
-	return isShutdown(err) || isUnread(err) || endsForMemory(err) || errors.As(err, &blamed) || errors.As(err, &full) || errors.As(err, &stale) || errors.As(err, &unsent) || errors.As(err, &withheld)
+	return isShutdown(err) || isUnread(err) || failedForMemory(err) || errors.As(err, &blamed) || errors.As(err, &full) || errors.As(err, &stale) || errors.As(err, &unsent) || errors.As(err, &withheld)
 }
 
 // isOvertaken tells whether an attempt was given up while its upstream might still have gone on.
--- a/internal/relayer/shutdown.go
+++ b/internal/relayer/shutdown.go
@@ -70,7 +70,7 @@
 }
 
 // checkTimeLeftAt is checkTimeLeft for a job that has a place.
-func (p *Placer) checkTimeLeftAt(j *Job, place *Place) *ShutdownError {
+func (p *Placer) checkTimeLeftAt(j *Job, place *Placement) *ShutdownError {
 	if place.Ends.IsZero() {
 		return nil
 	}
@@ -79,14 +79,14 @@
 
 // askInTime is ask for a place at which the reply can end before this entry does; late tells that it
 // can't at the one that was granted.
-func (p *Placer) askInTime(ctx context.Context, view *registrar.View, u *registrar.UpstreamView, j *Job, budget time.Duration) (place *Place, v *messenger.Verdict, late *ShutdownError) {
-	place, v = p.ask(ctx, view, u, j, budget)
+func (p *Placer) askInTime(ctx context.Context, view *registrar.View, u *registrar.UpstreamView, j *Job, budget time.Duration) (place *Placement, v *messenger.Verdict, late *ShutdownError) {
+	place, v = p.reserve(ctx, view, u, j, budget)
 	if place == nil {
 		return nil, v, nil
 	}
 	if late = p.checkTimeLeftAt(j, place); late != nil {
-		place.Ended()
-		j.met.EndsLate++
+		place.Release()
+		j.refusals.EndsLate++
 		return nil, v, late
 	}
 	return place, v, nil
@@ -94,7 +94,7 @@
 
 // refuse is the refusal of a job that can't end before this entry does.
 func (p *Placer) refuse(j *Job, err *ShutdownError) *RefusedError {
-	return &RefusedError{Reason: err.Error(), RetryAfter: p.Shutdown.RetryAfter(j.Route.Host), Shutdown: err, Met: j.met}
+	return &RefusedError{Reason: err.Error(), RetryAfter: p.Shutdown.RetryAfter(j.Route.Host), Shutdown: err, Met: j.refusals}
 }
 
 // checkTimeLeft tells whether the reply can end before this entry does, if the request can still be refused.
--- a/internal/relayer/slowdown.go
+++ b/internal/relayer/slowdown.go
@@ -3,23 +3,23 @@
 import "sync"
 
 const (
-	// slowdownWeight is the share that a reply has in the smoothed slowdown of its service: of 10 replies a second that
-	// is a memory of five seconds.
+	// slowdownWeight is the weight of a reply in the smoothed slowdown of its service: at 10
+	// replies a second, that averages over five seconds.
 	slowdownWeight = 0.02
-	// mostSlowdown bounds what a single reply counts for.
-	mostSlowdown = 5.0
+	// maxSlowdown bounds the effect of a single reply.
+	maxSlowdown = 5.0
 )
 
-// slowdowns learn for each service by what factor its replies come more slowly than the agents predict. Where all engines
-// slow down now and then, a prediction that leaves that out makes any other engine look better than one at which a
-// reply is under way. The zero value is ready for use by several goroutines.
+// slowdowns learn for each service by what factor replies are slower than the agents predict. Where
+// all engines slow down now and then, predictions without it make any other engine look better than
+// the one that is serving a reply. The zero value is ready for use by several goroutines.
 type slowdowns struct {
 	mu     sync.Mutex
 	factor map[string]float64
 }
 
-// note takes in by what factor a reply came more slowly than predicted.
-func (s *slowdowns) note(service string, factor float64) {
+// record adds the factor by which a reply was slower than predicted.
+func (s *slowdowns) record(service string, factor float64) {
 	s.mu.Lock()
 	defer s.mu.Unlock()
 	if s.factor == nil {
@@ -29,11 +29,11 @@
 	if !ok {
 		before = 1
 	}
-	s.factor[service] = before + slowdownWeight*(min(factor, mostSlowdown)-before)
+	s.factor[service] = before + slowdownWeight*(min(factor, maxSlowdown)-before)
 }
 
-// of is the factor of a service, 1 at least.
-func (s *slowdowns) of(service string) float64 {
+// get returns the factor of a service, at least 1.
+func (s *slowdowns) get(service string) float64 {
 	s.mu.Lock()
 	defer s.mu.Unlock()
 	return max(1, s.factor[service])
--- a/internal/relayer/stall.go
+++ b/internal/relayer/stall.go
@@ -48,7 +48,7 @@
 
 // readsOn decides what becomes of a reply for which nothing has come for too long. A hedge is made elsewhere, and
 // the silent upstream is given up only once that has a reply: the silence may end, or be that of a full link.
-func (c *call) readsOn(ctx context.Context, place *Place, conn *connection) bool {
+func (c *call) readsOn(ctx context.Context, place *Placement, conn *connection) bool {
 	// A connection that is closed meanwhile fails at the next read.
 	_ = conn.SetReadDeadline(time.Now().Add(stallRetry))
 	// The same holds for waking its reader.
@@ -56,7 +56,7 @@
 }
 
 // waitsOn is readsOn for an attempt that is woken, when its hedge is over, by a function.
-func (c *call) waitsOn(ctx context.Context, place *Place, wake func()) bool {
+func (c *call) waitsOn(ctx context.Context, place *Placement, wake func()) bool {
 	switch h := c.hedge; {
 	case h == nil:
 		if next := c.placeHedge(ctx); next != nil {
@@ -86,7 +86,7 @@
 }
 
 // placeHedge gets a place for an attempt beside those under way; nil if there may be none.
-func (c *call) placeHedge(ctx context.Context) *Place {
+func (c *call) placeHedge(ctx context.Context) *Placement {
 	again, tried, hedges := c.Again, c.Tried, 0
 	defer func() { c.Again, c.Tried = again, tried }()
 	c.Again = true
@@ -97,13 +97,13 @@
 	if !c.mayRepeatBeside(hedges) || ctx.Err() != nil || c.blamed() {
 		return nil
 	}
-	place, err := c.Placer.placeNow(ctx, &c.Job)
+	place, err := c.Placer.placeOnce(ctx, &c.Job)
 	if err != nil || place == nil {
 		return nil
 	}
 	if !c.Budgets.Of(c.Service).Take() {
 		c.log("No retry left in the budget", nil)
-		place.Ended()
+		place.Release()
 		return nil
 	}
 	c.count("retries")
@@ -111,7 +111,7 @@
 }
 
 // placeNext gives the place of the next attempt.
-func (l *Relayer) placeNext(ctx context.Context, j *Job) (*Place, error) {
+func (l *Relayer) placeNext(ctx context.Context, j *Job) (*Placement, error) {
 	if place := j.next; place != nil {
 		j.next, j.mover.moving = nil, false
 		return place, nil
@@ -130,7 +130,7 @@
 // giveBack frees a place that no attempt will use.
 func (j *Job) giveBack() {
 	if j.next != nil {
-		j.next.Ended()
+		j.next.Release()
 		j.next = nil
 	}
 }
--- a/internal/relayer/starting.go
+++ b/internal/relayer/starting.go
@@ -2,23 +2,25 @@
 
 import "time"
 
-// The times from the start of a process until it knows the route table, as restarts of all processes show them.
+// Times from the start of a process until it has the route table, as seen in restarts of all
+// processes.
 const (
-	shortestStart = 700 * time.Millisecond
-	usualStart    = time.Second
-	longestStart  = 2400 * time.Millisecond
-	// leastStartRetry is the least time to come back to an entry that knows no route table yet.
-	leastStartRetry = 300 * time.Millisecond
+	minStartup   = 700 * time.Millisecond
+	usualStartup = time.Second
+	maxStartup   = 2400 * time.Millisecond
+	// minStartupRetry is the least time to come back to an entry without a route table.
+	minStartupRetry = 300 * time.Millisecond
 )
 
-// startRetry is the time to come back to an entry that knows no route table so long after its start. A fixed 0.3 s had
-// most callers come back, with the one retry that they make, before the entry knew its table. A start that has lasted
-// longer than the shortest is taken for a slow one. RetryAfter adds up to as much again: callers come back from the
-// usual end of the start on, or in the second half of what is left of the longest.
-func startRetry(lasted time.Duration) time.Duration {
-	rest := usualStart - lasted
-	if lasted >= shortestStart {
-		rest = (longestStart - lasted) / 2
+// startupRetryAfter is the time to come back to an entry that has no route table yet at this time
+// after its start. With a fixed 0.3 s, most callers spent the only retry they make before the entry
+// had its table. A start longer than the shortest is taken for a slow one. RetryAfter adds up to as
+// much again: callers come back after the usual end of the start, or in the second half of what is
+// left of the longest.
+func startupRetryAfter(lasted time.Duration) time.Duration {
+	rest := usualStartup - lasted
+	if lasted >= minStartup {
+		rest = (maxStartup - lasted) / 2
 	}
-	return max(rest, leastStartRetry)
+	return max(rest, minStartupRetry)
 }
--- a/internal/relayer/stream.go
+++ b/internal/relayer/stream.go
@@ -81,7 +81,7 @@
 }
 
 // FirstEventLimit is how long the first event of a reply may take there.
-func (p *Place) FirstEventLimit() time.Duration {
+func (p *Placement) FirstEventLimit() time.Duration {
 	return firstEventFactor*p.Wait + firstEventGrace
 }
 
@@ -133,13 +133,13 @@
 }
 
 // endStream ends a whole reply, with the line ends behind its last event.
-func (c *call) endStream(x *exchange, place *Place, lineEnds []byte) error {
+func (c *call) endStream(x *exchange, place *Placement, lineEnds []byte) error {
 	if c.stream == nil {
 		if err := c.beginReply(x); err != nil {
 			x.abandon()
 			return err
 		}
-		place.Started()
+		place.ReportStarted()
 		c.writeStreamHeader(x)
 		c.stream = &stream{}
 	}
--- a/internal/relayer/terms.go
+++ b/internal/relayer/terms.go
@@ -12,28 +12,28 @@
 	"github.com/oriolecroft/oriolecroft/internal/scheduler"
 )
 
-// An upstream that states a limit may get limitFactor times as many requests in limitWindow, in
-// seconds, and limitSlack besides, before it counts as overrun.
+// An upstream that states a limit counts as overloaded beyond limitFactor times as many requests in
+// limitWindow, in seconds, plus limitSlack.
 const (
 	limitWindow = 4.0
 	limitFactor = 1.5
 	limitSlack  = 5.0
-	// limitAtOnce is what entries may send at once, in seconds of the limit: with what they send in
-	// the rest of limitWindow they stay below that.
-	limitAtOnce = limitWindow*limitFactor - 1
-	// leastLimitSharers is among how many entries a limit is divided at least.
-	leastLimitSharers = 6
+	// limitBurst is what entries may send at once, in seconds of the limit: together with what they
+	// send in the rest of limitWindow, it stays below that bound.
+	limitBurst = limitWindow*limitFactor - 1
+	// minLimitSharers is the least number of entries among which a limit is divided.
+	minLimitSharers = 6
 )
 
-// WithheldError reports a request that was not sent, as its upstream asked for nothing more after it
-// had been placed there.
+// WithheldError reports a request that was not sent because its upstream started to drain or back
+// off after the placement.
 type WithheldError struct{ Reason string }
 
 func (e *WithheldError) Error() string { return fmt.Sprintf("withheld, upstream %s", e.Reason) }
 
-// noteStatements notes what an upstream states of itself in a reply. A reply from another upstream at its
-// address, or one that doesn't come from an upstream for sure, states nothing.
-func (c *call) noteStatements(u registrar.Upstream, x *exchange) {
+// recordStatements records what an upstream states about itself in a reply. A reply from another
+// upstream at its address, or of unproved origin, states nothing.
+func (c *call) recordStatements(u registrar.Upstream, x *exchange) {
 	if x.reply.Upstream != "" && x.reply.Upstream != u.ID {
 		c.Registrar.Replaced(u)
 		return
@@ -45,42 +45,44 @@
 	if !x.reply.Sealed && !x.reply.NotRun && status != http.StatusServiceUnavailable {
 		return
 	}
-	c.Placer.NoteStatements(u, x.reply.Stated)
+	c.Placer.RecordStatements(u, x.reply.Stated)
 }
 
-// NoteStatements notes what an upstream states of itself in a reply.
-func (p *Placer) NoteStatements(u registrar.Upstream, stated observer.Statements) {
+// RecordStatements records what an upstream states about itself in a reply.
+func (p *Placer) RecordStatements(u registrar.Upstream, stated observer.Statements) {
 	if !p.Without.Has(ablator.UpstreamTerms) {
-		p.Observer.Note(startOf(u), stated)
+		p.Observer.Note(upstreamStart(u), stated)
 	}
 }
 
-func startOf(u registrar.Upstream) observer.Start { return observer.Start{ID: u.ID, At: u.StartedAt} }
+func upstreamStart(u registrar.Upstream) observer.Start {
+	return observer.Start{ID: u.ID, At: u.StartedAt}
+}
 
-// terms are what an upstream asks for, in its record and in its replies.
+// terms returns what an upstream asks for in its record and its replies.
 func (p *Placer) terms(u *registrar.UpstreamView) observer.Terms {
-	t := p.Observer.Terms(startOf(u.Upstream))
+	t := p.Observer.Terms(upstreamStart(u.Upstream))
 	t.Leaving = t.Leaving || u.Leaving
 	return t
 }
 
-// withhold tells whether a request that has a place must not be sent any more. Errors are
+// checkWithheld reports whether a placed request must not be sent after all. Errors are
 // *WithheldError.
-func (p *Placer) withhold(u *registrar.UpstreamView) error {
+func (p *Placer) checkWithheld(u *registrar.UpstreamView) error {
 	if reason := p.terms(u).Closed(); reason != "" {
 		return &WithheldError{Reason: reason}
 	}
 	return nil
 }
 
-// rest is for how long all upstreams that a request may use want nothing from this entry; 0 if one of
-// them takes requests, or none is left.
-func (p *Placer) rest(j *Job) time.Duration {
+// backoffLeft is the time until the first of the upstreams that a request may use ends its backoff;
+// 0 if one of them takes requests, or none is left.
+func (p *Placer) backoffLeft(j *Job) time.Duration {
 	view := p.Registrar.View()
 	var shortest time.Duration
 	for _, u := range view.Service(j.Service) {
 		t := p.terms(u)
-		if t.Leaving || !p.reachable(view, u, j) {
+		if t.Leaving || !p.mayUse(view, u, j) {
 			continue
 		}
 		if t.Rest == 0 {
@@ -91,8 +93,8 @@
 	return shortest
 }
 
-// statedLimit is what an upstream last said of its rate limit, for the agent beside it; nil for one
-// that never stated any.
+// statedLimit is the last rate limit stated by an upstream, for its agent; nil if it never stated
+// any.
 func (p *Placer) statedLimit(u *registrar.UpstreamView) *messenger.RateLimit {
 	t := p.terms(u)
 	if !t.Limited {
@@ -101,14 +103,14 @@
 	return &messenger.RateLimit{PerSecond: t.Limit.Rate, AgeMS: t.Limit.Age.Milliseconds()}
 }
 
-// limitPass returns whether an upstream that states a limit may get one more request now, where no
+// admitByLimit reports whether an upstream that states a limit may get one more request, where no
 // agent counts for all entries.
-func (p *Placer) limitPass(view *registrar.View, u *registrar.UpstreamView) bool {
+func (p *Placer) admitByLimit(view *registrar.View, u *registrar.UpstreamView) bool {
 	limit := p.terms(u).Limit
 	if limit.Rate == 0 {
 		return true
 	}
 	return p.Chooser.LimitPass(u.ID, scheduler.RateShare{
-		Rate: limit.Rate, Bound: limitAtOnce*limit.Rate + limitSlack, Sharers: max(leastLimitSharers, len(view.Members)),
+		Rate: limit.Rate, Bound: limitBurst*limit.Rate + limitSlack, Sharers: max(minLimitSharers, len(view.Members)),
 	})
 }
--- a/internal/relayer/upstream_leaving_test.go
+++ b/internal/relayer/upstream_leaving_test.go
@@ -12,10 +12,10 @@
 
 // leavingBound is how long after an entry has handed on an answer of a leaving upstream that gets
 // requests from it.
-const leavingBound = 2 * time.Second
+const drainBound = 2 * time.Second
 
 // statesLeaving serves all and states that the upstream leaves.
-func statesLeaving(u *statingUpstream, w http.ResponseWriter, entry string) {
+func statesDraining(u *statingUpstream, w http.ResponseWriter, entry string) {
 	u.inform(entry)
 	w.Header().Set("Server-Leaving", "1")
 	serveWhole(w)
@@ -27,21 +27,21 @@
 	for name, engine := range map[string]*matcher.Engine{"plain": nil, "engines": engineTable().Services["engines"].Engine} {
 		t.Run(name, func(t *testing.T) {
 			t.Parallel()
-			leaves, stays := newStatingUpstream(t, statesLeaving), newStatingUpstreamAt(t, "127.0.0.2", servesAll)
+			leaves, stays := newStatingUpstream(t, statesDraining), newStatingUpstreamAt(t, "127.0.0.2", servesAll)
 			slots := 6
 			if engine != nil {
 				slots = engine.Slots
 			}
 			ws := limitedEntries(t, 5, &matcher.Service{Name: "s", Engine: engine}, leaves.record("leaves", "s", slots), stays.record("stays", "s", slots))
 			if engine != nil {
-				port := agentBeside(t, "0.0.0.0", engine, atOnce)
+				port := agentBeside(t, "0.0.0.0", engine, noDelay)
 				for _, w := range ws {
 					w.relayer.Placer.AgentPort = port
 				}
 			}
 			informAll(t, ws, leaves)
 			loadEntries(t, ws, 20*time.Millisecond, 4*time.Second)
-			must.Zero(t, leaves.mostBetween(leavingBound, time.Minute))
+			must.Zero(t, leaves.maxBetween(drainBound, time.Minute))
 		})
 	}
 }
--- a/internal/relayer/upstream_limit_test.go
+++ b/internal/relayer/upstream_limit_test.go
@@ -24,7 +24,7 @@
 	limitWindow = 4 * time.Second
 	limitBound  = 1.5*1*4 + 5
 	// limitKnown is how long after its first such reply an entry has to keep to the limit.
-	limitKnown = 500 * time.Millisecond
+	limitGrace = 500 * time.Millisecond
 )
 
 // statesLimit serves all and states a limit of one request a second.
@@ -36,19 +36,19 @@
 
 // mostOfInformed is the largest number of requests within limitWindow that came from entries when these
 // had known of the limit.
-func (u *statingUpstream) mostOfInformed() int {
+func (u *statingUpstream) maxFromInformed() int {
 	u.mu.Lock()
 	defer u.mu.Unlock()
 	var informed []time.Time
 	for entry, arrived := range u.arrived {
 		for _, at := range arrived {
-			if at.Sub(u.informed[entry]) > limitKnown {
+			if at.Sub(u.informed[entry]) > limitGrace {
 				informed = append(informed, at)
 			}
 		}
 	}
 	slices.SortFunc(informed, time.Time.Compare)
-	return mostWithin(informed, limitWindow)
+	return maxWithin(informed, limitWindow)
 }
 
 // limitedEntries are entries that know each other, before upstreams of one service.
@@ -122,7 +122,7 @@
 	u := newStatingUpstream(t, statesLimit)
 	ws := limitedEntries(t, 9, &matcher.Service{Name: "desk"}, u.record("u", "desk", 6))
 	served := loadEntries(t, ws, 20*time.Millisecond, 6*time.Second)
-	must.LessEq(t, limitBound, u.mostOfInformed())
+	must.LessEq(t, limitBound, u.maxFromInformed())
 	must.Positive(t, served)
 }
 
@@ -130,12 +130,12 @@
 func TestAgentKeepsToTheLimitOfItsEngine(t *testing.T) {
 	u := newStatingUpstream(t, statesLimit)
 	engine := engineTable().Services["engines"].Engine
-	port := agentBeside(t, "127.0.0.1", engine, atOnce)
+	port := agentBeside(t, "127.0.0.1", engine, noDelay)
 	ws := limitedEntries(t, 9, &matcher.Service{Name: "engines", Engine: engine}, u.record("u", "engines", engine.Slots))
 	for _, w := range ws {
 		w.relayer.Placer.AgentPort = port
 	}
 	served := loadEntries(t, ws, 20*time.Millisecond, 6*time.Second)
-	must.LessEq(t, limitBound, u.mostOfInformed())
+	must.LessEq(t, limitBound, u.maxFromInformed())
 	must.Positive(t, served)
 }
--- a/internal/relayer/upstream_rest_test.go
+++ b/internal/relayer/upstream_rest_test.go
@@ -29,8 +29,8 @@
 const (
 	// restKnown is how long after its answer an upstream may still get what was on its way, and
 	// mostAtRest how many requests may reach it after that.
-	restKnown  = 500 * time.Millisecond
-	mostAtRest = 2
+	backoffGrace     = 500 * time.Millisecond
+	maxDuringBackoff = 2
 )
 
 // statingUpstream answers as its conduct says and keeps when the requests of each entry came.
@@ -94,7 +94,7 @@
 }
 
 // asksForRest turns away everything and asks each entry for the same rest.
-func asksForRest(rest time.Duration) func(u *statingUpstream, w http.ResponseWriter, entry string) {
+func asksForBackoff(rest time.Duration) func(u *statingUpstream, w http.ResponseWriter, entry string) {
 	return func(u *statingUpstream, w http.ResponseWriter, entry string) {
 		u.inform(entry)
 		reject(w, rest)
@@ -117,7 +117,7 @@
 }
 
 // mostBetween is the most requests that any entry sent between two times after it was informed.
-func (u *statingUpstream) mostBetween(after, until time.Duration) int {
+func (u *statingUpstream) maxBetween(after, until time.Duration) int {
 	u.mu.Lock()
 	defer u.mu.Unlock()
 	most := 0
@@ -167,7 +167,7 @@
 	return netip.MustParseAddrPort(l.Addr().String()).Port()
 }
 
-func atOnce() time.Duration { return 0 }
+func noDelay() time.Duration { return 0 }
 
 // ask sends one request through an entry and gives the status and the time to come back.
 func ask(t *testing.T, w *world, id string) (status int, retryAfter, took time.Duration) {
@@ -204,11 +204,11 @@
 // Guards against entries that go on sending to a plain service that asked them for rest.
 func TestServiceAtRestGetsNothing(t *testing.T) {
 	const rest = 3 * time.Second
-	tired, busy := newStatingUpstream(t, asksForRest(rest)), newStatingUpstream(t, servesHalf())
+	tired, busy := newStatingUpstream(t, asksForBackoff(rest)), newStatingUpstream(t, servesHalf())
 	ws := limitedEntries(t, 5, &matcher.Service{Name: "desk"}, tired.record("tired", "desk", 6), busy.record("busy", "desk", 6))
 	informAll(t, ws, tired)
 	served := loadEntries(t, ws, 20*time.Millisecond, 4*time.Second)
-	must.LessEq(t, mostAtRest, tired.mostBetween(restKnown, rest))
+	must.LessEq(t, maxDuringBackoff, tired.maxBetween(backoffGrace, rest))
 	must.Positive(t, served)
 }
 
@@ -216,9 +216,9 @@
 // was not asked, grants slots.
 func TestEngineAtRestGetsNothing(t *testing.T) {
 	const rest = 3 * time.Second
-	tired, busy := newStatingUpstream(t, asksForRest(rest)), newStatingUpstreamAt(t, "127.0.0.2", servesHalf())
+	tired, busy := newStatingUpstream(t, asksForBackoff(rest)), newStatingUpstreamAt(t, "127.0.0.2", servesHalf())
 	engine := engineTable().Services["engines"].Engine
-	port := agentBeside(t, "0.0.0.0", engine, atOnce)
+	port := agentBeside(t, "0.0.0.0", engine, noDelay)
 	ws := limitedEntries(t, 5, &matcher.Service{Name: "engines", Engine: engine},
 		tired.record("tired", "engines", engine.Slots), busy.record("busy", "engines", engine.Slots))
 	for _, w := range ws {
@@ -226,7 +226,7 @@
 	}
 	informAll(t, ws, tired)
 	served := loadEntries(t, ws, 20*time.Millisecond, 4*time.Second)
-	must.LessEq(t, mostAtRest, tired.mostBetween(restKnown, rest))
+	must.LessEq(t, maxDuringBackoff, tired.maxBetween(backoffGrace, rest))
 	must.Positive(t, served)
 }
 
@@ -234,7 +234,7 @@
 // long after.
 func TestRequestOnItsWayIsHeldBackFromAnEngineAtRest(t *testing.T) {
 	const rest, late = 5 * time.Second, time.Second
-	tired := newStatingUpstream(t, asksForRest(rest))
+	tired := newStatingUpstream(t, asksForBackoff(rest))
 	engine := engineTable().Services["engines"].Engine
 	var mu sync.Mutex
 	questions := 0
@@ -255,7 +255,7 @@
 	}
 	all.Wait()
 	must.Eq(t, 1, tired.informedEntries())
-	must.LessEq(t, mostAtRest, tired.mostBetween(restKnown, rest))
+	must.LessEq(t, maxDuringBackoff, tired.maxBetween(backoffGrace, rest))
 }
 
 // Guards against refusals with a time to come back at which the whole service still rests, and against
@@ -280,7 +280,7 @@
 			}
 			ws := limitedEntries(t, 1, &matcher.Service{Name: "s", Engine: engine}, first.record("first", "s", slots), second.record("second", "s", slots))
 			if engine != nil {
-				ws[0].relayer.Placer.AgentPort = agentBeside(t, "0.0.0.0", engine, atOnce)
+				ws[0].relayer.Placer.AgentPort = agentBeside(t, "0.0.0.0", engine, noDelay)
 			}
 			began := time.Now()
 			for i := range 20 {
@@ -296,7 +296,7 @@
 				}
 				time.Sleep(20 * time.Millisecond)
 			}
-			must.LessEq(t, mostAtRest, max(first.mostBetween(restKnown, rest), second.mostBetween(restKnown, rest)))
+			must.LessEq(t, maxDuringBackoff, max(first.maxBetween(backoffGrace, rest), second.maxBetween(backoffGrace, rest)))
 			time.Sleep(time.Until(began.Add(rest + 500*time.Millisecond)))
 			status, _, _ := ask(t, ws[0], "after")
 			must.Eq(t, http.StatusOK, status)
@@ -307,7 +307,7 @@
 // Guards against a stream that is moved to an upstream at rest, and against repeats that go there.
 func TestRepeatsAvoidAnUpstreamAtRest(t *testing.T) {
 	const rest = 3 * time.Second
-	tired := newStatingUpstream(t, asksForRest(rest))
+	tired := newStatingUpstream(t, asksForBackoff(rest))
 	breaks := func(_ *statingUpstream, w http.ResponseWriter, _ string) {
 		w.Header().Set("X-Replica-Seal", "s")
 		w.Header().Set("Content-Length", "100")
@@ -317,7 +317,7 @@
 	ws := limitedEntries(t, 3, &matcher.Service{Name: "desk"}, tired.record("tired", "desk", 6), flaky.record("flaky", "desk", 6))
 	loadEntries(t, ws, 10*time.Millisecond, 3*time.Second)
 	must.Positive(t, tired.informedEntries())
-	must.LessEq(t, mostAtRest, tired.mostBetween(restKnown, rest))
+	must.LessEq(t, maxDuringBackoff, tired.maxBetween(backoffGrace, rest))
 }
 
 // platformCodec reads the headers of the users' platform.
@@ -337,7 +337,7 @@
 		j := &relayer.Job{Request: relayer.Request{ID: "r"}, Route: w.registrar.View().Table.Routes[0], Arrived: time.Now()}
 		w.relayer.Admit(j)
 		sends := 0
-		err := w.relayer.Serve(t.Context(), j, func(_ context.Context, p *relayer.Place) error {
+		err := w.relayer.Serve(t.Context(), j, func(_ context.Context, p *relayer.Placement) error {
 			if sends++; sends > 1 {
 				return nil
 			}
--- a/internal/relayer/upstream_restart_test.go
+++ b/internal/relayer/upstream_restart_test.go
@@ -43,7 +43,7 @@
 // rest or stated that it leaves.
 func TestUpstreamThatStartsAnewIsUsedAtOnce(t *testing.T) {
 	for name, conduct := range map[string]func(u *statingUpstream, w http.ResponseWriter, entry string){
-		"rest": asksForRest(time.Minute), "leaving": statesLeaving,
+		"rest": asksForBackoff(time.Minute), "leaving": statesDraining,
 	} {
 		t.Run(name, func(t *testing.T) {
 			u := newStatingUpstream(t, conduct)
@@ -65,7 +65,7 @@
 
 // Guards against a rest that is forgotten when the record of the start that asked for it is heard.
 func TestRestOutlivesTheLateRecordOfItsStart(t *testing.T) {
-	u := newStatingUpstream(t, asksForRest(time.Minute))
+	u := newStatingUpstream(t, asksForBackoff(time.Minute))
 	startedAt := time.Now().Add(-time.Second)
 	w, restarted := restartableEntry(t, u, startedAt.Add(-time.Minute))
 	w.relayer.Codec = platformCodec
--- a/internal/relayer/wait.go
+++ b/internal/relayer/wait.go
@@ -13,37 +13,38 @@
 )
 
 const (
-	// heldShare is the part of the objective for which a request is kept back while
-	// all engines are full, before it is refused.
-	heldShare = 0.11
-	// againHeld is how long a slot is looked for after a failed attempt: callers leave a
-	// stream that pauses for two seconds or more.
-	againHeld = 600 * time.Millisecond
-	// heldPause is the pause between two rounds of questions, latePause the same for late requests,
-	// which wait for longer.
-	heldPause = 20 * time.Millisecond
-	latePause = 60 * time.Millisecond
-	// openingSlack is how much later than expected an engine may open: its agent looks every 20 ms.
+	// slotWaitShare is the part of the objective for which a request waits for a slot while all
+	// engines are full, before it is refused.
+	slotWaitShare = 0.11
+	// retrySlotWait is how long a retry waits for a slot: callers leave a stream that pauses for
+	// two seconds or more.
+	retrySlotWait = 600 * time.Millisecond
+	// slotPollInterval is the pause between two rounds of reservations, latePollInterval that of
+	// late requests, which wait longer.
+	slotPollInterval = 20 * time.Millisecond
+	latePollInterval = 60 * time.Millisecond
+	// openingSlack is how much later than expected an engine may open: its agent checks every 20
+	// ms.
 	openingSlack = 60 * time.Millisecond
 )
 
-// slotWait is how long a request looks for a slot before it is refused.
+// slotWait is how long and how often a request tries to get a slot before it is refused.
 type slotWait struct {
-	limit, pause time.Duration
-	// late waits are those of late requests, which are allowed only while they get slots.
+	limit, pollInterval time.Duration
+	// late marks the waits of late requests, which are allowed only while they get slots.
 	late bool
 }
 
 // Place finds an upstream. Errors are *RefusedError and the context's.
-func (p *Placer) Place(ctx context.Context, j *Job) (*Place, error) {
+func (p *Placer) Place(ctx context.Context, j *Job) (*Placement, error) {
 	began := p.Clock.Now()
-	place, err := p.place(ctx, j, began)
-	p.notePlaced(j, began, err)
+	place, err := p.placeWithWait(ctx, j, began)
+	p.recordPlacement(j, began, err)
 	return place, err
 }
 
-func (p *Placer) place(ctx context.Context, j *Job, began time.Time) (*Place, error) {
-	place, err := p.placeNow(ctx, j)
+func (p *Placer) placeWithWait(ctx context.Context, j *Job, began time.Time) (*Placement, error) {
+	place, err := p.placeOnce(ctx, j)
 	if err == nil || ctx.Err() != nil || isFinal(err) {
 		return place, err
 	}
@@ -51,50 +52,50 @@
 	if service == nil || service.Engine == nil {
 		return place, err
 	}
-	w := p.slotWait(j, service.Engine, err)
-	for p.Clock.Since(began)+w.pause <= w.limit {
+	w := p.slotWaitFor(j, service.Engine, err)
+	for p.Clock.Since(began)+w.pollInterval <= w.limit {
 		select {
 		case <-ctx.Done():
-			p.endWait(j, w, false, ctx.Err())
+			p.recordWait(j, w, false, ctx.Err())
 			return nil, ctx.Err()
-		case <-p.Clock.After(w.pause):
+		case <-p.Clock.After(w.pollInterval):
 		}
-		place, err = p.placeNow(ctx, j)
+		place, err = p.placeOnce(ctx, j)
 		if isFinal(err) {
-			p.endWait(j, w, false, err)
+			p.recordWait(j, w, false, err)
 			return nil, err
 		}
 		if err == nil || ctx.Err() != nil || !w.late && p.late(j) {
 			break
 		}
 	}
-	p.endWait(j, w, err == nil, ctx.Err())
+	p.recordWait(j, w, err == nil, ctx.Err())
 	return place, err
 }
 
-// slotWait is how long a request that found no slot, for a reason, looks for one.
-func (p *Placer) slotWait(j *Job, e *matcher.Engine, reason error) slotWait {
-	switch rest := restLeft(reason); {
-	case rest > againHeld || rest > 0 && !j.Again:
-		return slotWait{pause: heldPause}
+// slotWaitFor returns how a request that found no slot, for a reason, waits for one.
+func (p *Placer) slotWaitFor(j *Job, e *matcher.Engine, reason error) slotWait {
+	switch rest := backoffOf(reason); {
+	case rest > retrySlotWait || rest > 0 && !j.Again:
+		return slotWait{pollInterval: slotPollInterval}
 	case j.Again:
-		return slotWait{limit: againHeld, pause: heldPause}
+		return slotWait{limit: retrySlotWait, pollInterval: slotPollInterval}
 	case !p.late(j):
-		limit := p.heldLimit(j)
+		limit := p.slotWaitLimit(j)
 		if p.Without.Has(ablator.AdmissionWait) {
 			limit = 0
 		}
-		return slotWait{limit: max(limit, p.openingWait(j, e, reason)), pause: heldPause}
+		return slotWait{limit: max(limit, p.openingWait(j, e, reason)), pollInterval: slotPollInterval}
 	case j.Returned && !p.Without.Has(ablator.LateWait):
 		return p.lateWait(j, e)
 	default:
-		return slotWait{pause: heldPause}
+		return slotWait{pollInterval: slotPollInterval}
 	}
 }
 
-// restLeft is in how long the first upstream takes requests again, if a request was refused as all
-// asked for rest; else 0.
-func restLeft(reason error) time.Duration {
+// backoffOf is the time until the first upstream takes requests again, if a request was refused
+// because all are backing off; else 0.
+func backoffOf(reason error) time.Duration {
 	var refused *RefusedError
 	if !errors.As(reason, &refused) {
 		return 0
@@ -102,30 +103,30 @@
 	return refused.Rest
 }
 
-// lateWait is how long a late request looks for a slot: until each slot of an engine should have come
-// free once, or until its caller or this entry has no more time than a reply takes.
+// lateWait returns how a late request waits for a slot: until each slot of an engine should have
+// been freed once, or until the time left to its caller or this entry only suffices for a reply.
 func (p *Placer) lateWait(j *Job, e *matcher.Engine) slotWait {
 	turnover := time.Duration(max(1, e.Slots)) * scheduler.TurnTime(e)
 	left, _ := p.bound(j)
 	limit := min(turnover, left-turnover)
-	if limit < latePause {
-		return slotWait{pause: latePause}
+	if limit < latePollInterval {
+		return slotWait{pollInterval: latePollInterval}
 	}
 	if !p.lateWaits.Begin(j.Service, p.Clock.Now()) {
-		p.count("lateWaits.suspended")
-		return slotWait{pause: latePause}
+		p.incCounter("lateWaits.suspended")
+		return slotWait{pollInterval: latePollInterval}
 	}
-	return slotWait{limit: limit, pause: latePause, late: true}
+	return slotWait{limit: limit, pollInterval: latePollInterval, late: true}
 }
 
-func (p *Placer) count(name string) {
+func (p *Placer) incCounter(name string) {
 	if p.Metrics != nil {
 		metrics.GetOrRegisterCounter(name, p.Metrics).Inc(1)
 	}
 }
 
-// openingWait is how long a request waits for an engine that loads weights; 0 if it could not be in
-// time there.
+// openingWait is how long a request waits for an engine that loads weights; 0 if it would be too
+// late there.
 func (p *Placer) openingWait(j *Job, e *matcher.Engine, reason error) time.Duration {
 	var refused *RefusedError
 	if !errors.As(reason, &refused) || refused.Opens == 0 {
@@ -139,18 +140,18 @@
 	return wait
 }
 
-// endWait notes what became of a request that looked for a slot; left is why it does so no more, if
-// its caller or this entry leaves.
-func (p *Placer) endWait(j *Job, w slotWait, placed bool, left error) {
+// recordWait records the outcome of a wait for a slot; left is set if it ended because the caller
+// left or this entry shuts down.
+func (p *Placer) recordWait(j *Job, w slotWait, placed bool, left error) {
 	now := p.Clock.Now()
 	switch {
 	case w.late && left != nil:
 		p.lateWaits.Abandon(j.Service)
 	case w.late && placed:
-		p.count("lateWaits.placed")
+		p.incCounter("lateWaits.placed")
 		p.lateWaits.End(j.Service, true, now)
 	case w.late:
-		p.count("lateWaits.missed")
+		p.incCounter("lateWaits.missed")
 		p.lateWaits.End(j.Service, false, now)
 	case !placed && left == nil && !p.late(j):
 		p.contention.Refused(j.Service, now)
--- a/internal/relayer/wait_test.go
+++ b/internal/relayer/wait_test.go
@@ -41,7 +41,7 @@
 }
 
 // inFrontOfOne runs a test in virtual time with an entry that has one engine.
-func inFrontOfOne(t *testing.T, test func(t *testing.T, p *relayer.Placer, e *loadingEngine)) {
+func withOneEngine(t *testing.T, test func(t *testing.T, p *relayer.Placer, e *loadingEngine)) {
 	synctest.Test(t, func(t *testing.T) {
 		c := clock.RealClock{}
 		e := &loadingEngine{ledgerAgent: ledgerAgent{&scheduler.Ledger{Clock: c}}}
@@ -58,7 +58,7 @@
 	})
 }
 
-func request(route *matcher.Route, returned bool) *relayer.Job {
+func newJob(route *matcher.Route, returned bool) *relayer.Job {
 	j := &relayer.Job{Route: route, Service: "engines", Arrived: time.Now(), Deadline: time.Now().Add(5 * time.Second), Returned: returned}
 	j.ID, j.Model, j.Prompt = "r", "m", 100
 	return j
@@ -66,10 +66,10 @@
 
 // Guards against refusing callers that an engine could serve in time as soon as it has loaded its weights.
 func TestRequestWaitsForAnEngineThatOpensInTime(t *testing.T) {
-	inFrontOfOne(t, func(t *testing.T, p *relayer.Placer, e *loadingEngine) {
+	withOneEngine(t, func(t *testing.T, p *relayer.Placer, e *loadingEngine) {
 		e.opensIn(200*time.Millisecond, true)
 		began := time.Now()
-		_, err := p.Place(t.Context(), request(engineTable().Routes[0], false))
+		_, err := p.Place(t.Context(), newJob(engineTable().Routes[0], false))
 		must.NoError(t, err)
 		must.Less(t, 260*time.Millisecond, time.Since(began))
 		must.LessEq(t, 5, e.asked)
@@ -80,10 +80,10 @@
 func TestRequestDoesNotWaitForAnEngineThatOpensLate(t *testing.T) {
 	for name, stated := range map[string]bool{"too late": true, "not known when": false} {
 		t.Run(name, func(t *testing.T) {
-			inFrontOfOne(t, func(t *testing.T, p *relayer.Placer, e *loadingEngine) {
+			withOneEngine(t, func(t *testing.T, p *relayer.Placer, e *loadingEngine) {
 				e.opensIn(400*time.Millisecond, stated)
 				began := time.Now()
-				_, err := p.Place(t.Context(), request(engineTable().Routes[0], false))
+				_, err := p.Place(t.Context(), newJob(engineTable().Routes[0], false))
 				var refused *relayer.RefusedError
 				must.True(t, errors.As(err, &refused))
 				must.LessEq(t, 60*time.Millisecond, time.Since(began))
@@ -95,18 +95,18 @@
 
 // Guards against refusing callers once more that came back while all engines load.
 func TestReturnedRequestWaitsForASlot(t *testing.T) {
-	inFrontOfOne(t, func(t *testing.T, p *relayer.Placer, e *loadingEngine) {
+	withOneEngine(t, func(t *testing.T, p *relayer.Placer, e *loadingEngine) {
 		e.opensIn(700*time.Millisecond, false)
-		_, err := p.Place(t.Context(), request(engineTable().Routes[0], true))
+		_, err := p.Place(t.Context(), newJob(engineTable().Routes[0], true))
 		must.NoError(t, err)
 	})
 }
 
 // Guards against holding a late request for so long that its caller has no time left for the reply.
 func TestReturnedRequestIsRefusedWithTimeLeft(t *testing.T) {
-	inFrontOfOne(t, func(t *testing.T, p *relayer.Placer, e *loadingEngine) {
+	withOneEngine(t, func(t *testing.T, p *relayer.Placer, e *loadingEngine) {
 		e.opensIn(time.Minute, false)
-		j := request(engineTable().Routes[0], true)
+		j := newJob(engineTable().Routes[0], true)
 		_, err := p.Place(t.Context(), j)
 		var refused *relayer.RefusedError
 		must.True(t, errors.As(err, &refused))
@@ -118,15 +118,15 @@
 // Guards against learning from callers with too little time left to wait at all that waits get no slots:
 // those who come back with them would be refused although slots come free.
 func TestCallersThatCannotWaitTellNothingOfWaits(t *testing.T) {
-	inFrontOfOne(t, func(t *testing.T, p *relayer.Placer, e *loadingEngine) {
+	withOneEngine(t, func(t *testing.T, p *relayer.Placer, e *loadingEngine) {
 		e.opensIn(700*time.Millisecond, false)
 		for range 20 {
-			j := request(engineTable().Routes[0], true)
+			j := newJob(engineTable().Routes[0], true)
 			j.Deadline = time.Now().Add(500 * time.Millisecond)
 			_, err := p.Place(t.Context(), j)
 			must.Error(t, err)
 		}
-		_, err := p.Place(t.Context(), request(engineTable().Routes[0], true))
+		_, err := p.Place(t.Context(), newJob(engineTable().Routes[0], true))
 		must.NoError(t, err)
 	})
 }
--- a/internal/simulator/caller.go
+++ b/internal/simulator/caller.go
@@ -144,7 +144,7 @@
 	}
 	e.relayer.Admit(j)
 	ctx := &limited{Context: context.Background(), sequencer: c.time, deadline: j.Deadline}
-	err := e.relayer.Serve(ctx, j, func(ctx context.Context, p *relayer.Place) error { return c.attempt(ctx, e, j, p) })
+	err := e.relayer.Serve(ctx, j, func(ctx context.Context, p *relayer.Placement) error { return c.attempt(ctx, e, j, p) })
 	if err == nil {
 		return nil, nil
 	}
@@ -164,7 +164,7 @@
 }
 
 // attempt sends the request to a place and takes its events, as an entry does.
-func (c *caller) attempt(ctx context.Context, e *entry, j *relayer.Job, p *relayer.Place) error {
+func (c *caller) attempt(ctx context.Context, e *entry, j *relayer.Job, p *relayer.Placement) error {
 	h := c.byID[p.Upstream.ID]
 	way := c.way(e.domain, h.domain)
 	box := &sequencer.Mailbox[part]{Sequencer: c.time}
@@ -189,14 +189,14 @@
 			c.time.In(way, func() { h.drop(j.ID) })
 			return h.failure(retrier.Unknown, 0, "silent")
 		}
-		e.relayer.Placer.NoteStatements(p.Upstream.Upstream, got.stated)
+		e.relayer.Placer.RecordStatements(p.Upstream.Upstream, got.stated)
 		if got.failure != nil {
 			return got.failure
 		}
 		c.time.Sleep(way)
 		if first {
-			e.relayer.NotePace(p, got.pace)
-			p.Started()
+			e.relayer.RecordPace(p, got.pace)
+			p.ReportStarted()
 			j.Version = version
 		}
 		if h.leaving {
--- a/internal/simulator/world.go
+++ b/internal/simulator/world.go
@@ -229,7 +229,7 @@
 	way := r.way(r.domain, r.host.domain)
 	r.time.Sleep(way)
 	if r.host.silent {
-		r.time.Sleep(relayer.AskTimeout - way)
+		r.time.Sleep(relayer.ReserveTimeout - way)
 		return messenger.Verdict{}, context.DeadlineExceeded
 	}
 	if r.host.agentDown {
@@ -241,8 +241,8 @@
 	return v, nil
 }
 
-// Tell implements relayer.Agent.
-func (r *road) Tell(p messenger.Progress) {
+// SendProgress implements relayer.Agent.
+func (r *road) SendProgress(p messenger.Progress) {
 	r.time.In(r.way(r.domain, r.host.domain), func() {
 		if !r.host.silent && !r.host.agentDown {
 			r.host.granter.Progress(p, nil)
