--- a/internal/relayer/balance_test.go
+++ b/internal/relayer/balance_test.go
@@ -15,7 +15,7 @@
 	"github.com/oriolecroft/oriolecroft/internal/relayer"
 )
 
-// moody is the road to an agent that answers as it is drawn, and notes which places it granted.
+// randomAgent answers at random and records which slots it granted.
 type randomAgent struct {
 	t       *rapid.T
 	clock   *clocktest.FakeClock
@@ -50,10 +50,10 @@
 	}
 }
 
-// Agents grant, refuse, close, stay silent or hold other weights, and callers leave in between.
-// A request that is counted at an engine and never taken off, or a place that an agent keeps for
-// nobody, makes the engine look fuller with each of them until nothing goes there; one that is
-// taken off twice lets more through than the engine has connections for.
+// Agents grant, refuse, close, don't answer or hold other weights, and callers leave in between.
+// Guards against requests that are counted at an engine and never removed and slots that stay
+// reserved without a request, which make the engine look full, and requests removed twice, which
+// let more through than the engine has connections for.
 func TestRequestsAreCountedOnce(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
 		c := clocktest.NewFakeClock(time.Unix(1000, 0))
@@ -65,8 +65,8 @@
 		for i := range rapid.IntRange(1, 30).Draw(t, "jobs") {
 			ctx, leave := context.WithCancel(context.Background())
 			agent.leave = leave
-			// Late ones, and those without an objective, look for a place once. The latter accept
-			// a wait in a second round of questions.
+			// Late jobs, and those without an objective, try to get a slot once. The latter accept
+			// a wait in a second round of reservations.
 			route := *table.Routes[0]
 			if rapid.Bool().Draw(t, "patient") {
 				route.Objective = 0
@@ -86,7 +86,7 @@
 				t.Fatalf("%d requests counted, %d placed", got, len(places))
 			}
 			if len(agent.granted) > len(places) {
-				t.Fatalf("the agent holds %d places for %d requests", len(agent.granted), len(places))
+				t.Fatalf("the agent holds %d slots for %d requests", len(agent.granted), len(places))
 			}
 			if len(places) > 0 && rapid.Bool().Draw(t, "ends") {
 				places[0].Release()
@@ -97,7 +97,7 @@
 			place.Release()
 		}
 		if p.Chooser.Running("engine") != 0 || len(agent.granted) != 0 {
-			t.Fatalf("%d requests and %d places left over", p.Chooser.Running("engine"), len(agent.granted))
+			t.Fatalf("%d requests and %d slots left over", p.Chooser.Running("engine"), len(agent.granted))
 		}
 	})
 }
--- a/internal/relayer/begin_test.go
+++ b/internal/relayer/begin_test.go
@@ -13,10 +13,10 @@
 	"github.com/oriolecroft/oriolecroft/internal/scheduler"
 )
 
-// weightsBound is how long after the announcement of a version older ones may begin a reply.
+// weightsBound is how long after the announcement of a version a reply may start on older ones.
 const weightsBound = 2 * time.Second
 
-// staleEngine makes an entry that knows of a version newer than the one that its engine holds.
+// entryWithStaleEngine makes an entry that has received a version newer than the one at its engine.
 func entryWithStaleEngine(t *testing.T, answer func(int, string, net.Conn) bool) *world {
 	t.Helper()
 	w := entryWithOldEngines(t, clock.RealClock{}, 1, answer, directAddress).resumable(false)
@@ -24,14 +24,14 @@
 	return w
 }
 
-// Guards against requests that wait at an engine for longer than predicted and begin on stale
+// Guards against requests that wait at an engine for longer than predicted and start on stale
 // weights.
-func TestRequestThatHasNotBegunIsGivenUp(t *testing.T) {
+func TestRequestNotStartedInTimeIsGivenUp(t *testing.T) {
 	closed := make(chan time.Duration, 1)
 	named := time.Now()
 	w := entryWithStaleEngine(t, func(_ int, _ string, conn net.Conn) bool {
 		_ = conn.SetReadDeadline(time.Now().Add(patience))
-		// It ends when the entry closes the connection.
+		// Read returns when the entry closes the connection.
 		_, _ = conn.Read(make([]byte, 1))
 		closed <- time.Since(named)
 		return false
@@ -40,8 +40,8 @@
 	must.Less(t, weightsBound+2*time.Second, <-closed, must.Sprint("the route's timeout of 6 s ended it"))
 }
 
-// Guards against replies that are cut because they go on beyond the time of their weights.
-func TestReplyThatHasBegunGoesOn(t *testing.T) {
+// Guards against replies that are cut because they continue after their weights have expired.
+func TestStartedReplyContinuesPastTheBound(t *testing.T) {
 	w := entryWithStaleEngine(t, func(_ int, id string, conn net.Conn) bool {
 		say(conn, streamHead(id)+chunked(event(1)))
 		time.Sleep(weightsBound)
@@ -53,8 +53,8 @@
 	must.Eq(t, event(1)+event(2), a.body)
 }
 
-// Guards against a request that is given up only after its weights' time, or without need.
-func TestTimeToBeginEndsBeforeTheBound(t *testing.T) {
+// Guards against requests that are given up only after their weights have expired, or without need.
+func TestTimeToStartEndsBeforeTheBound(t *testing.T) {
 	c := clocktest.NewFakeClock(time.Unix(1000, 0))
 	p, _ := newPlacer(c, time.Hour, 1)
 	p.WeightsBound = weightsBound
@@ -62,7 +62,7 @@
 		return p.TimeToStart(&relayer.Placement{Held: 1}, &relayer.Job{Request: relayer.Request{Model: "m"}})
 	}
 	_, bounded := within()
-	must.False(t, bounded, must.Sprint("while no newer version is known"))
+	must.False(t, bounded, must.Sprint("no newer version is announced"))
 	announce(p.Registrar, 2)
 	c.Step(time.Second)
 	left, bounded := within()
--- a/internal/relayer/bench_test.go
+++ b/internal/relayer/bench_test.go
@@ -33,14 +33,14 @@
 	}
 }
 
-// decider is an entry that knows many upstreams and entries, with agents in the same process.
+// decider is an entry with many upstreams and peers, and agents in the same process.
 type decider struct {
 	*relayer.Relayer
 	clock *clocktest.FakeClock
 	job   relayer.Job
 }
 
-// newDecider makes one. Held is how many requests hold places at each engine.
+// newDecider makes one. Held is how many requests have slots at each engine.
 func newDecider(entries, upstreams, held int) *decider {
 	c := clocktest.NewFakeClock(time.Unix(1000, 0))
 	table := engineTable()
@@ -79,7 +79,7 @@
 	return d
 }
 
-// decide admits a request, finds it a place, and gives the place back.
+// decide admits a request, places it, and releases the slot.
 func (d *decider) decide() bool {
 	d.clock.Step(time.Millisecond)
 	j := d.job
@@ -103,18 +103,17 @@
 	}
 }
 
-// BenchmarkDecision is admission and place at a small deployment.
+// BenchmarkDecision measures admission and placement in a small deployment.
 func BenchmarkDecision(b *testing.B) { benchmarkDecision(b, 12, 50, 0) }
 
-// BenchmarkDecisionBusy has all engines but for one place taken.
+// BenchmarkDecisionBusy has all slots of each engine but one in use.
 func BenchmarkDecisionBusy(b *testing.B) { benchmarkDecision(b, 12, 50, 11) }
 
-// BenchmarkDecisionLarge is that at the size to design for.
+// BenchmarkDecisionLarge measures them at the largest size designed for.
 func BenchmarkDecisionLarge(b *testing.B) { benchmarkDecision(b, 400, 12_000, 0) }
 
-// Under load more requests wait and hold places. Were a decision to allocate for each of
-// them, it would become slower just when there are most decisions to make, and one would
-// notice answers that get later with the queue although the engines do no less.
+// Guards against decisions that allocate for each waiting or placed request. They would become
+// slower with load, and latency would grow with the queue although the engines serve as much.
 func TestDecisionAllocatesTheSameUnderLoad(t *testing.T) {
 	allocations := func(held int) float64 {
 		d := newDecider(12, 50, held)
--- a/internal/relayer/frozen_test.go
+++ b/internal/relayer/frozen_test.go
@@ -21,7 +21,7 @@
 const (
 	// callerGap is how long callers wait for the next event of a stream.
 	callerGap = 2 * time.Second
-	// closeWithin is how soon after its caller's leaving an upstream has to see the close.
+	// closeWithin is how soon after its caller has left an upstream must see the close.
 	closeWithin = 500 * time.Millisecond
 )
 
@@ -32,7 +32,7 @@
 	sent   time.Time
 }
 
-// call connects and sends a request, and more bytes behind it.
+// call connects and sends a request, followed by more bytes.
 func (w *world) call(t *testing.T, path, id, fields, body, more string) *caller {
 	t.Helper()
 	conn, err := net.Dial("tcp", w.Listener.Addr().String())
@@ -50,11 +50,11 @@
 	must.NoError(t, err)
 }
 
-// callerLook is the time between two looks of a caller for an answer.
+// callerPollInterval is the time between two checks of a caller for an answer.
 const callerPollInterval = 10 * time.Millisecond
 
 // waitAnswer waits for the head of an answer, for as long as callers do. The wait is counted in
-// looks: time for which the test itself gets no processor is no wait of its caller.
+// checks, so time in which the test itself gets no processor doesn't count.
 func (c *caller) waitAnswer(gap time.Duration) (*http.Response, error) {
 	var err error
 	for range gap / callerPollInterval {
@@ -71,7 +71,7 @@
 	return nil, err
 }
 
-// stage is how far an upstream comes with a request before its VM freezes.
+// stage is how far an upstream gets with a request before its VM is suspended.
 type stage func(id string, conn net.Conn)
 
 func beforeHeader(string, net.Conn) {}
@@ -89,8 +89,8 @@
 	say(conn, fmt.Sprintf("HTTP/1.1 200 OK\r\nId: %s\r\nSeal: x\r\nContent-Length: 9\r\n\r\nhalf", id))
 }
 
-// freezing are upstreams of which the first that gets a request freezes at a stage, and tells when it
-// got the request and saw its connection closed.
+// suspendingUpstreams are upstreams of which the first to get a request is suspended at a stage.
+// They record when the request arrived and when its connection was closed.
 type suspendingUpstreams struct {
 	first       once
 	at          stage
@@ -121,7 +121,7 @@
 	}
 }
 
-// resumable makes the world's streams resumable, or not.
+// resumable sets whether the world's streams are resumable.
 func (w *world) resumable(yes bool) *world {
 	for _, r := range w.registrar.View().Table.Routes {
 		r.Resumable = yes
@@ -129,7 +129,7 @@
 	return w
 }
 
-// impatient makes the callers of streams leave after callerGap without an event.
+// withEventTimeout lets callers of streams leave after callerGap without an event.
 func (w *world) withEventTimeout() *world {
 	for _, r := range w.registrar.View().Table.Routes {
 		if r.Kind == matcher.Streaming {
@@ -146,7 +146,7 @@
 	return w
 }
 
-// orders are those in which an upstream's VM freezes with a stream.
+// suspensionCases are the cases in which an upstream's VM is suspended with a stream.
 func suspensionCases() map[string]func(t *testing.T) (*world, *suspendingUpstreams) {
 	two := func(f *suspendingUpstreams) func(t *testing.T) (*world, *suspendingUpstreams) {
 		return func(t *testing.T) (*world, *suspendingUpstreams) {
@@ -174,7 +174,7 @@
 		f.bothSuspend = true
 		return two(f)
 	}
-	// full is before engines whose agents grant: the second takes nothing.
+	// full has engines with agents: the second grants nothing.
 	full := func(f *suspendingUpstreams) func(t *testing.T) (*world, *suspendingUpstreams) {
 		return func(t *testing.T) (*world, *suspendingUpstreams) {
 			return engines(t, f.answer("engine"), openLedger(12), closedLedger("full")).resumable(true), f
@@ -202,9 +202,9 @@
 	return "/stream/"
 }
 
-// Guards against callers that leave a stream that has not begun without any answer, although their
-// entry is well: the engine begins their requests when its VM wakes.
-func TestCallerOfAFrozenVMIsAnsweredBeforeItLeaves(t *testing.T) {
+// Guards against callers that leave a stream that has not started without any answer, although
+// their entry works: the engine would start their requests after its VM resumes.
+func TestCallerOfASuspendedVMIsAnsweredBeforeItLeaves(t *testing.T) {
 	for name, order := range suspensionCases() {
 		t.Run(name, func(t *testing.T) {
 			t.Parallel()
@@ -224,9 +224,9 @@
 	}
 }
 
-// Guards against callers of plain requests that get nothing before their limit, at an upstream that
-// freezes.
-func TestPlainCallerOfAFrozenVMIsAnsweredWithinItsLimit(t *testing.T) {
+// Guards against callers of plain requests that get nothing within their time limit, at an upstream
+// that is suspended.
+func TestPlainCallerOfASuspendedVMIsAnsweredWithinItsLimit(t *testing.T) {
 	for name, at := range map[string]stage{"before the header": beforeHeader, "in the body": inPlainBody} {
 		for _, path := range []string{"/safe/", "/once/"} {
 			t.Run(name+path, func(t *testing.T) {
@@ -243,9 +243,9 @@
 	}
 }
 
-// Guards against callers that leave without an answer while their entry looks for a slot, after an
-// engine was given up at the end of its weights' time.
-func TestCallerIsAnsweredBeforeItLeavesAfterItsWeightsTime(t *testing.T) {
+// Guards against callers that leave without an answer while their entry waits for a slot, after an
+// engine was given up because its weights expired.
+func TestCallerIsAnsweredBeforeItLeavesAfterItsWeightsExpired(t *testing.T) {
 	f := suspendAt(beforeHeader)
 	w := entryWithStaleEngine(t, f.answer("engine")).resumable(true).withEventTimeout()
 	w.relayer.Placer.WeightsBound = callerGap - 200*time.Millisecond
@@ -257,8 +257,8 @@
 	res.Body.Close()
 }
 
-// Guards against the same when all slots of an engine are granted just before its VM freezes.
-func TestAllCallersOfAFrozenEngineAreAnsweredBeforeTheyLeave(t *testing.T) {
+// Guards against the same when all slots of an engine are granted just before its VM is suspended.
+func TestAllCallersOfASuspendedEngineAreAnsweredBeforeTheyLeave(t *testing.T) {
 	f := suspendAt(beforeHeader)
 	f.arrived, f.closed, f.bothSuspend = make(chan time.Time, 100), make(chan time.Time, 100), true
 	ledgers := []*scheduler.Ledger{openLedger(12), openLedger(12)}
--- a/internal/relayer/late_begin_test.go
+++ b/internal/relayer/late_begin_test.go
@@ -18,8 +18,8 @@
 	"github.com/oriolecroft/oriolecroft/internal/scheduler"
 )
 
-// oldEngines makes an entry before engines that hold version 1. Their agents grant every slot, as
-// on a prediction that will not hold. Addresses may be replaced, as by those of links to them.
+// entryWithOldEngines makes an entry with engines that hold version 1. Their agents grant every
+// slot, as on a wrong prediction. The address function may return a link to the engine.
 func entryWithOldEngines(t *testing.T, c clock.PassiveClock, count int, answer func(int, string, net.Conn) bool, address func(*upstream) string) *world {
 	t.Helper()
 	ledgers := make([]*scheduler.Ledger, 0, count)
@@ -29,7 +29,7 @@
 	return entryWithLedgers(t, c, ledgers, answer, address)
 }
 
-// oldEnginesOf is oldEngines with ledgers of the agents.
+// entryWithLedgers is entryWithOldEngines with the given ledgers of agents.
 func entryWithLedgers(t *testing.T, c clock.PassiveClock, ledgers []*scheduler.Ledger, answer func(int, string, net.Conn) bool, address func(*upstream) string) *world {
 	t.Helper()
 	w := engines(t, answer, ledgers...)
@@ -86,11 +86,11 @@
 	return false
 }
 
-// closeTime is how long before the bound an entry gives up a request that has not begun.
+// closeMargin is how long before the bound an entry gives up a request that hasn't started.
 const closeMargin = 200 * time.Millisecond
 
-// within fails unless the engine learned by the bound that the request is given up. Entry and engine are in this
-// process: what it stands still for once the request is to be given up isn't counted.
+// mustCloseWithin fails unless the connection was closed by the bound. Entry and engine are in this
+// process: stalls of the process after the time to close aren't counted.
 func (w *waitsForClose) mustCloseWithin(t *testing.T, announced time.Time, bound time.Duration) {
 	t.Helper()
 	closed := <-w.closed
@@ -101,7 +101,8 @@
 	must.Less(t, bound, closed.Sub(announced)-still, must.Sprint("since the announcement"))
 }
 
-// afterAnnouncement announces a version, sends a request, and fails unless it is given up by the bound.
+// mustCloseAfterAnnouncement announces a version, sends a request, and fails unless it is given up
+// by the bound.
 func (w *waitsForClose) mustCloseAfterAnnouncement(t *testing.T, entry *world) {
 	t.Helper()
 	announced := time.Now()
@@ -110,10 +111,10 @@
 	w.mustCloseWithin(t, announced, weightsBound)
 }
 
-// Guards against the order of the request that began 8,084 ms after an announcement: its first
-// engine's VM froze amid the stream, it went on elsewhere within the old weights' time, and waited
-// there for longer than predicted.
-func TestResumedStreamThatHasNotBegunIsGivenUp(t *testing.T) {
+// Guards against the sequence of a request that started 8,084 ms after an announcement: the VM of
+// its first engine was suspended during the stream, the stream moved elsewhere before the old
+// weights expired, and waited there for longer than predicted.
+func TestResumedStreamNotStartedInTimeIsGivenUp(t *testing.T) {
 	var first once
 	waits := newWaitsForClose(t)
 	began := make(chan struct{}, 1)
@@ -142,8 +143,8 @@
 	waits.mustCloseWithin(t, announced, weightsBound)
 }
 
-// Guards against taking the header of a stream for its begin.
-func TestHeaderAloneIsNoBegin(t *testing.T) {
+// Guards against taking the header of a stream for its start.
+func TestHeaderAloneIsNoStart(t *testing.T) {
 	waits := newWaitsForClose(t)
 	w := entryWithOldEngines(t, clock.RealClock{}, 1, func(n int, id string, conn net.Conn) bool {
 		say(conn, streamHead(id))
@@ -152,8 +153,8 @@
 	waits.mustCloseAfterAnnouncement(t, w)
 }
 
-// Guards against plain requests that wait beyond their weights' time.
-func TestPlainRequestThatHasNotBegunIsGivenUp(t *testing.T) {
+// Guards against plain requests that wait until after their weights have expired.
+func TestPlainRequestNotStartedInTimeIsGivenUp(t *testing.T) {
 	waits := newWaitsForClose(t)
 	w := entryWithOldEngines(t, clock.RealClock{}, 1, waits.answer, directAddress)
 	w.registrar.View().Table.Routes[0].Kind = matcher.Idempotent
@@ -161,7 +162,7 @@
 }
 
 // Guards against counting the bound from the second of two announcements.
-func TestSecondAnnouncementProlongsNothing(t *testing.T) {
+func TestSecondAnnouncementDoesNotExtendTheBound(t *testing.T) {
 	waits := newWaitsForClose(t)
 	w := entryWithOldEngines(t, clock.RealClock{}, 1, waits.answer, directAddress)
 	announced := time.Now()
@@ -174,8 +175,9 @@
 	waits.mustCloseWithin(t, announced, weightsBound)
 }
 
-// Guards against bounding no request that was sent before its entry heard of the announcement.
-func TestAnnouncementHeardWhileARequestWaits(t *testing.T) {
+// Guards against requests without a bound that were sent before their entry received the
+// announcement.
+func TestAnnouncementReceivedWhileARequestWaits(t *testing.T) {
 	const late = weightsBound / 2
 	waits := newWaitsForClose(t)
 	w := entryWithOldEngines(t, clock.RealClock{}, 1, waits.answer, directAddress)
@@ -191,9 +193,9 @@
 	waits.mustCloseWithin(t, <-announced, weightsBound)
 }
 
-// Guards against sending a request that was granted a slot in time and whose weights' time has
-// passed since, as when its entry stood still between the two.
-func TestRequestWhoseTimeIsOverIsNotSent(t *testing.T) {
+// Guards against sending a request that got a slot in time but whose weights have expired since, as
+// when its entry was suspended in between.
+func TestRequestForExpiredWeightsIsNotSent(t *testing.T) {
 	// The timer that gives the request up and the write race with each other.
 	for range 10 {
 		c := clocktest.NewFakeClock(time.Now())
@@ -205,7 +207,7 @@
 	}
 }
 
-// Guards against a timer that leaves out the time for which the entry's VM was suspended.
+// Guards against a timer that doesn't count the time for which the entry's VM was suspended.
 func TestSuspendedTimeCountsWhileARequestWaits(t *testing.T) {
 	c := clocktest.NewFakeClock(time.Now())
 	waits := newWaitsForClose(t)
@@ -223,7 +225,7 @@
 
 // Guards against a close that reaches the engine only after the bound, as over a link full of the
 // new weights' chunks.
-func TestCloseOverAFullLinkComesInTime(t *testing.T) {
+func TestCloseOverAFullLinkArrivesInTime(t *testing.T) {
 	for _, delay := range []time.Duration{20 * time.Millisecond, 150 * time.Millisecond} {
 		t.Run(delay.String(), func(t *testing.T) {
 			waits := newWaitsForClose(t)
@@ -235,8 +237,8 @@
 	}
 }
 
-// slowLink is the address of a link to an upstream on which everything towards it, ends of
-// connections included, takes some time.
+// slowLink returns the address of a link to an upstream that delays everything sent to it, closes
+// of connections included.
 func slowLink(t *testing.T, to net.Addr, delay time.Duration) string {
 	ip := netip.MustParseAddrPort(to.String()).Addr().String()
 	return link(t, ip, to, func(near, far net.Conn) {
@@ -248,7 +250,7 @@
 	})
 }
 
-// delayed copies what comes after some time, the end included.
+// copyDelayed copies all data and the close after a delay.
 func copyDelayed(to, from net.Conn, delay time.Duration) {
 	for {
 		b := make([]byte, 64<<10)
@@ -265,8 +267,8 @@
 	}
 }
 
-// Guards against a slot sent to without a grant that is bounded less than a granted one.
-func TestUnaskedSlotIsBounded(t *testing.T) {
+// Guards against a later bound for a slot used without a grant than for a granted one.
+func TestUngrantedSlotIsBounded(t *testing.T) {
 	c := clocktest.NewFakeClock(time.Unix(1000, 0))
 	p, table := newPlacer(c, 0, 1)
 	announce(p.Registrar, 2)
@@ -280,9 +282,9 @@
 	must.Less(t, p.WeightsBound-3*time.Second, left)
 }
 
-// Guards against bounding no request of an entry that started after the announcement: it found the
-// version in the store and doesn't know since when.
-func TestStartedEntryGoesByTheTimeThatTheAgentStates(t *testing.T) {
+// Guards against requests without a bound at an entry that started after the announcement: the
+// version's record in the store doesn't state the announcement's time.
+func TestStartedEntryUsesTheTimeStatedByTheAgent(t *testing.T) {
 	c := clock.RealClock{}
 	waits := newWaitsForClose(t)
 	announced := time.Now()
@@ -295,9 +297,9 @@
 	waits.mustCloseWithin(t, announced, weightsBound)
 }
 
-// Guards against bounding no request of an entry that found the announcement in the store when it
-// started, although another entry tells it since when.
-func TestStartedEntryLearnsTheTimeOfOldWeights(t *testing.T) {
+// Guards against requests without a bound at an entry that read the announcement from the store
+// when it started, although another entry sent it the time.
+func TestStartedEntryReceivesTheAnnouncementTimeFromAPeer(t *testing.T) {
 	c := clock.RealClock{}
 	waits := newWaitsForClose(t)
 	w := entryWithOldEngines(t, c, 1, waits.answer, directAddress)
@@ -310,9 +312,9 @@
 	waits.mustCloseWithin(t, announced, weightsBound)
 }
 
-// Guards against counting the bound from when an entry heard of an announcement: an answer of the
-// store that was half a second on its way bears no age.
-func TestAnnouncementHeardLateIsNotYoung(t *testing.T) {
+// Guards against counting the bound from the arrival of an announcement: a reply of the store that
+// was delayed by half a second states no age.
+func TestAgeOfAnAnnouncementReceivedLate(t *testing.T) {
 	const late = 500 * time.Millisecond
 	waits := newWaitsForClose(t)
 	w := entryWithOldEngines(t, clock.RealClock{}, 1, waits.answer, directAddress)
--- a/internal/relayer/limit_races_test.go
+++ b/internal/relayer/limit_races_test.go
@@ -17,9 +17,9 @@
 	"github.com/oriolecroft/oriolecroft/internal/matcher"
 )
 
-// Guards against half answers, kept places and goroutines that stay, when the first event comes just
-// as the request is given up for its caller.
-func TestFirstEventBesideTheLimitIsWholeOrNothing(t *testing.T) {
+// Guards against partial answers, leaked slots and leaked goroutines when the first event arrives
+// just as the request is given up for its caller.
+func TestFirstEventAtTheTimeLimitIsWholeOrNothing(t *testing.T) {
 	w := newWorld(t, newUpstream(t, "u1", func(n int, id string, conn net.Conn) bool {
 		time.Sleep(96*time.Millisecond + time.Duration(n%40)*200*time.Microsecond)
 		say(conn, streamHead(id)+chunked(event(1))+chunked(event(2))+"0\r\n\r\n")
@@ -63,9 +63,9 @@
 		wait.Timeout(5*time.Second), wait.Gap(50*time.Millisecond)), must.Sprintf("goroutines %d, before %d", runtime.NumGoroutine(), before))
 }
 
-// Guards against closing a kept connection that serves another request already, at the end of the
-// time of one that it served before.
-func TestEndOfTheTimeClosesNoConnectionOfAnother(t *testing.T) {
+// Guards against closing a kept connection that already serves another request, when the weights of
+// its previous request expire.
+func TestExpiredWeightsCloseNoConnectionOfAnotherRequest(t *testing.T) {
 	var mu sync.Mutex
 	last := map[string]string{}
 	w := entryWithOldEngines(t, clock.RealClock{}, 1, func(_ int, id string, conn net.Conn) bool {
@@ -101,7 +101,7 @@
 	must.Eq(t, 0, other[502]+other[504])
 }
 
-// Guards against watches that outlive their requests, on each way out.
+// Guards against watches that outlive their requests, for each way in which a request ends.
 func TestNoWatchOutlivesItsRequest(t *testing.T) {
 	w := entryWithOldEngines(t, clock.RealClock{}, 1, func(n int, id string, conn net.Conn) bool {
 		switch n % 6 {
@@ -163,9 +163,9 @@
 	return s, "", false
 }
 
-// Guards against an unasked slot on weights of which the started entry doesn't know since when they are
-// old.
-func TestStartedEntryUsesNoUnaskedSlotOnOldWeights(t *testing.T) {
+// Guards against using a slot without a grant on weights whose expiry is unknown to a restarted
+// entry.
+func TestStartedEntryUsesNoUngrantedSlotOnOldWeights(t *testing.T) {
 	c := clocktest.NewFakeClock(time.Unix(1000, 0))
 	p, table := newPlacer(c, 0, 1)
 	announce(p.Registrar, 2)
@@ -173,8 +173,8 @@
 	must.False(t, placed(p, c, table))
 }
 
-// Guards against answers to given up requests that end their caller's connection: an upstream's silence
-// is no reason to end it.
+// Guards against answers to given up requests that close their caller's connection: an unresponsive
+// upstream is no reason to close it.
 func TestGivenUpRequestKeepsItsCallersConnection(t *testing.T) {
 	f := suspendAt(beforeHeader)
 	w := newWorld(t, newUpstream(t, "u1", f.answer("u1"))).withEventTimeout()
--- a/internal/relayer/limits_test.go
+++ b/internal/relayer/limits_test.go
@@ -20,15 +20,14 @@
 	"github.com/oriolecroft/oriolecroft/internal/scheduler"
 )
 
-// coldRate is what a cold upstream bears a second in these tests, and coldBound what it
-// may get from all entries together: half as much again, and five.
+// coldRate is the requests per second that a cold upstream can serve in these tests, and coldBound
+// the limit for all entries together: half as much again, plus five.
 const (
 	coldRate  = 14
 	coldBound = 1.5*coldRate + 5
 )
 
-// coldEntries makes entries that all know each other, before one cold upstream without an
-// agent.
+// coldEntries makes entries that all know each other, with one cold upstream without an agent.
 func coldEntries(c *clocktest.FakeClock, n int) []*relayer.Placer {
 	table := &matcher.Table{Version: 1, Services: map[string]*matcher.Service{"desk": {Name: "desk", ColdRate: coldRate}}}
 	table.Index()
@@ -60,11 +59,10 @@
 	return ps
 }
 
-// A failure domain returns and its plain services are cold. All entries have requests for
-// them at that moment; each lets its first one through, and where there are many entries
-// the upstream gets more in one second than it bears, falls over and is cold again. Users
-// see bookings fail again and again after the outage is over.
-func TestManyEntriesSpareAColdService(t *testing.T) {
+// Guards against entries that together overload a cold upstream: after an outage of a failure
+// domain, all entries have requests for its plain services, and many entries' first requests exceed
+// in one second what a cold upstream can serve. It crashes and is cold again.
+func TestEntriesShareTheRateOfAColdService(t *testing.T) {
 	for _, n := range []int{1, 9, 24, 60, 300} {
 		c := clocktest.NewFakeClock(time.Unix(1000, 0))
 		ps := coldEntries(c, n)
@@ -83,7 +81,7 @@
 	}
 }
 
-// mostWithin is the largest number of moments within a span, in order of time.
+// maxWithin is the largest number of times within a span; the times are in order.
 func maxWithin(ts []time.Time, span time.Duration) int {
 	most, from := 0, 0
 	for i, t := range ts {
@@ -95,11 +93,10 @@
 	return most
 }
 
-// One service refuses everything while another has most of the requests. Retries that the
-// busy service's requests earned are spent on the refusing one; its few requests each come
-// three times, more than the bound of a fifth and a hundred that holds for each service by
-// itself, and the trouble there lasts longer.
-func TestRetriesAreEarnedByTheirOwnService(t *testing.T) {
+// Guards against retries that are earned by the requests of one service and spent on another, which
+// refuses all. Its few requests were sent three times each, beyond the bound of a fifth plus a
+// hundred that applies to each service, and its recovery took longer.
+func TestRetryBudgetsArePerService(t *testing.T) {
 	w := newWorld(t, newUpstream(t, "a", serves), newUpstream(t, "office-a", refuses), newUpstream(t, "office-b", refuses), newUpstream(t, "office-c", refuses))
 	const few, busy = 120, 12
 	for i := range few {
@@ -115,9 +112,9 @@
 	must.LessEq(t, int(retryRatio*few)+retrySlack, came-few)
 }
 
-// Many callers book at the same moment. An upstream bears only so many connections and
-// resets those beyond; the request on one of them may have run, so its caller is told
-// that nobody knows, although other places were free.
+// Guards against exceeding the connections of an upstream in a burst of bookings. It resets
+// connections beyond its limit, so whether the request on one ran is unknown to its caller,
+// although other upstreams had free slots.
 func TestBurstKeepsWithinAnUpstreamsConnections(t *testing.T) {
 	var mu sync.Mutex
 	open, most := 0, 0
--- a/internal/relayer/move_test.go
+++ b/internal/relayer/move_test.go
@@ -18,15 +18,15 @@
 	"github.com/oriolecroft/oriolecroft/internal/relayer"
 )
 
-// unevenEngines are engines of which the first that gets a stream is slow.
+// unevenEngines are engines of which the first to get a stream is slow.
 type unevenEngines struct {
 	*world
 	slow once
-	// left is closed when the slow one's reply is given up.
+	// abandoned is closed when the slow engine's reply is given up.
 	abandoned chan struct{}
 }
 
-// movingEvents is how many events a stream of unevenEngines has.
+// movingEvents is the number of events in a stream of unevenEngines.
 const movingEvents = 50
 
 func newUnevenEngines(t *testing.T) *unevenEngines {
@@ -36,8 +36,8 @@
 	return u
 }
 
-// Guards against predictions for services that don't call for them: all their requests have one priority, and no
-// upstream has stated a pace.
+// Guards against predictions for services that don't need them: all their requests have one
+// priority, and no upstream has stated a pace.
 func TestStreamsStayWhereNoUpstreamStatesAPace(t *testing.T) {
 	u := &unevenEngines{abandoned: make(chan struct{})}
 	u.world = engines(t, u.answer, openLedger(12), openLedger(12)).resumable(true)
@@ -45,7 +45,7 @@
 	must.Eq(t, 0, u.moves())
 }
 
-// answer sends the events behind the one that the request names, with 60 ms between two of them at the slow engine.
+// answer sends the events after the one that the request names, 60 ms apart at the slow engine.
 func (u *unevenEngines) answer(n int, id string, conn net.Conn) bool {
 	ip := netip.MustParseAddrPort(conn.LocalAddr().String()).Addr()
 	say(conn, streamHead(id))
@@ -68,7 +68,8 @@
 	return true
 }
 
-// ask asks for an answer of movingEvents, which takes the slow engine twice as long as the caller waits.
+// ask requests an answer of movingEvents, which takes twice the caller's time limit at the slow
+// engine.
 func (u *unevenEngines) ask(t *testing.T) answer {
 	return u.sendHeader(t, "/draft/", "order", http.Header{"Id": {"r1"}, "Patience": {"1500"}, "Hint": {"200"}, "Answer": {"400"}})
 }
@@ -77,8 +78,9 @@
 	return metrics.GetOrRegisterCounter("moves", u.metrics).Count()
 }
 
-// Guards against a stream that is cut at a slow engine while another one could end it, against events that are lost or
-// come twice as it moves, and against taking the move for a fault of the slow engine.
+// Guards against a stream that is cut at a slow engine while another one could end it, against
+// events that are lost or duplicated in the move, and against counting the move as a failure of the
+// slow engine.
 func TestStreamThatWouldEndTooLateMoves(t *testing.T) {
 	u := newUnevenEngines(t)
 	a := u.ask(t)
@@ -99,7 +101,8 @@
 	}
 }
 
-// Guards against moves that the route doesn't allow, or that make a longer pause than is on time.
+// Guards against moves that the route doesn't allow, or that pause the stream for longer than its
+// objective.
 func TestStreamThatMayNotMoveStays(t *testing.T) {
 	for name, change := range map[string]func(*unevenEngines){
 		"not resumable":     func(u *unevenEngines) { u.resumable(false) },
@@ -134,9 +137,9 @@
 
 func (slowAgent) SendProgress(messenger.Progress) {}
 
-// Guards against streams that are begun, and engines that are asked, although the shortest likely answer takes longer than
-// the caller waits.
-func TestStreamThatCannotEndIsNotBegun(t *testing.T) {
+// Guards against streams that are started, and agents that are asked, although the shortest likely
+// answer exceeds the caller's time limit.
+func TestStreamThatCannotEndInTimeIsNotStarted(t *testing.T) {
 	u := newUnevenEngines(t)
 	asked := 0
 	u.relayer.Placer.Reach = func(netip.AddrPort) relayer.Agent {
--- a/internal/relayer/place_test.go
+++ b/internal/relayer/place_test.go
@@ -33,7 +33,7 @@
 	return t
 }
 
-// newPlacer makes an entry's placer before one engine whose agent can't be reached.
+// newPlacer makes an entry's placer with one engine whose agent is unreachable.
 func newPlacer(c *clocktest.FakeClock, cold time.Duration, seed uint64) (*relayer.Placer, *matcher.Table) {
 	table := engineTable()
 	reg := &registrar.Registrar{Clock: c, Decode: func(key string, value []byte) (registrar.Fact, error) {
@@ -57,7 +57,7 @@
 	}, table
 }
 
-// granted is how many of many entries send a request to the engine at once.
+// countPlaced is how many of 46 entries send a request to the engine at once.
 func countPlaced(t *testing.T, cold time.Duration) int {
 	t.Helper()
 	n := 0
@@ -73,20 +73,20 @@
 	return n
 }
 
-// After a loss of everything the engines come back cold, and agents answer some entries
-// too late because all ask at once. What entries then send without asking adds up with
-// what the agent grants to others; a cold engine falls over under it, and all that it
-// runs is lost.
-func TestColdEngineGetsNothingUnasked(t *testing.T) {
+// Guards against sending to a cold engine without a grant. After a loss of all processes, agents
+// answer some entries too late because all ask at once. Requests sent without a grant add to those
+// that the agent grants to others, and a cold engine crashes under the sum and loses all that it
+// runs.
+func TestColdEngineGetsNothingWithoutAGrant(t *testing.T) {
 	must.Eq(t, 0, countPlaced(t, 3*time.Second))
-	// A warm engine whose agent alone is gone goes on serving.
+	// A warm engine stays in service if only its agent has failed.
 	must.Eq(t, 46, countPlaced(t, 0))
 }
 
-// An entry tells ages by a clock that counts suspended time, and deadlines by the steady
-// one, which begins elsewhere. Were a time of the one compared with the other, cold engines
-// would count as warm at once and fall over, or as cold for good and stand idle.
-func TestColdEngineByAnotherClock(t *testing.T) {
+// Guards against comparing times of two clocks with different epochs: ages use one that counts
+// suspended time, deadlines the monotonic one. Cold engines would count as warm at once and crash,
+// or as cold forever and stay idle.
+func TestColdEngineWithSeparateClocks(t *testing.T) {
 	for _, start := range []time.Time{time.Unix(7, 0), time.Unix(1e9, 0)} {
 		c, ages := clocktest.NewFakeClock(time.Unix(1000, 0)), clocktest.NewFakeClock(start)
 		p, table := newPlacer(c, 3*time.Second, 1)
@@ -99,22 +99,22 @@
 	}
 }
 
-// The VM of an engine freezes, and its agent answers nothing. A request that is sent there
-// all the same lies unread until its caller has left, and runs in vain when the VM wakes.
-func TestFrozenVMGetsNothingUnasked(t *testing.T) {
+// Guards against sending to an engine on a suspended VM, whose agent doesn't answer. The request
+// stays unread until its caller has left, and runs for nothing after the VM resumes.
+func TestSuspendedVMGetsNothingWithoutAGrant(t *testing.T) {
 	c := clocktest.NewFakeClock(time.Unix(1000, 0))
 	p, table := newPlacer(c, 0, 1)
 	suspendAgent(t, p)
 	must.False(t, placed(p, c, table))
-	// Its replies go on, so it is the agent alone that is late.
+	// The engine's replies continue, so only the agent is unresponsive.
 	p.Chooser.Alive("engine")
 	must.True(t, placed(p, c, table))
 	c.Step(time.Second)
 	must.False(t, placed(p, c, table))
 }
 
-// freezeAgent gives the engine of a placer an agent on a frozen VM: the kernel takes connections, and
-// nobody reads from them.
+// suspendAgent gives the engine of a placer an agent on a suspended VM: the kernel accepts
+// connections, but nothing reads from them.
 func suspendAgent(t *testing.T, p *relayer.Placer) {
 	l, err := net.Listen("tcp", "127.0.0.1:0")
 	must.NoError(t, err)
@@ -123,9 +123,9 @@
 	p.Agents.Timeout = relayer.ReserveTimeout
 }
 
-// An engine's VM freezes right after an event. Its agent is silent at once; how long is the engine
-// taken for one that lives, and sent requests that lie unread?
-func TestFrozenVMGetsNothingUnaskedAfterItsLastEvent(t *testing.T) {
+// Guards against counting an engine as alive for too long when its VM is suspended right after an
+// event: requests sent there stay unread.
+func TestSuspendedVMGetsNothingWithoutAGrantAfterItsLastEvent(t *testing.T) {
 	c := clocktest.NewFakeClock(time.Unix(1000, 0))
 	p, table := newPlacer(c, 0, 1)
 	suspendAgent(t, p)
@@ -143,11 +143,10 @@
 	}
 }
 
-// The VM of an engine freezes before the engine takes a new version, and wakes after its
-// time; a third version is named just then. The agent is silent, and entries that know
-// only how young the third naming is would send to the engine as if its weights, two
-// versions old, were still allowed.
-func TestEngineTwoVersionsBehindGetsNothingUnasked(t *testing.T) {
+// Guards against sending without a grant to an engine that is two versions behind: its VM was
+// suspended before it loaded the second version and resumes just as a third is announced. By the
+// age of the third announcement alone, its weights would still be allowed.
+func TestEngineTwoVersionsBehindGetsNothingWithoutAGrant(t *testing.T) {
 	c := clocktest.NewFakeClock(time.Unix(1000, 0))
 	p, table := newPlacer(c, 0, 1)
 	announce(p.Registrar, 2)
@@ -158,10 +157,10 @@
 	must.False(t, placed(p, c, table))
 }
 
-// An entry stands still while two versions are named, and hears of the second only. The
-// agent of an engine is silent; its weights were replaced by the first of the two, and
-// their time is over, but the entry took the second for what replaced them.
-func TestNamingMissedByAStoppedEntryCounts(t *testing.T) {
+// Guards against missing the first of two announcements: the entry is suspended during both and
+// receives only the second. The weights of an engine with an unresponsive agent were replaced by
+// the first and have expired, but the entry took the second for their replacement.
+func TestAnnouncementMissedByASuspendedEntryCounts(t *testing.T) {
 	c := clocktest.NewFakeClock(time.Unix(1000, 0))
 	p, table := newPlacer(c, 0, 1)
 	announce(p.Registrar, 1)
@@ -176,11 +175,10 @@
 	must.False(t, placed(p, c, table))
 }
 
-// An agent stands still over a naming and wakes. Until it hears the news, some milliseconds
-// later or a second if its peers are lost, it grants places as before, although the time of
-// its engine's weights is over. The entry knows, and callers must not get replies from
-// weights that the operators replaced. In the operators' report two requests, sent within
-// 0.1 s of each other, began on weights replaced 11.6 s before.
+// Guards against using a grant on expired weights. An agent that was suspended during an
+// announcement grants slots until it gets the update, some milliseconds later, or a second if its
+// peers are lost, although the entry has it already. In the operators' report two requests, sent
+// within 0.1 s of each other, started on weights replaced 11.6 s before.
 func TestGrantOnOldWeightsIsNotUsed(t *testing.T) {
 	c := clocktest.NewFakeClock(time.Unix(1000, 0))
 	p, table := newPlacer(c, 0, 1)
@@ -197,11 +195,11 @@
 	must.Eq(t, asked, a.asked.Load(), must.Sprint("the engine counts as closed and is left alone for a while"))
 }
 
-// An entry starts anew while a version is young, and reads the store by itself, which doesn't
-// say how young. The agents know and grant places on the old weights for as long as they may
-// serve; were the entry to take the version for an old one, it would refuse all its callers
-// until the engines have switched. It used none of 180 grants in four seconds.
-func TestEntryThatStartsLeavesOldWeightsToTheAgents(t *testing.T) {
+// Guards against a restarted entry that takes a new version for an old one, as the store doesn't
+// state its age, and refuses all callers until the engines have switched. The agents grant slots on
+// the old weights for as long as they are allowed; the entry used none of 180 grants in four
+// seconds.
+func TestStartedEntryAcceptsGrantsOnOldWeights(t *testing.T) {
 	c := clocktest.NewFakeClock(time.Unix(1000, 0))
 	seen, table := newPlacer(c, 0, 1)
 	announce(seen.Registrar, 2)
@@ -211,10 +209,10 @@
 	must.True(t, placed(p, c, table))
 }
 
-// willingAgent is an agent that says the same to everybody.
+// grantingAgent is an agent that gives all requesters the same verdict.
 type grantingAgent struct{ asked, ended atomic.Int32 }
 
-// grant gives the engine of a placer a willingAgent.
+// serveVerdict gives the engine of a placer a grantingAgent.
 func serveVerdict(t *testing.T, p *relayer.Placer, v messenger.Verdict) *grantingAgent {
 	l, err := net.Listen("tcp", "127.0.0.1:0")
 	must.NoError(t, err)
@@ -232,8 +230,8 @@
 	return a
 }
 
-// newLateAgent makes a placer that waits for agents no longer than entries do, and the ledger and the
-// listener of an agent.
+// newLateAgent makes a placer that waits for agents no longer than entries do, with the ledger and
+// the listener of an agent.
 func newLateAgent(t *testing.T, c *clocktest.FakeClock) (*relayer.Placer, *matcher.Table, *scheduler.Ledger, net.Listener) {
 	p, table := newPlacer(c, time.Hour, 1)
 	p.Agents.Timeout = relayer.ReserveTimeout
@@ -244,11 +242,10 @@
 	return p, table, ledger, l
 }
 
-// An agent grants a place, but its answer comes after the entry has given it up, as on a link
-// that is full for a moment, and the request goes elsewhere. Were the place kept for as long
-// as the caller might have waited, it would stand empty for six seconds while others are
-// refused.
-func TestPlaceGrantedTooLateIsGivenBack(t *testing.T) {
+// Guards against a slot that stays reserved when the grant arrives after the entry has given up, as
+// over a congested link, and the request was sent elsewhere. It would stay empty for six seconds,
+// the caller's time limit, while others are refused.
+func TestSlotGrantedTooLateIsReleased(t *testing.T) {
 	c := clocktest.NewFakeClock(time.Unix(1000, 0))
 	p, table, ledger, l := newLateAgent(t, c)
 	asked, late := make(chan bool, 100), make(chan struct{})
@@ -269,14 +266,14 @@
 	go func() { _ = s.Serve(ctx) }()
 	p.AgentPort = netip.MustParseAddrPort(l.Addr().String()).Port()
 	for len(asked) == 0 {
-		// On a busy machine the entry may give up before its question has left. It asks again
-		// once the agent doesn't count as silent any more.
+		// On a busy machine the entry may give up before its reservation is sent. It asks again
+		// once the agent doesn't count as unresponsive any more.
 		c.Step(time.Second)
 		must.False(t, placed(p, c, table))
 	}
 	close(late)
 	must.True(t, <-asked)
-	// The ledger's clock stands still, so that no place comes free by the time that it was kept.
+	// The ledger's clock doesn't advance, so the slot isn't freed by its timeout.
 	must.Wait(t, wait.InitialSuccess(wait.BoolFunc(func() bool {
 		v := ledger.Reserve(scheduler.Job{ID: "next", Prompt: 1}, nil)
 		ledger.Ended("next")
@@ -284,20 +281,20 @@
 	}), wait.Timeout(patience), wait.Gap(time.Millisecond)), must.Sprint("the place is kept"))
 }
 
-// name makes a version the one to hold.
+// announce makes a version the one to load.
 func announce(r *registrar.Registrar, version byte) {
 	at, _, _ := r.At()
 	r.Apply(registrar.Batch{After: at, At: at + 1, Records: []registrar.Record{
 		{Key: "weights", Value: []byte{version}, Revision: at + 1}}})
 }
 
-// confirm has the store confirm that nothing is newer than what is known.
+// confirm confirms that the store has no newer records than those received.
 func confirm(r *registrar.Registrar) {
 	at, _, _ := r.At()
 	r.Apply(registrar.Batch{After: at, At: at})
 }
 
-// placed tells whether a request gets a place.
+// placed reports whether a request gets a slot.
 func placed(p *relayer.Placer, c *clocktest.FakeClock, table *matcher.Table) bool {
 	j := &relayer.Job{Route: table.Routes[0], Service: "engines", Arrived: c.Now().Add(-400 * time.Millisecond), Deadline: c.Now().Add(5 * time.Second)}
 	j.ID, j.Model, j.Prompt = "id", "m", 800
--- a/internal/relayer/priority_test.go
+++ b/internal/relayer/priority_test.go
@@ -19,7 +19,7 @@
 	"github.com/oriolecroft/oriolecroft/internal/scheduler"
 )
 
-// scriptedAgent answers all reservations alike and keeps them.
+// scriptedAgent answers all reservations with a function and records them.
 type scriptedAgent struct {
 	verdict func(messenger.Reservation) messenger.Verdict
 	asked   *[]messenger.Reservation
@@ -32,7 +32,8 @@
 
 func (scriptedAgent) SendProgress(messenger.Progress) {}
 
-// newPrioritized makes an entry with a live and a batch route before engines whose agents answer as scripted.
+// newPrioritized makes an entry with a live and a batch route, and engines whose agents answer as
+// scripted.
 func newPrioritized(engines int, verdict func(messenger.Reservation) messenger.Verdict) (d *decider, live, batch relayer.Job, asked *[]messenger.Reservation) {
 	d = newDecider(1, engines, 0)
 	asked = &[]messenger.Reservation{}
@@ -72,9 +73,9 @@
 	return messenger.Verdict{Granted: *r.Priority == 0, Kept: scheduler.KeptForUrgent, Version: 1, FreeMS: 100, Active: 11, Slots: 12}
 }
 
-// Guards against a refused caller, or an operator, who reads that all engines are full while slots are kept for
-// others; and against urgent requests that pass over an engine which keeps a slot for them.
-func TestRequestRefusedForUrgentOnesIsToldSo(t *testing.T) {
+// Guards against refusals that state that all engines are full while slots are kept for others, and
+// against urgent requests that pass over an engine which keeps a slot for them.
+func TestRequestRefusedForUrgentOnesGetsTheReason(t *testing.T) {
 	d, live, batch, asked := newPrioritized(3, keepsForUrgent)
 	var refused *relayer.RefusedError
 	must.True(t, errors.As(d.place(&batch), &refused))
@@ -92,8 +93,8 @@
 	must.NoError(t, d.place(&live))
 }
 
-// Guards against requests that state a priority where all have the same: agents would decide otherwise than
-// before.
+// Guards against requests that state a priority where all have the same, so that agents decide by
+// priority.
 func TestPriorityIsStatedOnlyWhereThereIsMoreThanOne(t *testing.T) {
 	granted := func(messenger.Reservation) messenger.Verdict {
 		return messenger.Verdict{Granted: true, Version: 1, Slots: 12}
@@ -117,8 +118,8 @@
 	must.Eq(t, `{"request":"id","model":"m","prompt":800,"answer":80,"maxAnswer":80,"patienceMs":40,"leftMs":5985}`, string(text))
 }
 
-// Guards against engines and plain upstreams that admit a request in order of arrival, as nobody passed on its
-// priority.
+// Guards against engines and plain upstreams that admit requests in order of arrival because the
+// priority isn't passed on.
 func TestUpstreamGetsThePriority(t *testing.T) {
 	w := newWorld(t, newUpstream(t, "one", serves))
 	must.Eq(t, http.StatusOK, w.ask(t, "/safe/x", "r1").status)
@@ -130,9 +131,9 @@
 	must.Eq(t, "0", w.upstreams[0].header(1).Get("Priority"))
 }
 
-// Guards against callers that were refused together and come back together, against the least urgent ones that
-// come back first, and against a time that callers don't wait for.
-func TestRefusedCallersComeBackByPriority(t *testing.T) {
+// Guards against callers refused together that come back together, against the least urgent ones
+// coming back first, and against a Retry-After beyond the time that callers wait.
+func TestRetryAfterDependsOnPriority(t *testing.T) {
 	d, live, batch, _ := newPrioritized(1, keepsForUrgent)
 	estimate := 200 * time.Millisecond
 	for _, patience := range []time.Duration{6 * time.Second, 900 * time.Millisecond} {
@@ -155,8 +156,8 @@
 	}
 }
 
-// A plain service has no agent to ask. Guards against less urgent requests that fill its upstreams while these
-// refuse, and against the most urgent ones being held back as well.
+// Guards against less urgent requests that fill the upstreams of a plain service, which has no
+// agent, while these refuse, and against holding back the most urgent ones as well.
 func TestPlainServiceInAShortageTakesUrgentRequests(t *testing.T) {
 	d, live, batch, _ := newPrioritized(3, keepsForUrgent)
 	table := d.Registrar.View().Table
@@ -171,11 +172,11 @@
 		job    relayer.Job
 		answer error
 		sent   bool
-		// after is how much later than the one before it the request comes.
+		// after is how much later than the previous request this one arrives.
 		after time.Duration
 	}{
 		{batch, refusal, true, 0},
-		{batch, refusal, true, 0}, // No more urgent requests come.
+		{batch, refusal, true, 0}, // No more urgent requests arrive.
 		{live, nil, true, 0},
 		{batch, nil, false, 0},
 		{batch, nil, true, time.Second}, // The shortage is over.
--- a/internal/relayer/ramp_test.go
+++ b/internal/relayer/ramp_test.go
@@ -16,7 +16,7 @@
 	"github.com/oriolecroft/oriolecroft/internal/scheduler"
 )
 
-// rampingPair is an entry before a full engine and one that has just started, which has as many requests as
+// rampingPair is an entry with a full engine and one just started, which has as many requests as
 // its slow start allows.
 func rampingPair(t *testing.T) (d *decider, started *scheduler.Ledger) {
 	t.Helper()
@@ -49,7 +49,7 @@
 	return d.Placer.Place(t.Context(), &j)
 }
 
-// pump lets those that wait on the clock go on until the test ends.
+// pump advances the clock for its waiters until the test ends.
 func (d *decider) pump(t *testing.T) {
 	go func() {
 		for t.Context().Err() == nil {
@@ -61,8 +61,8 @@
 	}()
 }
 
-// Guards against a request that is refused for a slow start alone although the engine answers well, and one
-// that is let in beyond it before the engine has answered anything.
+// Guards against a request refused only for a slow start although the engine answers well, and one
+// admitted beyond the slow start before the engine has answered anything.
 func TestSlowStartRefusesNothingWhileItsEngineAnswersWell(t *testing.T) {
 	d, started := rampingPair(t)
 	must.True(t, started.Ramping())
@@ -78,9 +78,9 @@
 	must.Error(t, err)
 }
 
-// Guards against agents that never hear of failed requests, and against those that hear of a failure which
-// isn't their engine's.
-func TestAgentHearsHowAttemptsEnd(t *testing.T) {
+// Guards against agents that don't receive failures of requests, and against those that receive a
+// failure not caused by their engine.
+func TestAgentReceivesAttemptOutcomes(t *testing.T) {
 	for name, e := range map[string]struct {
 		err  error
 		ends bool
@@ -106,7 +106,7 @@
 	}
 }
 
-// tellRecorder keeps the last progress that was sent.
+// progressRecorder keeps the last progress sent.
 type progressRecorder struct {
 	relayer.Agent
 	last messenger.Progress
--- a/internal/relayer/reason_test.go
+++ b/internal/relayer/reason_test.go
@@ -14,7 +14,7 @@
 	"github.com/oriolecroft/oriolecroft/internal/relayer"
 )
 
-// silentAgent takes the whole time for an answer and gives none.
+// unresponsiveAgent gives no answer within the timeout.
 type unresponsiveAgent struct {
 	*decider
 	asked *int
@@ -28,8 +28,8 @@
 
 func (unresponsiveAgent) SendProgress(messenger.Progress) {}
 
-// overloaded is an entry before 50 engines, of which so many have silent agents and all others no slot; asked counts
-// questions to silent ones.
+// overloaded is an entry with 50 engines, the given number of which have unresponsive agents and
+// all others no slot; asked counts the reservations at unresponsive ones.
 func overloaded(silent int) (d *decider, asked *int) {
 	d, asked = newDecider(12, 50, 12), new(int)
 	d.Placer.Without = ablator.Set{ablator.AdmissionWait}
@@ -43,7 +43,7 @@
 	return d, asked
 }
 
-// refusal is what a request is refused with.
+// refusal returns the error with which a request is refused.
 func (d *decider) refusal(t *testing.T) *relayer.RefusedError {
 	t.Helper()
 	j := d.job
@@ -55,9 +55,9 @@
 	return refused
 }
 
-// Guards against refusals after a restart that tell operators of full engines where two silent agents took the time for
-// asking and 88 engines were left unasked.
-func TestRefusalTellsWhetherEnginesAreFull(t *testing.T) {
+// Guards against refusals after a restart that report full engines, where two unresponsive agents
+// used up the time for asking and 88 engines weren't asked.
+func TestRefusalStatesWhetherEnginesAreFull(t *testing.T) {
 	d, _ := overloaded(0)
 	e := d.refusal(t)
 	must.Eq(t, "all engines full", e.Reason)
@@ -75,9 +75,9 @@
 	must.Eq(t, 50, e.Met.Silent)
 }
 
-// Guards against requests of the seconds after a restart that ask one silent agent after the other, and leave engines
-// unasked whose agents answer.
-func TestRequestAsksOneSilentAgentAfterAllOthers(t *testing.T) {
+// Guards against requests that ask several unresponsive agents in the seconds after a restart, and
+// don't ask engines whose agents answer.
+func TestRequestAsksOneUnresponsiveAgentAfterAllOthers(t *testing.T) {
 	const silent = 10
 	d, asked := overloaded(silent)
 	for *asked < silent {
@@ -93,6 +93,6 @@
 		must.Eq(t, 50-silent, e.Met.Full+e.Met.PassedOver)
 		must.Eq(t, silent, e.Met.Silent)
 	}
-	must.Eq(t, "all engines full", d.refusal(t).Reason, must.Sprint("no silent agent may be asked now"))
+	must.Eq(t, "all engines full", d.refusal(t).Reason, must.Sprint("no unresponsive agent may be asked now"))
 	must.Eq(t, before+silent, *asked)
 }
--- a/internal/relayer/starting_test.go
+++ b/internal/relayer/starting_test.go
@@ -16,9 +16,9 @@
 	"github.com/oriolecroft/oriolecroft/internal/relayer"
 )
 
-// Guards against callers that are refused during a restart of all processes and come back, with the only retry that they
-// make, before the entry knows its route table, or all at once.
-func TestCallersComeBackAfterTheStart(t *testing.T) {
+// Guards against callers that are refused during a restart of all processes and spend their only
+// retry before the entry has its route table, or come back all at once.
+func TestCallersRetryAfterStartup(t *testing.T) {
 	for lasted, want := range map[time.Duration][2]time.Duration{
 		0:                       {time.Second, 2 * time.Second},
 		500 * time.Millisecond:  {time.Second, 1500 * time.Millisecond},
--- a/internal/relayer/upstream_leaving_test.go
+++ b/internal/relayer/upstream_leaving_test.go
@@ -10,20 +10,20 @@
 	"github.com/oriolecroft/oriolecroft/internal/matcher"
 )
 
-// leavingBound is how long after an entry has handed on an answer of a leaving upstream that gets
-// requests from it.
+// drainBound is how long an upstream may still get requests from an entry that has passed on its
+// statement of draining.
 const drainBound = 2 * time.Second
 
-// statesLeaving serves all and states that the upstream leaves.
+// statesDraining serves all and states that the upstream is draining.
 func statesDraining(u *statingUpstream, w http.ResponseWriter, entry string) {
 	u.inform(entry)
 	w.Header().Set("Server-Leaving", "1")
 	serveWhole(w)
 }
 
-// Guards against requests to an upstream that states in its answers that it leaves, while its record
-// doesn't say so.
-func TestUpstreamThatStatesItsLeavingGetsNothing(t *testing.T) {
+// Guards against requests to an upstream that states in its replies that it is draining, while its
+// record doesn't.
+func TestUpstreamThatStatesItIsDrainingGetsNothing(t *testing.T) {
 	for name, engine := range map[string]*matcher.Engine{"plain": nil, "engines": engineTable().Services["engines"].Engine} {
 		t.Run(name, func(t *testing.T) {
 			t.Parallel()
@@ -46,8 +46,8 @@
 	}
 }
 
-// Guards against a leaving that is read from an answer which is not the upstream's own.
-func TestLeavingOfAnotherUpstreamAtTheAddressIsNotItsOwn(t *testing.T) {
+// Guards against accepting a statement of draining from a reply that isn't the upstream's own.
+func TestDrainingOfAnotherUpstreamAtTheAddressIsIgnored(t *testing.T) {
 	requests := 0
 	u := newStatingUpstream(t, func(_ *statingUpstream, w http.ResponseWriter, _ string) {
 		requests++
--- a/internal/relayer/upstream_limit_test.go
+++ b/internal/relayer/upstream_limit_test.go
@@ -19,11 +19,11 @@
 )
 
 const (
-	// limitWindow is the span in which an upstream's requests are counted, and limitBound what it
-	// may get there at a limit of one a second.
+	// limitWindow is the span in which an upstream's requests are counted, and limitBound the most
+	// requests in it at a limit of one a second.
 	limitWindow = 4 * time.Second
 	limitBound  = 1.5*1*4 + 5
-	// limitKnown is how long after its first such reply an entry has to keep to the limit.
+	// limitGrace is the time after the first reply with the limit in which an entry may exceed it.
 	limitGrace = 500 * time.Millisecond
 )
 
@@ -34,8 +34,8 @@
 	serveWhole(w)
 }
 
-// mostOfInformed is the largest number of requests within limitWindow that came from entries when these
-// had known of the limit.
+// maxFromInformed is the largest number of requests within limitWindow from entries that had
+// received the limit.
 func (u *statingUpstream) maxFromInformed() int {
 	u.mu.Lock()
 	defer u.mu.Unlock()
@@ -51,7 +51,7 @@
 	return maxWithin(informed, limitWindow)
 }
 
-// limitedEntries are entries that know each other, before upstreams of one service.
+// limitedEntries makes entries that know each other, with upstreams of one service.
 func limitedEntries(t *testing.T, n int, service *matcher.Service, us ...registrar.Upstream) []*world {
 	route := &matcher.Route{Name: "r", Host: "127.0.0.1", Prefix: "/", Kind: matcher.Idempotent, Timeout: patience, MaxAttempts: 2,
 		Public: true, Generates: service.Engine != nil, Targets: []matcher.Target{{Service: service.Name, Weight: 1}}}
@@ -86,7 +86,7 @@
 	return ws
 }
 
-// loadEntries sends requests through all entries for a while, and gives how many were served.
+// loadEntries sends requests through all entries for a while, and returns how many were served.
 func loadEntries(t *testing.T, ws []*world, each, last time.Duration) (served int) {
 	t.Helper()
 	var mu sync.Mutex
@@ -117,7 +117,7 @@
 	return served
 }
 
-// Guards against entries that together send a plain service more than the limit that it names.
+// Guards against entries that together exceed the limit that a plain service states.
 func TestEntriesKeepToTheLimitOfAService(t *testing.T) {
 	u := newStatingUpstream(t, statesLimit)
 	ws := limitedEntries(t, 9, &matcher.Service{Name: "desk"}, u.record("u", "desk", 6))
@@ -126,7 +126,7 @@
 	must.Positive(t, served)
 }
 
-// Guards against an agent that grants slots beyond the limit that its engine names to entries.
+// Guards against an agent that grants slots beyond the limit that its engine states to entries.
 func TestAgentKeepsToTheLimitOfItsEngine(t *testing.T) {
 	u := newStatingUpstream(t, statesLimit)
 	engine := engineTable().Services["engines"].Engine
--- a/internal/relayer/upstream_rest_test.go
+++ b/internal/relayer/upstream_rest_test.go
@@ -27,22 +27,22 @@
 )
 
 const (
-	// restKnown is how long after its answer an upstream may still get what was on its way, and
-	// mostAtRest how many requests may reach it after that.
+	// backoffGrace is how long after its answer an upstream may still get requests in flight, and
+	// maxDuringBackoff how many may reach it after that.
 	backoffGrace     = 500 * time.Millisecond
 	maxDuringBackoff = 2
 )
 
-// statingUpstream answers as its conduct says and keeps when the requests of each entry came.
+// statingUpstream answers by its conduct and records the arrivals of each entry's requests.
 type statingUpstream struct {
 	listener net.Listener
 
 	mu sync.Mutex
-	// conduct writes an answer's status, header and body; the entry is that which sent the request.
+	// conduct writes an answer's status, header and body; entry sent the request.
 	conduct func(w http.ResponseWriter, r *http.Request, entry string)
-	// arrived are the times at which requests of each entry came.
+	// arrived has the arrival times of the requests of each entry.
 	arrived map[string][]time.Time
-	// informed is when an entry was first informed to rest, or of the upstream's leaving.
+	// informed is when an entry was first asked to back off, or was sent another statement.
 	informed map[string]time.Time
 }
 
@@ -61,7 +61,7 @@
 	return u
 }
 
-// ServeHTTP answers a request; its body names the entry that it came through.
+// ServeHTTP answers a request; its body names the entry that sent it.
 func (u *statingUpstream) ServeHTTP(w http.ResponseWriter, r *http.Request) {
 	entry, err := io.ReadAll(r.Body)
 	if err != nil {
@@ -74,7 +74,7 @@
 	u.conduct(w, r, string(entry))
 }
 
-// inform notes that an entry is informed something now, if it is the first time.
+// inform records the time of the first statement to an entry.
 func (u *statingUpstream) inform(entry string) {
 	if _, ok := u.informed[entry]; !ok {
 		u.informed[entry] = time.Now()
@@ -86,14 +86,14 @@
 	_, _ = io.WriteString(w, "done")
 }
 
-// reject refuses a request and asks for rest.
+// reject refuses a request and asks for a backoff.
 func reject(w http.ResponseWriter, rest time.Duration) {
 	w.Header().Set("X-Not-Executed", "shed")
 	w.Header().Set("Retry-After", strconv.FormatFloat(rest.Seconds(), 'f', -1, 64))
 	w.WriteHeader(http.StatusServiceUnavailable)
 }
 
-// asksForRest turns away everything and asks each entry for the same rest.
+// asksForBackoff refuses all requests and asks each entry for the same backoff.
 func asksForBackoff(rest time.Duration) func(u *statingUpstream, w http.ResponseWriter, entry string) {
 	return func(u *statingUpstream, w http.ResponseWriter, entry string) {
 		u.inform(entry)
@@ -103,7 +103,7 @@
 
 func servesAll(_ *statingUpstream, w http.ResponseWriter, _ string) { serveWhole(w) }
 
-// servesHalf refuses every other request and doesn't say for how long.
+// servesHalf refuses every other request without stating for how long.
 func servesHalf() func(u *statingUpstream, w http.ResponseWriter, entry string) {
 	n := 0
 	return func(_ *statingUpstream, w http.ResponseWriter, _ string) {
@@ -116,7 +116,7 @@
 	}
 }
 
-// mostBetween is the most requests that any entry sent between two times after it was informed.
+// maxBetween is the most requests that any entry sent between two times after it was informed.
 func (u *statingUpstream) maxBetween(after, until time.Duration) int {
 	u.mu.Lock()
 	defer u.mu.Unlock()
@@ -151,7 +151,7 @@
 	return registrar.Upstream{ID: id, Service: service, Address: netip.MustParseAddrPort(u.listener.Addr().String()), FailureDomain: "a", Slots: slots}
 }
 
-// agentBeside starts an agent that grants slots at its engine, and gives its port.
+// agentBeside starts an agent that grants slots at its engine, and returns its port.
 func agentBeside(t *testing.T, ip string, engine *matcher.Engine, delay func() time.Duration) uint16 {
 	ledger := &scheduler.Ledger{Clock: clock.RealClock{}}
 	ledger.Open(engine)
@@ -169,13 +169,13 @@
 
 func noDelay() time.Duration { return 0 }
 
-// ask sends one request through an entry and gives the status and the time to come back.
+// ask sends one request through an entry and returns the status and the time to come back.
 func ask(t *testing.T, w *world, id string) (status int, retryAfter, took time.Duration) {
 	t.Helper()
 	return askAs(t, w, "0", id)
 }
 
-// askAs is ask through an entry of a name.
+// askAs is ask through the entry of the given name.
 func askAs(t *testing.T, w *world, entry, id string) (status int, retryAfter, took time.Duration) {
 	t.Helper()
 	began := time.Now()
@@ -190,7 +190,7 @@
 	return res.StatusCode, time.Duration(seconds * float64(time.Second)), time.Since(began)
 }
 
-// informAll has each entry send requests until an upstream has informed it something.
+// informAll sends requests through each entry until it has received a statement of an upstream.
 func informAll(t *testing.T, ws []*world, u *statingUpstream) {
 	t.Helper()
 	for i, w := range ws {
@@ -201,8 +201,8 @@
 	}
 }
 
-// Guards against entries that go on sending to a plain service that asked them for rest.
-func TestServiceAtRestGetsNothing(t *testing.T) {
+// Guards against entries that continue to send to a plain service that asked for a backoff.
+func TestServiceThatIsBackingOffGetsNothing(t *testing.T) {
 	const rest = 3 * time.Second
 	tired, busy := newStatingUpstream(t, asksForBackoff(rest)), newStatingUpstream(t, servesHalf())
 	ws := limitedEntries(t, 5, &matcher.Service{Name: "desk"}, tired.record("tired", "desk", 6), busy.record("busy", "desk", 6))
@@ -212,9 +212,9 @@
 	must.Positive(t, served)
 }
 
-// Guards against entries that go on sending to an engine that asked them for rest, as its agent, which
-// was not asked, grants slots.
-func TestEngineAtRestGetsNothing(t *testing.T) {
+// Guards against entries that continue to send to an engine that asked them for a backoff, because
+// its agent, which was not asked, grants slots.
+func TestEngineThatIsBackingOffGetsNothing(t *testing.T) {
 	const rest = 3 * time.Second
 	tired, busy := newStatingUpstream(t, asksForBackoff(rest)), newStatingUpstreamAt(t, "127.0.0.2", servesHalf())
 	engine := engineTable().Services["engines"].Engine
@@ -230,9 +230,9 @@
 	must.Positive(t, served)
 }
 
-// Guards against requests that were granted slots before their entry was asked for rest, and are sent
+// Guards against requests that got slots before their entry was asked for a backoff, and are sent
 // long after.
-func TestRequestOnItsWayIsHeldBackFromAnEngineAtRest(t *testing.T) {
+func TestPlacedRequestIsWithheldFromAnEngineThatIsBackingOff(t *testing.T) {
 	const rest, late = 5 * time.Second, time.Second
 	tired := newStatingUpstream(t, asksForBackoff(rest))
 	engine := engineTable().Services["engines"].Engine
@@ -258,9 +258,9 @@
 	must.LessEq(t, maxDuringBackoff, tired.maxBetween(backoffGrace, rest))
 }
 
-// Guards against refusals with a time to come back at which the whole service still rests, and against
-// callers who wait for one.
-func TestServiceThatRestsAsAWholeRefusesAtOnce(t *testing.T) {
+// Guards against a Retry-After at which the whole service is still backing off, and against
+// requests that wait for one.
+func TestServiceWithAllUpstreamsBackingOffRefusesAtOnce(t *testing.T) {
 	const rest, spread = 3 * time.Second, time.Second
 	for name, engine := range map[string]*matcher.Engine{"plain": nil, "engines": engineTable().Services["engines"].Engine} {
 		t.Run(name, func(t *testing.T) {
@@ -287,7 +287,7 @@
 				asked := time.Since(began)
 				status, retryAfter, took := ask(t, ws[0], fmt.Sprint(i))
 				must.Eq(t, http.StatusServiceUnavailable, status)
-				// Both have been asked by the second request at the latest.
+				// By the second request at the latest, both upstreams have received one.
 				if i > 1 {
 					must.Less(t, 200*time.Millisecond, took)
 					left := rest - asked - took
@@ -304,8 +304,8 @@
 	}
 }
 
-// Guards against a stream that is moved to an upstream at rest, and against repeats that go there.
-func TestRepeatsAvoidAnUpstreamAtRest(t *testing.T) {
+// Guards against retries and continued streams that are sent to an upstream that is backing off.
+func TestRetriesAvoidAnUpstreamThatIsBackingOff(t *testing.T) {
 	const rest = 3 * time.Second
 	tired := newStatingUpstream(t, asksForBackoff(rest))
 	breaks := func(_ *statingUpstream, w http.ResponseWriter, _ string) {
@@ -323,7 +323,7 @@
 // platformCodec reads the headers of the users' platform.
 var platformCodec = platform.Headers{}
 
-// Guards against a retry that is spent on a request which no upstream got, and is missing for one that
+// Guards against retries spent on requests that no upstream got, and then missing for one that
 // failed.
 func TestWithheldRequestCostsNoRetry(t *testing.T) {
 	first, second := newStatingUpstream(t, servesAll), newStatingUpstream(t, servesAll)
--- a/internal/relayer/wait_test.go
+++ b/internal/relayer/wait_test.go
@@ -25,7 +25,7 @@
 	asked int
 }
 
-// opensIn has the engine take requests after a time, which the agent knows if stated is set.
+// opensIn opens the engine for requests after a time, which the agent states if stated is set.
 func (e *loadingEngine) opensIn(d time.Duration, stated bool) {
 	opens := time.Time{}
 	if stated {
@@ -40,7 +40,7 @@
 	return e.ledgerAgent.Reserve(ctx, r)
 }
 
-// inFrontOfOne runs a test in virtual time with an entry that has one engine.
+// withOneEngine runs a test in virtual time with an entry that has one engine.
 func withOneEngine(t *testing.T, test func(t *testing.T, p *relayer.Placer, e *loadingEngine)) {
 	synctest.Test(t, func(t *testing.T) {
 		c := clock.RealClock{}
@@ -64,7 +64,8 @@
 	return j
 }
 
-// Guards against refusing callers that an engine could serve in time as soon as it has loaded its weights.
+// Guards against refusing callers that an engine could serve in time as soon as it has loaded its
+// weights.
 func TestRequestWaitsForAnEngineThatOpensInTime(t *testing.T) {
 	withOneEngine(t, func(t *testing.T, p *relayer.Placer, e *loadingEngine) {
 		e.opensIn(200*time.Millisecond, true)
@@ -76,7 +77,7 @@
 	})
 }
 
-// Guards against keeping callers for an engine that opens too late for them, or nobody knows when.
+// Guards against holding callers for an engine that opens too late for them, or at an unknown time.
 func TestRequestDoesNotWaitForAnEngineThatOpensLate(t *testing.T) {
 	for name, stated := range map[string]bool{"too late": true, "not known when": false} {
 		t.Run(name, func(t *testing.T) {
@@ -93,7 +94,7 @@
 	}
 }
 
-// Guards against refusing callers once more that came back while all engines load.
+// Guards against refusing callers again that came back while all engines load.
 func TestReturnedRequestWaitsForASlot(t *testing.T) {
 	withOneEngine(t, func(t *testing.T, p *relayer.Placer, e *loadingEngine) {
 		e.opensIn(700*time.Millisecond, false)
@@ -115,9 +116,9 @@
 	})
 }
 
-// Guards against learning from callers with too little time left to wait at all that waits get no slots:
-// those who come back with them would be refused although slots come free.
-func TestCallersThatCannotWaitTellNothingOfWaits(t *testing.T) {
+// Guards against counting callers with too little time left to wait as waits that got no slot:
+// callers that come back with enough time would be refused although slots are freed.
+func TestCallersThatCannotWaitDoNotCountAsWaits(t *testing.T) {
 	withOneEngine(t, func(t *testing.T, p *relayer.Placer, e *loadingEngine) {
 		e.opensIn(700*time.Millisecond, false)
 		for range 20 {
