--- a/internal/relayer/admit.go
+++ b/internal/relayer/admit.go
@@ -45,9 +45,9 @@
 	if l.longestPatience == nil {
 		l.longestPatience = map[string]time.Duration{}
 	}
-	most := max(l.longestPatience[j.Route.Name], j.Patience)
-	l.longestPatience[j.Route.Name] = most
-	return float64(j.Patience) < returnedLimitShare*float64(most)
+	longest := max(l.longestPatience[j.Route.Name], j.Patience)
+	l.longestPatience[j.Route.Name] = longest
+	return float64(j.Patience) < returnedLimitShare*float64(longest)
 }
 
 // maxRetrySpread bounds the time over which callers that were refused together come back.
--- a/internal/relayer/ask.go
+++ b/internal/relayer/ask.go
@@ -31,7 +31,7 @@
 	if !p.Chooser.MayAsk(u.ID, j.agentUnresponsive) {
 		return p.placeUngranted(view, u, j), nil
 	}
-	asked := p.Registrar.Clock.Now()
+	askedAt := p.Registrar.Clock.Now()
 	e := view.Table.Services[u.Service].Engine
 	prompt, answer, expected := j.tokenCounts(e)
 	agent := p.agent(netip.AddrPortFrom(u.Address.Addr(), p.AgentPort))
@@ -64,7 +64,7 @@
 	}
 	if !v.StartedAt.IsZero() && !v.StartedAt.Equal(u.StartedAt) {
 		p.Chooser.Answered(u.ID)
-		p.handleReplacedEngine(u, asked, &v)
+		p.handleReplacedEngine(u, askedAt, &v)
 		return nil, &v
 	}
 	p.Chooser.Heard(u.ID, v.Wait(), engineLoad(v))
@@ -84,7 +84,7 @@
 		return nil, &v
 	}
 	place := &Placement{
-		Upstream: u, Wait: v.Wait(), First: v.Wait() + p.Chooser.Slowed(u.ID, p.workFor(e, j).First), Ends: p.predictedEnd(&v), BeginBy: startDeadline(asked, &v), Active: v.Active, Version: j.Version, Held: v.Version,
+		Upstream: u, Wait: v.Wait(), First: v.Wait() + p.Chooser.Slowed(u.ID, p.workFor(e, j).First), Ends: p.predictedEnd(&v), BeginBy: startDeadline(askedAt, &v), Active: v.Active, Version: j.Version, Held: v.Version,
 	}
 	place.eventInterval = (v.Takes() - place.First) / time.Duration(max(1, answer/max(1, e.Stride)))
 	place.onStarted = func() {
@@ -100,8 +100,8 @@
 // handleReplacedEngine marks an upstream as replaced if its agent reports another start of the
 // engine. An agent that last checked its engine before the record arrived may not have seen the
 // start in the record yet.
-func (p *Placer) handleReplacedEngine(u *registrar.UpstreamView, asked time.Time, v *messenger.Verdict) {
-	if v.StartedAt.After(u.StartedAt) || asked.Add(-v.Observed()).After(u.Learned) {
+func (p *Placer) handleReplacedEngine(u *registrar.UpstreamView, askedAt time.Time, v *messenger.Verdict) {
+	if v.StartedAt.After(u.StartedAt) || askedAt.Add(-v.Observed()).After(u.Learned) {
 		p.Registrar.Replaced(u.Upstream)
 	}
 }
@@ -120,11 +120,11 @@
 
 // startDeadline is the latest start of a granted request as stated by its agent; zero for any time.
 // It counts from before the reservation was sent, as the reply may have been delayed.
-func startDeadline(asked time.Time, v *messenger.Verdict) time.Time {
+func startDeadline(askedAt time.Time, v *messenger.Verdict) time.Time {
 	if v.BeginWithinMS <= 0 {
 		return time.Time{}
 	}
-	return asked.Add(time.Duration(v.BeginWithinMS) * time.Millisecond)
+	return askedAt.Add(time.Duration(v.BeginWithinMS) * time.Millisecond)
 }
 
 // predictedEnd is when the reply to a granted request should end; zero if its agent doesn't state
@@ -161,7 +161,7 @@
 		return nil
 	}
 	version := j.Version
-	if named, ok := view.Weights(j.Model); ok && held == named.Version {
+	if announced, ok := view.Weights(j.Model); ok && held == announced.Version {
 		// The record may be outdated; an engine that holds another version refuses.
 		version = held
 	}
--- a/internal/relayer/begin.go
+++ b/internal/relayer/begin.go
@@ -43,10 +43,10 @@
 	return max(0, left-startMargin), bounded
 }
 
-// closeUnlessStarted closes the connection of a request that doesn't start in time. Calling begun
+// closeUnlessStarted closes the connection of a request that doesn't start in time. Calling started
 // once the request has started or ended stops the watch. The error is a *StaleWeightsError if it is
 // too late to send the request.
-func (c *call) closeUnlessStarted(place *Placement, conn *connection) (begun func(), err error) {
+func (c *call) closeUnlessStarted(place *Placement, conn *connection) (started func(), err error) {
 	if place.Held == 0 && place.BeginBy.IsZero() {
 		return func() {}, nil
 	}
--- a/internal/relayer/begin_test.go
+++ b/internal/relayer/begin_test.go
@@ -28,12 +28,12 @@
 // weights.
 func TestRequestNotStartedInTimeIsGivenUp(t *testing.T) {
 	closed := make(chan time.Duration, 1)
-	named := time.Now()
+	announced := time.Now()
 	w := entryWithStaleEngine(t, func(_ int, _ string, conn net.Conn) bool {
 		_ = conn.SetReadDeadline(time.Now().Add(patience))
 		// Read returns when the entry closes the connection.
 		_, _ = conn.Read(make([]byte, 1))
-		closed <- time.Since(named)
+		closed <- time.Since(announced)
 		return false
 	})
 	w.ask(t, "/draft/", "r1")
@@ -58,14 +58,14 @@
 	c := clocktest.NewFakeClock(time.Unix(1000, 0))
 	p, _ := newPlacer(c, time.Hour, 1)
 	p.WeightsBound = weightsBound
-	within := func() (time.Duration, bool) {
+	timeToStart := func() (time.Duration, bool) {
 		return p.TimeToStart(&relayer.Placement{Held: 1}, &relayer.Job{Request: relayer.Request{Model: "m"}})
 	}
-	_, bounded := within()
+	_, bounded := timeToStart()
 	must.False(t, bounded, must.Sprint("no newer version is announced"))
 	announce(p.Registrar, 2)
 	c.Step(time.Second)
-	left, bounded := within()
+	left, bounded := timeToStart()
 	must.True(t, bounded)
 	must.Less(t, weightsBound-time.Second, left)
 	must.Greater(t, weightsBound-time.Second-scheduler.OldWeightsMargin, left)
--- a/internal/relayer/frozen_test.go
+++ b/internal/relayer/frozen_test.go
@@ -158,13 +158,13 @@
 			return newWorld(t, newUpstream(t, "u1", f.answer("u1"))), f
 		}
 	}
-	poor := func(f *suspendingUpstreams) func(t *testing.T) (*world, *suspendingUpstreams) {
+	noRetries := func(f *suspendingUpstreams) func(t *testing.T) (*world, *suspendingUpstreams) {
 		return func(t *testing.T) (*world, *suspendingUpstreams) {
 			w, f := two(f)(t)
 			return w.withoutRetries(), f
 		}
 	}
-	once := func(f *suspendingUpstreams) func(t *testing.T) (*world, *suspendingUpstreams) {
+	notResumable := func(f *suspendingUpstreams) func(t *testing.T) (*world, *suspendingUpstreams) {
 		return func(t *testing.T) (*world, *suspendingUpstreams) {
 			w, f := two(f)(t)
 			return w.resumable(false), f
@@ -184,13 +184,13 @@
 		"before the header, another is free":                 two(suspendAt(beforeHeader)),
 		"before the header, no other":                        alone(suspendAt(beforeHeader)),
 		"before the header, all other engines full":          full(suspendAt(beforeHeader)),
-		"before the header, no retry left":                   poor(suspendAt(beforeHeader)),
-		"before the header, not resumable":                   once(suspendAt(beforeHeader)),
+		"before the header, no retry left":                   noRetries(suspendAt(beforeHeader)),
+		"before the header, not resumable":                   notResumable(suspendAt(beforeHeader)),
 		"before the header, the one that takes over as well": both(suspendAt(beforeHeader)),
 		"after the header, another is free":                  two(suspendAt(afterHeader)),
 		"after the header, all other engines full":           full(suspendAt(afterHeader)),
-		"after the header, no retry left":                    poor(suspendAt(afterHeader)),
-		"after the header, not resumable":                    once(suspendAt(afterHeader)),
+		"after the header, no retry left":                    noRetries(suspendAt(afterHeader)),
+		"after the header, not resumable":                    notResumable(suspendAt(afterHeader)),
 		"after a late header, another is free":               two(suspendAt(afterLateHeader)),
 	}
 }
@@ -205,10 +205,10 @@
 // Guards against callers that leave a stream that has not started without any answer, although
 // their entry works: the engine would start their requests after its VM resumes.
 func TestCallerOfASuspendedVMIsAnsweredBeforeItLeaves(t *testing.T) {
-	for name, order := range suspensionCases() {
+	for name, setUp := range suspensionCases() {
 		t.Run(name, func(t *testing.T) {
 			t.Parallel()
-			w, f := order(t)
+			w, f := setUp(t)
 			c := w.withEventTimeout().call(t, streamPath(w), "r1", "", "order", "")
 			<-f.arrived
 			res, err := c.waitAnswer(callerGap)
@@ -216,7 +216,7 @@
 				left := time.Now()
 				c.Close()
 				t.Logf("caller left after %v; the upstream saw the close %v later", left.Sub(c.sent), (<-f.closed).Sub(left))
-				t.Fatalf("caller had got nothing when it left: %v", err)
+				t.Fatalf("the caller got nothing before it left: %v", err)
 			}
 			res.Body.Close()
 			t.Logf("status %d after %v; the first upstream saw the close after %v", res.StatusCode, time.Since(c.sent), (<-f.closed).Sub(c.sent))
@@ -235,7 +235,7 @@
 				w := newWorld(t, newUpstream(t, "u1", f.answer("u1")))
 				c := w.call(t, path, "r1", "Patience: 1000\r\n", "order", "")
 				res, err := c.waitAnswer(time.Second)
-				must.NoError(t, err, must.Sprint("the caller got nothing within its limit"))
+				must.NoError(t, err, must.Sprint("the caller got nothing within its time limit"))
 				res.Body.Close()
 				t.Logf("status %d after %v; the upstream saw the close after %v", res.StatusCode, time.Since(c.sent), (<-f.closed).Sub(c.sent))
 			})
@@ -253,7 +253,7 @@
 	<-f.arrived
 	res, err := c.waitAnswer(callerGap)
 	t.Logf("the engine saw the close after %v", (<-f.closed).Sub(c.sent))
-	must.NoError(t, err, must.Sprint("caller had got nothing when it left"))
+	must.NoError(t, err, must.Sprint("the caller got nothing before it left"))
 	res.Body.Close()
 }
 
--- a/internal/relayer/late_begin_test.go
+++ b/internal/relayer/late_begin_test.go
@@ -94,11 +94,11 @@
 func (w *waitsForClose) mustCloseWithin(t *testing.T, announced time.Time, bound time.Duration) {
 	t.Helper()
 	closed := <-w.closed
-	still := w.stalls.between(announced.Add(bound-closeMargin), closed)
-	if still > 0 {
-		t.Logf("closed %v after the announcement, process stalled for %v of that past the time to close", closed.Sub(announced), still)
+	stalled := w.stalls.between(announced.Add(bound-closeMargin), closed)
+	if stalled > 0 {
+		t.Logf("closed %v after the announcement, process stalled for %v of that past the time to close", closed.Sub(announced), stalled)
 	}
-	must.Less(t, bound, closed.Sub(announced)-still, must.Sprint("since the announcement"))
+	must.Less(t, bound, closed.Sub(announced)-stalled, must.Sprint("since the announcement"))
 }
 
 // mustCloseAfterAnnouncement announces a version, sends a request, and fails unless it is given up
@@ -117,13 +117,13 @@
 func TestResumedStreamNotStartedInTimeIsGivenUp(t *testing.T) {
 	var first once
 	waits := newWaitsForClose(t)
-	began := make(chan struct{}, 1)
+	started := make(chan struct{}, 1)
 	w := entryWithOldEngines(t, clock.RealClock{}, 2, func(n int, id string, conn net.Conn) bool {
 		if !first.is(conn.LocalAddr().String()) {
 			return waits.answer(n, id, conn)
 		}
 		say(conn, streamHead(id)+chunked(event(1)))
-		began <- struct{}{}
+		started <- struct{}{}
 		time.Sleep(patience)
 		return false
 	}, directAddress)
@@ -131,7 +131,7 @@
 	done := make(chan struct{})
 	go func() {
 		defer close(done)
-		<-began
+		<-started
 		time.Sleep(relayer.EventGap / 2)
 		confirm(w.registrar)
 		announced = time.Now()
@@ -139,7 +139,7 @@
 	}()
 	w.ask(t, "/draft/", "r1")
 	<-done
-	must.Eq(t, 1, len(waits.arrived), must.Sprint("the stream went on elsewhere"))
+	must.Eq(t, 1, len(waits.arrived), must.Sprint("the stream continued elsewhere"))
 	waits.mustCloseWithin(t, announced, weightsBound)
 }
 
--- a/internal/relayer/limit_races_test.go
+++ b/internal/relayer/limit_races_test.go
@@ -53,7 +53,7 @@
 	group.Wait()
 	time.Sleep(200 * time.Millisecond)
 	for _, id := range w.upstreams[0].came() {
-		must.SliceNotContains(t, refused, id, must.Sprint("refused and run"))
+		must.SliceNotContains(t, refused, id, must.Sprint("refused but run"))
 	}
 	t.Logf("answers by status: %v", seen)
 	must.Eq(t, 0, seen[-1])
@@ -140,7 +140,7 @@
 			rest = after
 		}
 	}
-	must.Eq(t, 1, watches(), must.Sprint("the watch of the request that stays"))
+	must.Eq(t, 1, watches(), must.Sprint("the watch of the waiting request"))
 	announce(stays.registrar, 2)
 	<-waiting.closed
 	for _, kind := range []matcher.Kind{matcher.Streaming, matcher.Idempotent, matcher.NonIdempotent} {
--- a/internal/relayer/limits_test.go
+++ b/internal/relayer/limits_test.go
@@ -105,11 +105,11 @@
 		}
 		w.ask(t, "/office/1", fmt.Sprintf("o%d", i))
 	}
-	came := 0
+	sent := 0
 	for _, u := range w.upstreams[1:] {
-		came += len(u.came())
+		sent += len(u.came())
 	}
-	must.LessEq(t, int(retryRatio*few)+retrySlack, came-few)
+	must.LessEq(t, int(retryRatio*few)+retrySlack, sent-few)
 }
 
 // Guards against exceeding the connections of an upstream in a burst of bookings. It resets
--- a/internal/relayer/move.go
+++ b/internal/relayer/move.go
@@ -114,19 +114,19 @@
 // eventInterval predicts the time per event of the present reply, whose events took this long so
 // far. The agent's prediction has the weight of PaceSpan of observed events, as the pace varies too
 // much for shorter observation to predict the rest.
-func (l *Relayer) eventInterval(j *Job, place *Placement, took time.Duration) time.Duration {
+func (l *Relayer) eventInterval(j *Job, place *Placement, elapsed time.Duration) time.Duration {
 	events := float64(j.events - 1)
-	observed := took.Seconds() / events
+	observed := elapsed.Seconds() / events
 	if place.eventInterval <= 0 {
 		return secondsToDuration(observed)
 	}
-	if took >= scheduler.PaceSpan && !j.mover.paceLearned {
+	if elapsed >= scheduler.PaceSpan && !j.mover.paceLearned {
 		j.mover.paceLearned = true
 		l.slowdowns.record(j.Service, observed/place.eventInterval.Seconds())
 	}
 	predicted := l.slowdowns.get(j.Service) * place.eventInterval.Seconds()
 	span := scheduler.PaceSpan.Seconds()
-	return secondsToDuration((span*predicted + took.Seconds()*observed) / (span + took.Seconds()))
+	return secondsToDuration((span*predicted + elapsed.Seconds()*observed) / (span + elapsed.Seconds()))
 }
 
 func secondsToDuration(s float64) time.Duration { return time.Duration(s * float64(time.Second)) }
@@ -152,9 +152,9 @@
 // placeMove reserves a place at which a stream ends in time, if it would end at the given time
 // where it is; nil if there is none.
 func (l *Relayer) placeMove(ctx context.Context, j *Job, ends time.Time) *Placement {
-	began := l.Clock.Now()
+	startedAt := l.Clock.Now()
 	j.mover.retryInterval = max(moveRetryInterval, 2*j.mover.retryInterval)
-	j.mover.nextAttempt = began.Add(j.mover.retryInterval)
+	j.mover.nextAttempt = startedAt.Add(j.mover.retryInterval)
 	again := j.Again
 	j.Again, j.mover.placing = true, true
 	place, err := l.Placer.placeOnce(ctx, j)
@@ -162,7 +162,7 @@
 	if err != nil || place == nil {
 		return nil
 	}
-	if !l.worthMoving(j, place, began, ends) {
+	if !l.worthMoving(j, place, startedAt, ends) {
 		place.Release()
 		return nil
 	}
@@ -183,8 +183,8 @@
 	}
 	first := l.Clock.Now().Add(place.First)
 	slowdown := l.slowdowns.get(j.Service)
-	there := first.Add(time.Duration(slowdown * float64(place.Ends.Sub(first))))
-	if there.After(j.Deadline) || ends.Sub(there) < minMoveGain {
+	endThere := first.Add(time.Duration(slowdown * float64(place.Ends.Sub(first))))
+	if endThere.After(j.Deadline) || ends.Sub(endThere) < minMoveGain {
 		return false
 	}
 	if observed := l.Clock.Since(j.begunAt).Seconds() / float64(j.events-1); observed < minMoveSpeedup*slowdown*place.eventInterval.Seconds() {
--- a/internal/relayer/pace.go
+++ b/internal/relayer/pace.go
@@ -58,11 +58,11 @@
 	if delivered == 0 {
 		return expected
 	}
-	rest := max(expected-delivered, int(minRemainingShare*float64(expected)))
+	remaining := max(expected-delivered, int(minRemainingShare*float64(expected)))
 	if j.MaxAnswer > 0 {
-		rest = min(rest, j.MaxAnswer-delivered)
+		remaining = min(remaining, j.MaxAnswer-delivered)
 	}
-	return max(1, rest)
+	return max(1, remaining)
 }
 
 // pacedServices are the services with an upstream that stated a pace: a momentary one in a reply,
@@ -125,13 +125,13 @@
 // workFor estimates the time that a job needs at an engine of normal pace.
 func (p *Placer) workFor(e *matcher.Engine, j *Job) scheduler.Work {
 	prompt, _, expected := j.tokenCounts(e)
-	writing := max(1, int(assumedOccupancy*float64(e.Slots)))
+	active := max(1, int(assumedOccupancy*float64(e.Slots)))
 	w := scheduler.Work{
-		First: scheduler.ReadTime(e, prompt) + scheduler.PassTime(e, writing),
+		First: scheduler.ReadTime(e, prompt) + scheduler.PassTime(e, active),
 		Left:  j.Deadline.Sub(p.Clock.Now()),
 	}
 	if expected > 0 {
-		w.Whole = w.First + time.Duration(expected)*scheduler.StepTime(e, writing)
+		w.Whole = w.First + time.Duration(expected)*scheduler.StepTime(e, active)
 	}
 	return w
 }
@@ -143,8 +143,8 @@
 	if expected == 0 || p.Without.Has(ablator.DeadlineAdmission) {
 		return nil
 	}
-	takes := scheduler.ReadTime(e, prompt) + time.Duration(scheduler.ShortAnswer*float64(expected)*float64(scheduler.StepTime(e, 1)))
-	if takes <= j.Deadline.Sub(p.Clock.Now()) {
+	needed := scheduler.ReadTime(e, prompt) + time.Duration(scheduler.ShortAnswer*float64(expected)*float64(scheduler.StepTime(e, 1)))
+	if needed <= j.Deadline.Sub(p.Clock.Now()) {
 		return nil
 	}
 	return p.refuseLate(j)
--- a/internal/relayer/place.go
+++ b/internal/relayer/place.go
@@ -203,7 +203,7 @@
 func (p *Placer) eligible(view *registrar.View, j *Job) ([]*registrar.UpstreamView, error) {
 	all := view.Service(j.Service)
 	us := make([]*registrar.UpstreamView, 0, len(all))
-	var rest time.Duration
+	var backoff time.Duration
 	for _, u := range all {
 		if slices.Contains(j.Tried, u.ID) || !p.mayUse(view, u, j) {
 			continue
@@ -211,7 +211,7 @@
 		switch t := p.terms(u); {
 		case t.Leaving:
 		case t.Rest > 0:
-			rest = least(rest, t.Rest)
+			backoff = least(backoff, t.Rest)
 		default:
 			us = append(us, u)
 		}
@@ -219,8 +219,8 @@
 	switch {
 	case len(us) > 0:
 		return us, nil
-	case rest > 0:
-		return nil, &RefusedError{Reason: "all upstreams asked for rest", RetryAfter: defaultRetryAfter, Rest: rest}
+	case backoff > 0:
+		return nil, &RefusedError{Reason: "all upstreams asked for rest", RetryAfter: defaultRetryAfter, Rest: backoff}
 	default:
 		return nil, &RefusedError{Reason: "no upstream", RetryAfter: defaultRetryAfter}
 	}
@@ -275,8 +275,8 @@
 		return nil, &RefusedError{Reason: scheduler.KeptForUrgent, RetryAfter: defaultRetryAfter}
 	}
 	reason := "all upstreams cold"
-	order := p.rank(us, "", scheduler.Work{})
-	for i, ok := order.Next(); ok; i, ok = order.Next() {
+	ranking := p.rank(us, "", scheduler.Work{})
+	for i, ok := ranking.Next(); ok; i, ok = ranking.Next() {
 		u := us[i]
 		if limit := p.connectionLimit(u); limit > 0 && p.Chooser.Running(u.ID) >= limit {
 			reason = "all upstreams have all connections in use"
--- a/internal/relayer/place_test.go
+++ b/internal/relayer/place_test.go
@@ -137,7 +137,7 @@
 		}
 		c.Step(50 * time.Millisecond)
 	}
-	t.Logf("sent unasked after %v", sent)
+	t.Logf("sent without a grant after %v", sent)
 	for _, d := range sent {
 		must.Less(t, 300*time.Millisecond, d)
 	}
@@ -192,7 +192,7 @@
 	must.Wait(t, wait.InitialSuccess(wait.BoolFunc(func() bool { return a.ended.Load() == 1 }), wait.Timeout(10*time.Second), wait.Gap(time.Millisecond)))
 	asked := a.asked.Load()
 	must.False(t, placed(p, c, table))
-	must.Eq(t, asked, a.asked.Load(), must.Sprint("the engine counts as closed and is left alone for a while"))
+	must.Eq(t, asked, a.asked.Load(), must.Sprint("the engine counts as closed and is not asked for a while"))
 }
 
 // Guards against a restarted entry that takes a new version for an old one, as the store doesn't
@@ -278,7 +278,7 @@
 		v := ledger.Reserve(scheduler.Job{ID: "next", Prompt: 1}, nil)
 		ledger.Ended("next")
 		return v.Granted && v.Active == 1
-	}), wait.Timeout(patience), wait.Gap(time.Millisecond)), must.Sprint("the place is kept"))
+	}), wait.Timeout(patience), wait.Gap(time.Millisecond)), must.Sprint("the slot is still reserved"))
 }
 
 // announce makes a version the one to load.
--- a/internal/relayer/priority.go
+++ b/internal/relayer/priority.go
@@ -175,8 +175,8 @@
 // for the most urgent, later for the least urgent, with a random spread, and within the time that
 // callers wait.
 func (j *Job) priorityRetryAfter(estimate, left time.Duration, random *rand.Rand) time.Duration {
-	later := time.Duration(j.priority.rank() * float64(leastUrgentDelay))
-	from, spread := estimate+later, urgentRetrySpread+later
+	delay := time.Duration(j.priority.rank() * float64(leastUrgentDelay))
+	from, spread := estimate+delay, urgentRetrySpread+delay
 	if most := max(time.Duration(maxRetryShare*float64(left)), 0); from+spread > most {
 		// If all got the bound itself, they would come back at the same moment.
 		spread = min(spread, most/2)
@@ -186,7 +186,7 @@
 }
 
 // recordPlacement counts and times the outcome of a request that needed an upstream.
-func (p *Placer) recordPlacement(j *Job, began time.Time, err error) {
+func (p *Placer) recordPlacement(j *Job, startedAt time.Time, err error) {
 	if j.priority == nil || p.Metrics == nil {
 		return
 	}
@@ -202,7 +202,7 @@
 		outcome = "refused"
 	}
 	name := fmt.Sprintf("priority.%d.%s.%s", j.priority.level, j.Route.Kind, outcome)
-	metrics.GetOrRegisterTimer(name, p.Metrics).Update(p.Clock.Since(began))
+	metrics.GetOrRegisterTimer(name, p.Metrics).Update(p.Clock.Since(startedAt))
 }
 
 // KeptForOthers reports whether the request was refused in favour of others.
--- a/internal/relayer/priority_test.go
+++ b/internal/relayer/priority_test.go
@@ -38,10 +38,10 @@
 	d = newDecider(1, engines, 0)
 	asked = &[]messenger.Reservation{}
 	d.Placer.Reach = func(netip.AddrPort) relayer.Agent { return scriptedAgent{verdict, asked} }
-	most, least := 0, 2
+	mostUrgent, leastUrgent := 0, 2
 	table := d.Registrar.View().Table
 	liveRoute, batchRoute := *table.Routes[0], *table.Routes[0]
-	liveRoute.Name, liveRoute.Priority, batchRoute.Name, batchRoute.Priority = "live", &most, "batch", &least
+	liveRoute.Name, liveRoute.Priority, batchRoute.Name, batchRoute.Priority = "live", &mostUrgent, "batch", &leastUrgent
 	table.Routes = append(table.Routes[:0], &liveRoute, &batchRoute)
 	table.Index()
 	live, batch = d.job, d.job
@@ -104,7 +104,7 @@
 	must.NoError(t, d.place(&live))
 	must.NoError(t, d.place(&batch))
 	must.Eq(t, 0, *(*asked)[0].Priority)
-	must.Eq(t, 1, *(*asked)[1].Priority, must.Sprint("priorities are places in the order"))
+	must.Eq(t, 1, *(*asked)[1].Priority, must.Sprint("priorities are ranks in the order"))
 	must.Eq(t, "w", (*asked)[1].Workspace)
 
 	table := d.Registrar.View().Table
@@ -124,8 +124,8 @@
 	w := newWorld(t, newUpstream(t, "one", serves))
 	must.Eq(t, http.StatusOK, w.ask(t, "/safe/x", "r1").status)
 	must.Eq(t, "", w.upstreams[0].header(0).Get("Priority"))
-	table, most := w.registrar.View().Table, 0
-	table.Match("127.0.0.1", "/safe/x").Priority = &most
+	table, mostUrgent := w.registrar.View().Table, 0
+	table.Match("127.0.0.1", "/safe/x").Priority = &mostUrgent
 	table.Index()
 	must.Eq(t, http.StatusOK, w.ask(t, "/safe/x", "r2").status)
 	must.Eq(t, "0", w.upstreams[0].header(1).Get("Priority"))
--- a/internal/relayer/starting.go
+++ b/internal/relayer/starting.go
@@ -17,10 +17,10 @@
 // had its table. A start longer than the shortest is taken for a slow one. RetryAfter adds up to as
 // much again: callers come back after the usual end of the start, or in the second half of what is
 // left of the longest.
-func startupRetryAfter(lasted time.Duration) time.Duration {
-	rest := usualStartup - lasted
-	if lasted >= minStartup {
-		rest = (maxStartup - lasted) / 2
+func startupRetryAfter(sinceStart time.Duration) time.Duration {
+	remaining := usualStartup - sinceStart
+	if sinceStart >= minStartup {
+		remaining = (maxStartup - sinceStart) / 2
 	}
-	return max(rest, minStartupRetry)
+	return max(remaining, minStartupRetry)
 }
--- a/internal/relayer/starting_test.go
+++ b/internal/relayer/starting_test.go
@@ -19,7 +19,7 @@
 // Guards against callers that are refused during a restart of all processes and spend their only
 // retry before the entry has its route table, or come back all at once.
 func TestCallersRetryAfterStartup(t *testing.T) {
-	for lasted, want := range map[time.Duration][2]time.Duration{
+	for sinceStart, want := range map[time.Duration][2]time.Duration{
 		0:                       {time.Second, 2 * time.Second},
 		500 * time.Millisecond:  {time.Second, 1500 * time.Millisecond},
 		900 * time.Millisecond:  {1600 * time.Millisecond, 2400 * time.Millisecond},
@@ -29,7 +29,7 @@
 		c := clocktesting.NewFakeClock(time.Unix(1000, 0))
 		l := &relayer.Relayer{Registrar: &registrar.Registrar{Clock: c}, Placer: &relayer.Placer{Clock: c}, Codec: codec{}, Clock: c,
 			Started: c.Now(), Random: rand.New(rand.NewPCG(1, 2)), Metrics: metrics.NewRegistry()}
-		c.Step(lasted)
+		c.Step(sinceStart)
 		seen := map[string]bool{}
 		for range 20 {
 			w := httptest.NewRecorder()
@@ -37,7 +37,7 @@
 			must.Eq(t, http.StatusServiceUnavailable, w.Code)
 			seconds, err := strconv.ParseFloat(w.Header().Get("Retry-After"), 64)
 			must.NoError(t, err)
-			back := lasted + time.Duration(seconds*float64(time.Second))
+			back := sinceStart + time.Duration(seconds*float64(time.Second))
 			must.Between(t, want[0]-time.Millisecond, back, want[1]+time.Millisecond)
 			seen[w.Header().Get("Retry-After")] = true
 		}
--- a/internal/relayer/upstream_limit_test.go
+++ b/internal/relayer/upstream_limit_test.go
@@ -93,7 +93,7 @@
 	var all sync.WaitGroup
 	for i, w := range ws {
 		all.Go(func() {
-			for n, began := 0, time.Now(); time.Since(began) < last; n++ {
+			for n, start := 0, time.Now(); time.Since(start) < last; n++ {
 				r, err := http.NewRequestWithContext(context.Background(), http.MethodPost, w.URL+"/", strings.NewReader(fmt.Sprint(i)))
 				if err != nil {
 					return
--- a/internal/relayer/upstream_rest_test.go
+++ b/internal/relayer/upstream_rest_test.go
@@ -87,17 +87,17 @@
 }
 
 // reject refuses a request and asks for a backoff.
-func reject(w http.ResponseWriter, rest time.Duration) {
+func reject(w http.ResponseWriter, backoff time.Duration) {
 	w.Header().Set("X-Not-Executed", "shed")
-	w.Header().Set("Retry-After", strconv.FormatFloat(rest.Seconds(), 'f', -1, 64))
+	w.Header().Set("Retry-After", strconv.FormatFloat(backoff.Seconds(), 'f', -1, 64))
 	w.WriteHeader(http.StatusServiceUnavailable)
 }
 
 // asksForBackoff refuses all requests and asks each entry for the same backoff.
-func asksForBackoff(rest time.Duration) func(u *statingUpstream, w http.ResponseWriter, entry string) {
+func asksForBackoff(backoff time.Duration) func(u *statingUpstream, w http.ResponseWriter, entry string) {
 	return func(u *statingUpstream, w http.ResponseWriter, entry string) {
 		u.inform(entry)
-		reject(w, rest)
+		reject(w, backoff)
 	}
 }
 
@@ -178,7 +178,7 @@
 // askAs is ask through the entry of the given name.
 func askAs(t *testing.T, w *world, entry, id string) (status int, retryAfter, took time.Duration) {
 	t.Helper()
-	began := time.Now()
+	start := time.Now()
 	r, err := http.NewRequestWithContext(context.Background(), http.MethodPost, w.URL+"/", strings.NewReader(entry))
 	must.NoError(t, err)
 	r.Header.Set("X-Request-Attempt", id)
@@ -187,15 +187,15 @@
 	_, _ = io.Copy(io.Discard, res.Body)
 	res.Body.Close()
 	seconds, _ := strconv.ParseFloat(res.Header.Get("Retry-After"), 64)
-	return res.StatusCode, time.Duration(seconds * float64(time.Second)), time.Since(began)
+	return res.StatusCode, time.Duration(seconds * float64(time.Second)), time.Since(start)
 }
 
 // informAll sends requests through each entry until it has received a statement of an upstream.
 func informAll(t *testing.T, ws []*world, u *statingUpstream) {
 	t.Helper()
 	for i, w := range ws {
-		for n, began := 0, time.Now(); !u.isInformed(fmt.Sprint(i)); n++ {
-			must.Less(t, patience, time.Since(began))
+		for n, start := 0, time.Now(); !u.isInformed(fmt.Sprint(i)); n++ {
+			must.Less(t, patience, time.Since(start))
 			_, _, _ = askAs(t, w, fmt.Sprint(i), fmt.Sprintf("%d-%d", i, n))
 		}
 	}
@@ -203,38 +203,38 @@
 
 // Guards against entries that continue to send to a plain service that asked for a backoff.
 func TestServiceThatIsBackingOffGetsNothing(t *testing.T) {
-	const rest = 3 * time.Second
-	tired, busy := newStatingUpstream(t, asksForBackoff(rest)), newStatingUpstream(t, servesHalf())
-	ws := limitedEntries(t, 5, &matcher.Service{Name: "desk"}, tired.record("tired", "desk", 6), busy.record("busy", "desk", 6))
-	informAll(t, ws, tired)
+	const backoff = 3 * time.Second
+	backingOff, busy := newStatingUpstream(t, asksForBackoff(backoff)), newStatingUpstream(t, servesHalf())
+	ws := limitedEntries(t, 5, &matcher.Service{Name: "desk"}, backingOff.record("tired", "desk", 6), busy.record("busy", "desk", 6))
+	informAll(t, ws, backingOff)
 	served := loadEntries(t, ws, 20*time.Millisecond, 4*time.Second)
-	must.LessEq(t, maxDuringBackoff, tired.maxBetween(backoffGrace, rest))
+	must.LessEq(t, maxDuringBackoff, backingOff.maxBetween(backoffGrace, backoff))
 	must.Positive(t, served)
 }
 
 // Guards against entries that continue to send to an engine that asked them for a backoff, because
 // its agent, which was not asked, grants slots.
 func TestEngineThatIsBackingOffGetsNothing(t *testing.T) {
-	const rest = 3 * time.Second
-	tired, busy := newStatingUpstream(t, asksForBackoff(rest)), newStatingUpstreamAt(t, "127.0.0.2", servesHalf())
+	const backoff = 3 * time.Second
+	backingOff, busy := newStatingUpstream(t, asksForBackoff(backoff)), newStatingUpstreamAt(t, "127.0.0.2", servesHalf())
 	engine := engineTable().Services["engines"].Engine
 	port := agentBeside(t, "0.0.0.0", engine, noDelay)
 	ws := limitedEntries(t, 5, &matcher.Service{Name: "engines", Engine: engine},
-		tired.record("tired", "engines", engine.Slots), busy.record("busy", "engines", engine.Slots))
+		backingOff.record("tired", "engines", engine.Slots), busy.record("busy", "engines", engine.Slots))
 	for _, w := range ws {
 		w.relayer.Placer.AgentPort = port
 	}
-	informAll(t, ws, tired)
+	informAll(t, ws, backingOff)
 	served := loadEntries(t, ws, 20*time.Millisecond, 4*time.Second)
-	must.LessEq(t, maxDuringBackoff, tired.maxBetween(backoffGrace, rest))
+	must.LessEq(t, maxDuringBackoff, backingOff.maxBetween(backoffGrace, backoff))
 	must.Positive(t, served)
 }
 
 // Guards against requests that got slots before their entry was asked for a backoff, and are sent
 // long after.
 func TestPlacedRequestIsWithheldFromAnEngineThatIsBackingOff(t *testing.T) {
-	const rest, late = 5 * time.Second, time.Second
-	tired := newStatingUpstream(t, asksForBackoff(rest))
+	const backoff, late = 5 * time.Second, time.Second
+	backingOff := newStatingUpstream(t, asksForBackoff(backoff))
 	engine := engineTable().Services["engines"].Engine
 	var mu sync.Mutex
 	questions := 0
@@ -247,31 +247,31 @@
 		}
 		return late
 	})
-	ws := limitedEntries(t, 1, &matcher.Service{Name: "engines", Engine: engine}, tired.record("tired", "engines", engine.Slots))
+	ws := limitedEntries(t, 1, &matcher.Service{Name: "engines", Engine: engine}, backingOff.record("tired", "engines", engine.Slots))
 	ws[0].relayer.Placer.AgentPort = port
 	var all sync.WaitGroup
 	for i := range 6 {
 		all.Go(func() { _, _, _ = ask(t, ws[0], fmt.Sprint(i)) })
 	}
 	all.Wait()
-	must.Eq(t, 1, tired.informedEntries())
-	must.LessEq(t, maxDuringBackoff, tired.maxBetween(backoffGrace, rest))
+	must.Eq(t, 1, backingOff.informedEntries())
+	must.LessEq(t, maxDuringBackoff, backingOff.maxBetween(backoffGrace, backoff))
 }
 
 // Guards against a Retry-After at which the whole service is still backing off, and against
 // requests that wait for one.
 func TestServiceWithAllUpstreamsBackingOffRefusesAtOnce(t *testing.T) {
-	const rest, spread = 3 * time.Second, time.Second
+	const backoff, spread = 3 * time.Second, time.Second
 	for name, engine := range map[string]*matcher.Engine{"plain": nil, "engines": engineTable().Services["engines"].Engine} {
 		t.Run(name, func(t *testing.T) {
 			t.Parallel()
 			conduct := func(u *statingUpstream, w http.ResponseWriter, entry string) {
 				u.inform(entry)
-				if time.Since(u.informed[entry]) > rest {
+				if time.Since(u.informed[entry]) > backoff {
 					serveWhole(w)
 					return
 				}
-				reject(w, rest)
+				reject(w, backoff)
 			}
 			first, second := newStatingUpstream(t, conduct), newStatingUpstreamAt(t, "127.0.0.2", conduct)
 			slots := 6
@@ -282,22 +282,22 @@
 			if engine != nil {
 				ws[0].relayer.Placer.AgentPort = agentBeside(t, "0.0.0.0", engine, noDelay)
 			}
-			began := time.Now()
+			start := time.Now()
 			for i := range 20 {
-				asked := time.Since(began)
+				sentAt := time.Since(start)
 				status, retryAfter, took := ask(t, ws[0], fmt.Sprint(i))
 				must.Eq(t, http.StatusServiceUnavailable, status)
 				// By the second request at the latest, both upstreams have received one.
 				if i > 1 {
 					must.Less(t, 200*time.Millisecond, took)
-					left := rest - asked - took
+					left := backoff - sentAt - took
 					must.GreaterEq(t, left-100*time.Millisecond, retryAfter)
 					must.LessEq(t, left+spread+500*time.Millisecond, retryAfter)
 				}
 				time.Sleep(20 * time.Millisecond)
 			}
-			must.LessEq(t, maxDuringBackoff, max(first.maxBetween(backoffGrace, rest), second.maxBetween(backoffGrace, rest)))
-			time.Sleep(time.Until(began.Add(rest + 500*time.Millisecond)))
+			must.LessEq(t, maxDuringBackoff, max(first.maxBetween(backoffGrace, backoff), second.maxBetween(backoffGrace, backoff)))
+			time.Sleep(time.Until(start.Add(backoff + 500*time.Millisecond)))
 			status, _, _ := ask(t, ws[0], "after")
 			must.Eq(t, http.StatusOK, status)
 		})
@@ -306,18 +306,18 @@
 
 // Guards against retries and continued streams that are sent to an upstream that is backing off.
 func TestRetriesAvoidAnUpstreamThatIsBackingOff(t *testing.T) {
-	const rest = 3 * time.Second
-	tired := newStatingUpstream(t, asksForBackoff(rest))
+	const backoff = 3 * time.Second
+	backingOff := newStatingUpstream(t, asksForBackoff(backoff))
 	breaks := func(_ *statingUpstream, w http.ResponseWriter, _ string) {
 		w.Header().Set("X-Replica-Seal", "s")
 		w.Header().Set("Content-Length", "100")
 		_, _ = io.WriteString(w, "half")
 	}
 	flaky := newStatingUpstream(t, breaks)
-	ws := limitedEntries(t, 3, &matcher.Service{Name: "desk"}, tired.record("tired", "desk", 6), flaky.record("flaky", "desk", 6))
+	ws := limitedEntries(t, 3, &matcher.Service{Name: "desk"}, backingOff.record("tired", "desk", 6), flaky.record("flaky", "desk", 6))
 	loadEntries(t, ws, 10*time.Millisecond, 3*time.Second)
-	must.Positive(t, tired.informedEntries())
-	must.LessEq(t, maxDuringBackoff, tired.maxBetween(backoffGrace, rest))
+	must.Positive(t, backingOff.informedEntries())
+	must.LessEq(t, maxDuringBackoff, backingOff.maxBetween(backoffGrace, backoff))
 }
 
 // platformCodec reads the headers of the users' platform.
--- a/internal/relayer/wait.go
+++ b/internal/relayer/wait.go
@@ -37,13 +37,13 @@
 
 // Place finds an upstream. Errors are *RefusedError and the context's.
 func (p *Placer) Place(ctx context.Context, j *Job) (*Placement, error) {
-	began := p.Clock.Now()
-	place, err := p.placeWithWait(ctx, j, began)
-	p.recordPlacement(j, began, err)
+	startedAt := p.Clock.Now()
+	place, err := p.placeWithWait(ctx, j, startedAt)
+	p.recordPlacement(j, startedAt, err)
 	return place, err
 }
 
-func (p *Placer) placeWithWait(ctx context.Context, j *Job, began time.Time) (*Placement, error) {
+func (p *Placer) placeWithWait(ctx context.Context, j *Job, startedAt time.Time) (*Placement, error) {
 	place, err := p.placeOnce(ctx, j)
 	if err == nil || ctx.Err() != nil || isFinal(err) {
 		return place, err
@@ -53,7 +53,7 @@
 		return place, err
 	}
 	w := p.slotWaitFor(j, service.Engine, err)
-	for p.Clock.Since(began)+w.pollInterval <= w.limit {
+	for p.Clock.Since(startedAt)+w.pollInterval <= w.limit {
 		select {
 		case <-ctx.Done():
 			p.recordWait(j, w, false, ctx.Err())
@@ -75,8 +75,8 @@
 
 // slotWaitFor returns how a request that found no slot, for a reason, waits for one.
 func (p *Placer) slotWaitFor(j *Job, e *matcher.Engine, reason error) slotWait {
-	switch rest := backoffOf(reason); {
-	case rest > retrySlotWait || rest > 0 && !j.Again:
+	switch backoff := backoffOf(reason); {
+	case backoff > retrySlotWait || backoff > 0 && !j.Again:
 		return slotWait{pollInterval: slotPollInterval}
 	case j.Again:
 		return slotWait{limit: retrySlotWait, pollInterval: slotPollInterval}
--- a/internal/relayer/wait_test.go
+++ b/internal/relayer/wait_test.go
@@ -69,10 +69,10 @@
 func TestRequestWaitsForAnEngineThatOpensInTime(t *testing.T) {
 	withOneEngine(t, func(t *testing.T, p *relayer.Placer, e *loadingEngine) {
 		e.opensIn(200*time.Millisecond, true)
-		began := time.Now()
+		start := time.Now()
 		_, err := p.Place(t.Context(), newJob(engineTable().Routes[0], false))
 		must.NoError(t, err)
-		must.Less(t, 260*time.Millisecond, time.Since(began))
+		must.Less(t, 260*time.Millisecond, time.Since(start))
 		must.LessEq(t, 5, e.asked)
 	})
 }
@@ -83,11 +83,11 @@
 		t.Run(name, func(t *testing.T) {
 			withOneEngine(t, func(t *testing.T, p *relayer.Placer, e *loadingEngine) {
 				e.opensIn(400*time.Millisecond, stated)
-				began := time.Now()
+				start := time.Now()
 				_, err := p.Place(t.Context(), newJob(engineTable().Routes[0], false))
 				var refused *relayer.RefusedError
 				must.True(t, errors.As(err, &refused))
-				must.LessEq(t, 60*time.Millisecond, time.Since(began))
+				must.LessEq(t, 60*time.Millisecond, time.Since(start))
 				time.Sleep(time.Second)
 			})
 		})
