--- a/internal/relayer/limits_test.go
+++ b/internal/relayer/limits_test.go
@@ -27,7 +27,7 @@
 	coldBound = 1.5*coldRate + 5
 )
 
-// coldEntries makes entries that all know each other, with one cold upstream without an agent.
+// coldEntries makes entries that all have each other as members, with one cold upstream without an agent.
 func coldEntries(c *clocktest.FakeClock, n int) []*relayer.Placer {
 	table := &matcher.Table{Version: 1, Services: map[string]*matcher.Service{"desk": {Name: "desk", ColdRate: coldRate}}}
 	table.Index()
--- a/internal/relayer/reason.go
+++ b/internal/relayer/reason.go
@@ -30,8 +30,8 @@
 
 // countUnasked counts the remaining engines of a ranking, from next on, once the time for asking is
 // over.
-func (m *RefusalSummary) countUnasked(p *Placer, j *Job, us []*registrar.UpstreamView, order *scheduler.Ranking, next int) {
-	for ok := true; ok; next, ok = order.Next() {
+func (m *RefusalSummary) countUnasked(p *Placer, j *Job, us []*registrar.UpstreamView, ranking *scheduler.Ranking, next int) {
+	for ok := true; ok; next, ok = ranking.Next() {
 		id := us[next].ID
 		if p.fullFor(id, j) > 0 {
 			m.passOver(p.whyPassedOver(id, j))
--- a/internal/relayer/frozen_test.go
+++ b/internal/relayer/suspended_test.go
@@ -93,14 +93,14 @@
 // They record when the request arrived and when its connection was closed.
 type suspendingUpstreams struct {
 	first       once
-	at          stage
+	stage       stage
 	arrived     chan time.Time
 	closed      chan time.Time
 	bothSuspend bool
 }
 
-func suspendAt(at stage) *suspendingUpstreams {
-	return &suspendingUpstreams{at: at, arrived: make(chan time.Time, 10), closed: make(chan time.Time, 10)}
+func suspendAt(s stage) *suspendingUpstreams {
+	return &suspendingUpstreams{stage: s, arrived: make(chan time.Time, 10), closed: make(chan time.Time, 10)}
 }
 
 func (f *suspendingUpstreams) answer(name string) func(int, string, net.Conn) bool {
@@ -110,7 +110,7 @@
 			return true
 		}
 		f.arrived <- time.Now()
-		f.at(id, conn)
+		f.stage(id, conn)
 		_ = conn.SetReadDeadline(time.Now().Add(patience))
 		_, err := conn.Read(make([]byte, 1))
 		if !errors.Is(err, io.EOF) {
@@ -227,11 +227,11 @@
 // Guards against callers of plain requests that get nothing within their time limit, at an upstream
 // that is suspended.
 func TestPlainCallerOfASuspendedVMIsAnsweredWithinItsLimit(t *testing.T) {
-	for name, at := range map[string]stage{"before the header": beforeHeader, "in the body": inPlainBody} {
+	for name, s := range map[string]stage{"before the header": beforeHeader, "in the body": inPlainBody} {
 		for _, path := range []string{"/safe/", "/once/"} {
 			t.Run(name+path, func(t *testing.T) {
 				t.Parallel()
-				f := suspendAt(at)
+				f := suspendAt(s)
 				w := newWorld(t, newUpstream(t, "u1", f.answer("u1")))
 				c := w.call(t, path, "r1", "Patience: 1000\r\n", "order", "")
 				res, err := c.waitAnswer(time.Second)
--- a/internal/relayer/upstream_limit_test.go
+++ b/internal/relayer/upstream_limit_test.go
@@ -51,7 +51,7 @@
 	return maxWithin(informed, limitWindow)
 }
 
-// limitedEntries makes entries that know each other, with upstreams of one service.
+// limitedEntries makes entries that have each other as members, with upstreams of one service.
 func limitedEntries(t *testing.T, n int, service *matcher.Service, us ...registrar.Upstream) []*world {
 	route := &matcher.Route{Name: "r", Host: "127.0.0.1", Prefix: "/", Kind: matcher.Idempotent, Timeout: patience, MaxAttempts: 2,
 		Public: true, Generates: service.Engine != nil, Targets: []matcher.Target{{Service: service.Name, Weight: 1}}}
