--- a/internal/relayer/priority_test.go
+++ b/internal/relayer/priority_test.go
@@ -136,15 +136,15 @@
 func TestRetryAfterDependsOnPriority(t *testing.T) {
 	d, live, batch, _ := newPrioritized(1, keepsForUrgent)
 	estimate := 200 * time.Millisecond
-	for _, patience := range []time.Duration{6 * time.Second, 900 * time.Millisecond} {
+	for _, timeLimit := range []time.Duration{6 * time.Second, 900 * time.Millisecond} {
 		sum, distinct := map[string]time.Duration{}, map[time.Duration]bool{}
 		for range 100 {
 			for _, j := range []relayer.Job{live, batch} {
-				j.Patience, j.Arrived = patience, d.clock.Now()
+				j.Patience, j.Arrived = timeLimit, d.clock.Now()
 				d.Admit(&j)
 				wait := d.RetryAfter(&j, &relayer.RefusedError{RetryAfter: estimate})
-				must.Between(t, 0, wait, patience/3)
-				if patience > time.Second && j.Route.Name == "live" {
+				must.Between(t, 0, wait, timeLimit/3)
+				if timeLimit > time.Second && j.Route.Name == "live" {
 					must.Between(t, estimate, wait, estimate+500*time.Millisecond)
 				}
 				sum[j.Route.Name] += wait
