--- a/internal/relayer/balance_test.go
+++ b/internal/relayer/balance_test.go
@@ -15,15 +15,15 @@
 	"github.com/oriolecroft/oriolecroft/internal/relayer"
 )
 
-// moody is the road to an agent that answers as it is drawn, and notes which places it granted.
-type moody struct {
+// randomAgent answers at random and records which slots it granted.
+type randomAgent struct {
 	t       *rapid.T
 	clock   *clocktest.FakeClock
 	leave   context.CancelFunc
 	granted map[string]bool
 }
 
-func (a *moody) Reserve(ctx context.Context, r messenger.Reservation) (messenger.Verdict, error) {
+func (a *randomAgent) Reserve(ctx context.Context, r messenger.Reservation) (messenger.Verdict, error) {
 	a.clock.Step(time.Duration(rapid.IntRange(0, 60).Draw(a.t, "took")) * time.Millisecond)
 	if rapid.IntRange(0, 9).Draw(a.t, "leaves") == 0 {
 		a.leave()
@@ -44,29 +44,29 @@
 	}
 }
 
-func (a *moody) Tell(p messenger.Progress) {
+func (a *randomAgent) SendProgress(p messenger.Progress) {
 	for _, id := range p.Ended {
 		delete(a.granted, id)
 	}
 }
 
-// Agents grant, refuse, close, stay silent or hold other weights, and callers leave in between.
-// A request that is counted at an engine and never taken off, or a place that an agent keeps for
-// nobody, makes the engine look fuller with each of them until nothing goes there; one that is
-// taken off twice lets more through than the engine has connections for.
+// Agents grant, refuse, close, don't answer or hold other weights, and callers leave in between.
+// Guards against requests that are counted at an engine and never removed and slots that stay
+// reserved without a request, which make the engine look full, and requests removed twice, which
+// let more through than the engine has connections for.
 func TestRequestsAreCountedOnce(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
 		c := clocktest.NewFakeClock(time.Unix(1000, 0))
 		p, table := newPlacer(c, 0, 1)
 		table.Services["engines"].Connections = rapid.IntRange(0, 40).Draw(t, "connections")
-		agent := &moody{t: t, clock: c, granted: map[string]bool{}}
+		agent := &randomAgent{t: t, clock: c, granted: map[string]bool{}}
 		p.Reach = func(netip.AddrPort) relayer.Agent { return agent }
-		var places []*relayer.Place
+		var places []*relayer.Placement
 		for i := range rapid.IntRange(1, 30).Draw(t, "jobs") {
 			ctx, leave := context.WithCancel(context.Background())
 			agent.leave = leave
-			// Late ones, and those without an objective, look for a place once. The latter accept
-			// a wait in a second round of questions.
+			// Late jobs, and those without an objective, try to get a slot once. The latter accept
+			// a wait in a second round of reservations.
 			route := *table.Routes[0]
 			if rapid.Bool().Draw(t, "patient") {
 				route.Objective = 0
@@ -86,20 +86,20 @@
 				t.Fatalf("%d requests counted, %d placed", got, len(places))
 			}
 			if len(agent.granted) > len(places) {
-				t.Fatalf("the agent holds %d places for %d requests", len(agent.granted), len(places))
+				t.Fatalf("the agent holds %d slots for %d requests", len(agent.granted), len(places))
 			}
 			if len(places) > 0 && rapid.Bool().Draw(t, "ends") {
-				places[0].Ended()
+				places[0].Release()
 				places = places[1:]
 			}
 		}
 		for _, place := range places {
-			place.Ended()
+			place.Release()
 		}
 		if p.Chooser.Running("engine") != 0 || len(agent.granted) != 0 {
-			t.Fatalf("%d requests and %d places left over", p.Chooser.Running("engine"), len(agent.granted))
+			t.Fatalf("%d requests and %d slots left over", p.Chooser.Running("engine"), len(agent.granted))
 		}
 	})
 }
 
-var _ relayer.Agent = (*moody)(nil)
+var _ relayer.Agent = (*randomAgent)(nil)
--- a/internal/relayer/limit_races_test.go
+++ b/internal/relayer/limit_races_test.go
@@ -17,9 +17,9 @@
 	"github.com/oriolecroft/oriolecroft/internal/matcher"
 )
 
-// Guards against half answers, kept places and goroutines that stay, when the first event comes just
-// as the request is given up for its caller.
-func TestFirstEventBesideTheLimitIsWholeOrNothing(t *testing.T) {
+// Guards against partial answers, leaked slots and leaked goroutines when the first event arrives
+// just as the request is given up for its caller.
+func TestFirstEventAtTheTimeLimitIsWholeOrNothing(t *testing.T) {
 	w := newWorld(t, newUpstream(t, "u1", func(n int, id string, conn net.Conn) bool {
 		time.Sleep(96*time.Millisecond + time.Duration(n%40)*200*time.Microsecond)
 		say(conn, streamHead(id)+chunked(event(1))+chunked(event(2))+"0\r\n\r\n")
@@ -53,7 +53,7 @@
 	group.Wait()
 	time.Sleep(200 * time.Millisecond)
 	for _, id := range w.upstreams[0].came() {
-		must.SliceNotContains(t, refused, id, must.Sprint("refused and run"))
+		must.SliceNotContains(t, refused, id, must.Sprint("refused but run"))
 	}
 	t.Logf("answers by status: %v", seen)
 	must.Eq(t, 0, seen[-1])
@@ -63,21 +63,21 @@
 		wait.Timeout(5*time.Second), wait.Gap(50*time.Millisecond)), must.Sprintf("goroutines %d, before %d", runtime.NumGoroutine(), before))
 }
 
-// Guards against closing a kept connection that serves another request already, at the end of the
-// time of one that it served before.
-func TestEndOfTheTimeClosesNoConnectionOfAnother(t *testing.T) {
+// Guards against closing a kept connection that already serves another request, when the weights of
+// its previous request expire.
+func TestExpiredWeightsCloseNoConnectionOfAnotherRequest(t *testing.T) {
 	var mu sync.Mutex
 	last := map[string]string{}
-	w := oldEngines(t, clock.RealClock{}, 1, func(_ int, id string, conn net.Conn) bool {
+	w := entryWithOldEngines(t, clock.RealClock{}, 1, func(_ int, id string, conn net.Conn) bool {
 		mu.Lock()
 		last[conn.RemoteAddr().String()] = id
 		mu.Unlock()
 		say(conn, sealed(id, "done"))
 		return true
-	}, direct)
+	}, directAddress)
 	w.registrar.View().Table.Routes[0].Kind = matcher.Idempotent
 	w.relayer.Placer.WeightsBound = 1500 * time.Millisecond
-	name(w.registrar, 2)
+	announce(w.registrar, 2)
 	ended := time.Now().Add(1700 * time.Millisecond)
 	var group sync.WaitGroup
 	broken := 0
@@ -101,9 +101,9 @@
 	must.Eq(t, 0, other[502]+other[504])
 }
 
-// Guards against watches that outlive their requests, on each way out.
+// Guards against watches that outlive their requests, for each way in which a request ends.
 func TestNoWatchOutlivesItsRequest(t *testing.T) {
-	w := oldEngines(t, clock.RealClock{}, 1, func(n int, id string, conn net.Conn) bool {
+	w := entryWithOldEngines(t, clock.RealClock{}, 1, func(n int, id string, conn net.Conn) bool {
 		switch n % 6 {
 		case 0: // reset before the header
 			return false
@@ -123,11 +123,11 @@
 			say(conn, "HTTP/1.1 500 Bad\r\nId: "+id+"\r\nSeal: x\r\nContent-Length: 0\r\n\r\n")
 			return true
 		}
-	}, direct)
+	}, directAddress)
 	waiting := newWaitsForClose(t)
-	stays := oldEngines(t, clock.RealClock{}, 1, waiting.answer, direct)
+	stays := entryWithOldEngines(t, clock.RealClock{}, 1, waiting.answer, directAddress)
 	go stays.ask(t, "/draft/", "stays")
-	<-waiting.came
+	<-waiting.arrived
 	watches := func() int {
 		buf := make([]byte, 4<<20)
 		stacks := string(buf[:runtime.Stack(buf, true)])
@@ -140,8 +140,8 @@
 			rest = after
 		}
 	}
-	must.Eq(t, 1, watches(), must.Sprint("the watch of the request that stays"))
-	name(stays.registrar, 2)
+	must.Eq(t, 1, watches(), must.Sprint("the watch of the waiting request"))
+	announce(stays.registrar, 2)
 	<-waiting.closed
 	for _, kind := range []matcher.Kind{matcher.Streaming, matcher.Idempotent, matcher.NonIdempotent} {
 		w.registrar.View().Table.Routes[0].Kind = kind
@@ -163,21 +163,21 @@
 	return s, "", false
 }
 
-// Guards against an unasked slot on weights of which the started entry doesn't know since when they are
-// old.
-func TestStartedEntryUsesNoUnaskedSlotOnOldWeights(t *testing.T) {
+// Guards against using a slot without a grant on weights whose expiry is unknown to a restarted
+// entry.
+func TestStartedEntryUsesNoUngrantedSlotOnOldWeights(t *testing.T) {
 	c := clocktest.NewFakeClock(time.Unix(1000, 0))
 	p, table := newPlacer(c, 0, 1)
-	name(p.Registrar, 2)
+	announce(p.Registrar, 2)
 	p.Registrar = restarted(p.Registrar)
 	must.False(t, placed(p, c, table))
 }
 
-// Guards against answers to given up requests that end their caller's connection: an upstream's silence
-// is no reason to end it.
+// Guards against answers to given up requests that close their caller's connection: an unresponsive
+// upstream is no reason to close it.
 func TestGivenUpRequestKeepsItsCallersConnection(t *testing.T) {
-	f := freezeAt(beforeHeader)
-	w := newWorld(t, newUpstream(t, "u1", f.answer("u1"))).impatient()
+	f := suspendAt(beforeHeader)
+	w := newWorld(t, newUpstream(t, "u1", f.answer("u1"))).withEventTimeout()
 	c := w.call(t, "/stream/", "r1", "", "order", "")
 	res, err := c.waitAnswer(callerGap)
 	must.NoError(t, err)
--- a/internal/relayer/priority_test.go
+++ b/internal/relayer/priority_test.go
@@ -19,7 +19,7 @@
 	"github.com/oriolecroft/oriolecroft/internal/scheduler"
 )
 
-// scriptedAgent answers all reservations alike and keeps them.
+// scriptedAgent answers all reservations with a function and records them.
 type scriptedAgent struct {
 	verdict func(messenger.Reservation) messenger.Verdict
 	asked   *[]messenger.Reservation
@@ -30,17 +30,18 @@
 	return a.verdict(r), nil
 }
 
-func (scriptedAgent) Tell(messenger.Progress) {}
+func (scriptedAgent) SendProgress(messenger.Progress) {}
 
-// newPrioritized makes an entry with a live and a batch route before engines whose agents answer as scripted.
+// newPrioritized makes an entry with a live and a batch route, and engines whose agents answer as
+// scripted.
 func newPrioritized(engines int, verdict func(messenger.Reservation) messenger.Verdict) (d *decider, live, batch relayer.Job, asked *[]messenger.Reservation) {
 	d = newDecider(1, engines, 0)
 	asked = &[]messenger.Reservation{}
 	d.Placer.Reach = func(netip.AddrPort) relayer.Agent { return scriptedAgent{verdict, asked} }
-	most, least := 0, 2
+	mostUrgent, leastUrgent := 0, 2
 	table := d.Registrar.View().Table
 	liveRoute, batchRoute := *table.Routes[0], *table.Routes[0]
-	liveRoute.Name, liveRoute.Priority, batchRoute.Name, batchRoute.Priority = "live", &most, "batch", &least
+	liveRoute.Name, liveRoute.Priority, batchRoute.Name, batchRoute.Priority = "live", &mostUrgent, "batch", &leastUrgent
 	table.Routes = append(table.Routes[:0], &liveRoute, &batchRoute)
 	table.Index()
 	live, batch = d.job, d.job
@@ -68,18 +69,18 @@
 	}
 }
 
-func kept(r messenger.Reservation) messenger.Verdict {
+func keepsForUrgent(r messenger.Reservation) messenger.Verdict {
 	return messenger.Verdict{Granted: *r.Priority == 0, Kept: scheduler.KeptForUrgent, Version: 1, FreeMS: 100, Active: 11, Slots: 12}
 }
 
-// Guards against a refused caller, or an operator, who reads that all engines are full while slots are kept for
-// others; and against urgent requests that pass over an engine which keeps a slot for them.
-func TestRequestRefusedForUrgentOnesIsToldSo(t *testing.T) {
-	d, live, batch, asked := newPrioritized(3, kept)
+// Guards against refusals that state that all engines are full while slots are kept for others, and
+// against urgent requests that pass over an engine which keeps a slot for them.
+func TestRequestRefusedForUrgentOnesGetsTheReason(t *testing.T) {
+	d, live, batch, asked := newPrioritized(3, keepsForUrgent)
 	var refused *relayer.RefusedError
 	must.True(t, errors.As(d.place(&batch), &refused))
 	must.Eq(t, scheduler.KeptForUrgent, refused.Reason)
-	must.True(t, refused.Kept())
+	must.True(t, refused.KeptForOthers())
 	must.Positive(t, refused.Met.Kept)
 	refusals := 0
 	for i, r := range *asked {
@@ -92,8 +93,8 @@
 	must.NoError(t, d.place(&live))
 }
 
-// Guards against requests that state a priority where all have the same: agents would decide otherwise than
-// before.
+// Guards against requests that state a priority where all have the same, so that agents decide by
+// priority.
 func TestPriorityIsStatedOnlyWhereThereIsMoreThanOne(t *testing.T) {
 	granted := func(messenger.Reservation) messenger.Verdict {
 		return messenger.Verdict{Granted: true, Version: 1, Slots: 12}
@@ -103,7 +104,7 @@
 	must.NoError(t, d.place(&live))
 	must.NoError(t, d.place(&batch))
 	must.Eq(t, 0, *(*asked)[0].Priority)
-	must.Eq(t, 1, *(*asked)[1].Priority, must.Sprint("priorities are places in the order"))
+	must.Eq(t, 1, *(*asked)[1].Priority, must.Sprint("priorities are ranks in the order"))
 	must.Eq(t, "w", (*asked)[1].Workspace)
 
 	table := d.Registrar.View().Table
@@ -117,33 +118,33 @@
 	must.Eq(t, `{"request":"id","model":"m","prompt":800,"answer":80,"maxAnswer":80,"patienceMs":40,"leftMs":5985}`, string(text))
 }
 
-// Guards against engines and plain upstreams that admit a request in order of arrival, as nobody passed on its
-// priority.
+// Guards against engines and plain upstreams that admit requests in order of arrival because the
+// priority isn't passed on.
 func TestUpstreamGetsThePriority(t *testing.T) {
 	w := newWorld(t, newUpstream(t, "one", serves))
 	must.Eq(t, http.StatusOK, w.ask(t, "/safe/x", "r1").status)
 	must.Eq(t, "", w.upstreams[0].header(0).Get("Priority"))
-	table, most := w.registrar.View().Table, 0
-	table.Match("127.0.0.1", "/safe/x").Priority = &most
+	table, mostUrgent := w.registrar.View().Table, 0
+	table.Match("127.0.0.1", "/safe/x").Priority = &mostUrgent
 	table.Index()
 	must.Eq(t, http.StatusOK, w.ask(t, "/safe/x", "r2").status)
 	must.Eq(t, "0", w.upstreams[0].header(1).Get("Priority"))
 }
 
-// Guards against callers that were refused together and come back together, against the least urgent ones that
-// come back first, and against a time that callers don't wait for.
-func TestRefusedCallersComeBackByPriority(t *testing.T) {
-	d, live, batch, _ := newPrioritized(1, kept)
+// Guards against callers refused together that come back together, against the least urgent ones
+// coming back first, and against a Retry-After beyond the time that callers wait.
+func TestRetryAfterDependsOnPriority(t *testing.T) {
+	d, live, batch, _ := newPrioritized(1, keepsForUrgent)
 	estimate := 200 * time.Millisecond
-	for _, patience := range []time.Duration{6 * time.Second, 900 * time.Millisecond} {
+	for _, timeLimit := range []time.Duration{6 * time.Second, 900 * time.Millisecond} {
 		sum, distinct := map[string]time.Duration{}, map[time.Duration]bool{}
 		for range 100 {
 			for _, j := range []relayer.Job{live, batch} {
-				j.Patience, j.Arrived = patience, d.clock.Now()
+				j.Patience, j.Arrived = timeLimit, d.clock.Now()
 				d.Admit(&j)
 				wait := d.RetryAfter(&j, &relayer.RefusedError{RetryAfter: estimate})
-				must.Between(t, 0, wait, patience/3)
-				if patience > time.Second && j.Route.Name == "live" {
+				must.Between(t, 0, wait, timeLimit/3)
+				if timeLimit > time.Second && j.Route.Name == "live" {
 					must.Between(t, estimate, wait, estimate+500*time.Millisecond)
 				}
 				sum[j.Route.Name] += wait
@@ -155,10 +156,10 @@
 	}
 }
 
-// A plain service has no agent to ask. Guards against less urgent requests that fill its upstreams while these
-// refuse, and against the most urgent ones being held back as well.
+// Guards against less urgent requests that fill the upstreams of a plain service, which has no
+// agent, while these refuse, and against holding back the most urgent ones as well.
 func TestPlainServiceInAShortageTakesUrgentRequests(t *testing.T) {
-	d, live, batch, _ := newPrioritized(3, kept)
+	d, live, batch, _ := newPrioritized(3, keepsForUrgent)
 	table := d.Registrar.View().Table
 	table.Services["engines"].Engine = nil
 	for _, r := range table.Routes {
@@ -171,11 +172,11 @@
 		job    relayer.Job
 		answer error
 		sent   bool
-		// after is how much later than the one before it the request comes.
+		// after is how much later than the previous request this one arrives.
 		after time.Duration
 	}{
 		{batch, refusal, true, 0},
-		{batch, refusal, true, 0}, // No more urgent requests come.
+		{batch, refusal, true, 0}, // No more urgent requests arrive.
 		{live, nil, true, 0},
 		{batch, nil, false, 0},
 		{batch, nil, true, time.Second}, // The shortage is over.
@@ -184,12 +185,12 @@
 		sent, j := false, e.job
 		j.Arrived = d.clock.Now()
 		d.Admit(&j)
-		err := d.Serve(context.Background(), &j, func(context.Context, *relayer.Place) error {
+		err := d.Serve(context.Background(), &j, func(context.Context, *relayer.Placement) error {
 			sent = true
 			return e.answer
 		})
 		must.Eq(t, e.sent, sent)
 		var refused *relayer.RefusedError
-		must.True(t, sent || errors.As(err, &refused) && refused.Kept())
+		must.True(t, sent || errors.As(err, &refused) && refused.KeptForOthers())
 	}
 }
--- a/internal/relayer/ramp_test.go
+++ b/internal/relayer/ramp_test.go
@@ -16,7 +16,7 @@
 	"github.com/oriolecroft/oriolecroft/internal/scheduler"
 )
 
-// rampingPair is an entry before a full engine and one that has just started, which has as many requests as
+// rampingPair is an entry with a full engine and one just started, which has as many requests as
 // its slow start allows.
 func rampingPair(t *testing.T) (d *decider, started *scheduler.Ledger) {
 	t.Helper()
@@ -39,7 +39,7 @@
 	return d, started
 }
 
-func (d *decider) placeOwn(t *testing.T) (*relayer.Place, error) {
+func (d *decider) placeOwn(t *testing.T) (*relayer.Placement, error) {
 	t.Helper()
 	j := d.job
 	j.Arrived = d.clock.Now()
@@ -49,7 +49,7 @@
 	return d.Placer.Place(t.Context(), &j)
 }
 
-// pump lets those that wait on the clock go on until the test ends.
+// pump advances the clock for its waiters until the test ends.
 func (d *decider) pump(t *testing.T) {
 	go func() {
 		for t.Context().Err() == nil {
@@ -61,8 +61,8 @@
 	}()
 }
 
-// Guards against a request that is refused for a slow start alone although the engine answers well, and one
-// that is let in beyond it before the engine has answered anything.
+// Guards against a request refused only for a slow start although the engine answers well, and one
+// admitted beyond the slow start before the engine has answered anything.
 func TestSlowStartRefusesNothingWhileItsEngineAnswersWell(t *testing.T) {
 	d, started := rampingPair(t)
 	must.True(t, started.Ramping())
@@ -78,9 +78,9 @@
 	must.Error(t, err)
 }
 
-// Guards against agents that never hear of failed requests, and against those that hear of a failure which
-// isn't their engine's.
-func TestAgentHearsHowAttemptsEnd(t *testing.T) {
+// Guards against agents that don't receive failures of requests, and against those that receive a
+// failure not caused by their engine.
+func TestAgentReceivesAttemptOutcomes(t *testing.T) {
 	for name, e := range map[string]struct {
 		err  error
 		ends bool
@@ -92,27 +92,27 @@
 	} {
 		t.Run(name, func(t *testing.T) {
 			d := newDecider(1, 1, 0)
-			recorder := &tellRecorder{Agent: d.Placer.Reach(netip.AddrPortFrom(netip.AddrFrom4([4]byte{10, 0, 0, 0}), 1))}
+			recorder := &progressRecorder{Agent: d.Placer.Reach(netip.AddrPortFrom(netip.AddrFrom4([4]byte{10, 0, 0, 0}), 1))}
 			d.Placer.Reach = func(netip.AddrPort) relayer.Agent { return recorder }
 			d.Budgets = &retrier.Budgets{New: func() *retrier.Budget { return &retrier.Budget{Clock: d.clock} }}
 			j := d.job
 			j.Arrived = d.clock.Now()
 			d.Admit(&j)
 			d.pump(t)
-			must.Error(t, d.Serve(t.Context(), &j, func(context.Context, *relayer.Place) error { return e.err }))
+			must.Error(t, d.Serve(t.Context(), &j, func(context.Context, *relayer.Placement) error { return e.err }))
 			must.Eq(t, e.ends, len(recorder.last.Failed)+len(recorder.last.Refused) == 1)
 			must.SliceLen(t, 1, recorder.last.Ended)
 		})
 	}
 }
 
-// tellRecorder keeps the last progress that was sent.
-type tellRecorder struct {
+// progressRecorder keeps the last progress sent.
+type progressRecorder struct {
 	relayer.Agent
 	last messenger.Progress
 }
 
-func (r *tellRecorder) Tell(p messenger.Progress) {
+func (r *progressRecorder) SendProgress(p messenger.Progress) {
 	r.last = p
-	r.Agent.Tell(p)
+	r.Agent.SendProgress(p)
 }
--- a/internal/relayer/frozen_test.go
+++ b/internal/relayer/suspended_test.go
@@ -21,7 +21,7 @@
 const (
 	// callerGap is how long callers wait for the next event of a stream.
 	callerGap = 2 * time.Second
-	// closeWithin is how soon after its caller's leaving an upstream has to see the close.
+	// closeWithin is how soon after its caller has left an upstream must see the close.
 	closeWithin = 500 * time.Millisecond
 )
 
@@ -32,7 +32,7 @@
 	sent   time.Time
 }
 
-// call connects and sends a request, and more bytes behind it.
+// call connects and sends a request, followed by more bytes.
 func (w *world) call(t *testing.T, path, id, fields, body, more string) *caller {
 	t.Helper()
 	conn, err := net.Dial("tcp", w.Listener.Addr().String())
@@ -50,15 +50,15 @@
 	must.NoError(t, err)
 }
 
-// callerLook is the time between two looks of a caller for an answer.
-const callerLook = 10 * time.Millisecond
+// callerPollInterval is the time between two checks of a caller for an answer.
+const callerPollInterval = 10 * time.Millisecond
 
 // waitAnswer waits for the head of an answer, for as long as callers do. The wait is counted in
-// looks: time for which the test itself gets no processor is no wait of its caller.
+// checks, so time in which the test itself gets no processor doesn't count.
 func (c *caller) waitAnswer(gap time.Duration) (*http.Response, error) {
 	var err error
-	for range gap / callerLook {
-		_ = c.SetReadDeadline(time.Now().Add(callerLook))
+	for range gap / callerPollInterval {
+		_ = c.SetReadDeadline(time.Now().Add(callerPollInterval))
 		if _, err = c.reader.Peek(1); err == nil {
 			_ = c.SetReadDeadline(time.Now().Add(patience))
 			return http.ReadResponse(c.reader, nil)
@@ -71,7 +71,7 @@
 	return nil, err
 }
 
-// stage is how far an upstream comes with a request before its VM freezes.
+// stage is how far an upstream gets with a request before its VM is suspended.
 type stage func(id string, conn net.Conn)
 
 func beforeHeader(string, net.Conn) {}
@@ -89,28 +89,28 @@
 	say(conn, fmt.Sprintf("HTTP/1.1 200 OK\r\nId: %s\r\nSeal: x\r\nContent-Length: 9\r\n\r\nhalf", id))
 }
 
-// freezing are upstreams of which the first that gets a request freezes at a stage, and tells when it
-// got the request and saw its connection closed.
-type freezing struct {
-	first      once
-	at         stage
-	came       chan time.Time
-	closed     chan time.Time
-	bothFreeze bool
+// suspendingUpstreams are upstreams of which the first to get a request is suspended at a stage.
+// They record when the request arrived and when its connection was closed.
+type suspendingUpstreams struct {
+	first       once
+	stage       stage
+	arrived     chan time.Time
+	closed      chan time.Time
+	bothSuspend bool
 }
 
-func freezeAt(at stage) *freezing {
-	return &freezing{at: at, came: make(chan time.Time, 10), closed: make(chan time.Time, 10)}
+func suspendAt(s stage) *suspendingUpstreams {
+	return &suspendingUpstreams{stage: s, arrived: make(chan time.Time, 10), closed: make(chan time.Time, 10)}
 }
 
-func (f *freezing) answer(name string) func(int, string, net.Conn) bool {
+func (f *suspendingUpstreams) answer(name string) func(int, string, net.Conn) bool {
 	return func(_ int, id string, conn net.Conn) bool {
-		if !f.first.is(name) && !f.bothFreeze {
+		if !f.first.is(name) && !f.bothSuspend {
 			say(conn, streamHead(id)+chunked(event(1))+chunked(event(2))+"0\r\n\r\n")
 			return true
 		}
-		f.came <- time.Now()
-		f.at(id, conn)
+		f.arrived <- time.Now()
+		f.stage(id, conn)
 		_ = conn.SetReadDeadline(time.Now().Add(patience))
 		_, err := conn.Read(make([]byte, 1))
 		if !errors.Is(err, io.EOF) {
@@ -121,7 +121,7 @@
 	}
 }
 
-// resumable makes the world's streams resumable, or not.
+// resumable sets whether the world's streams are resumable.
 func (w *world) resumable(yes bool) *world {
 	for _, r := range w.registrar.View().Table.Routes {
 		r.Resumable = yes
@@ -129,8 +129,8 @@
 	return w
 }
 
-// impatient makes the callers of streams leave after callerGap without an event.
-func (w *world) impatient() *world {
+// withEventTimeout lets callers of streams leave after callerGap without an event.
+func (w *world) withEventTimeout() *world {
 	for _, r := range w.registrar.View().Table.Routes {
 		if r.Kind == matcher.Streaming {
 			r.EventTimeout = callerGap
@@ -146,50 +146,52 @@
 	return w
 }
 
-// orders are those in which an upstream's VM freezes with a stream.
-func orders() map[string]func(t *testing.T) (*world, *freezing) {
-	two := func(f *freezing) func(t *testing.T) (*world, *freezing) {
-		return func(t *testing.T) (*world, *freezing) {
+// suspensionCases are the cases in which an upstream's VM is suspended with a stream.
+func suspensionCases() map[string]func(t *testing.T) (*world, *suspendingUpstreams) {
+	two := func(f *suspendingUpstreams) func(t *testing.T) (*world, *suspendingUpstreams) {
+		return func(t *testing.T) (*world, *suspendingUpstreams) {
 			return newWorld(t, newUpstream(t, "u1", f.answer("u1")), newUpstream(t, "u2", f.answer("u2"))), f
 		}
 	}
-	alone := func(f *freezing) func(t *testing.T) (*world, *freezing) {
-		return func(t *testing.T) (*world, *freezing) { return newWorld(t, newUpstream(t, "u1", f.answer("u1"))), f }
+	alone := func(f *suspendingUpstreams) func(t *testing.T) (*world, *suspendingUpstreams) {
+		return func(t *testing.T) (*world, *suspendingUpstreams) {
+			return newWorld(t, newUpstream(t, "u1", f.answer("u1"))), f
+		}
 	}
-	poor := func(f *freezing) func(t *testing.T) (*world, *freezing) {
-		return func(t *testing.T) (*world, *freezing) {
+	noRetries := func(f *suspendingUpstreams) func(t *testing.T) (*world, *suspendingUpstreams) {
+		return func(t *testing.T) (*world, *suspendingUpstreams) {
 			w, f := two(f)(t)
 			return w.withoutRetries(), f
 		}
 	}
-	once := func(f *freezing) func(t *testing.T) (*world, *freezing) {
-		return func(t *testing.T) (*world, *freezing) {
+	notResumable := func(f *suspendingUpstreams) func(t *testing.T) (*world, *suspendingUpstreams) {
+		return func(t *testing.T) (*world, *suspendingUpstreams) {
 			w, f := two(f)(t)
 			return w.resumable(false), f
 		}
 	}
-	both := func(f *freezing) func(t *testing.T) (*world, *freezing) {
-		f.bothFreeze = true
+	both := func(f *suspendingUpstreams) func(t *testing.T) (*world, *suspendingUpstreams) {
+		f.bothSuspend = true
 		return two(f)
 	}
-	// full is before engines whose agents grant: the second takes nothing.
-	full := func(f *freezing) func(t *testing.T) (*world, *freezing) {
-		return func(t *testing.T) (*world, *freezing) {
+	// full has engines with agents: the second grants nothing.
+	full := func(f *suspendingUpstreams) func(t *testing.T) (*world, *suspendingUpstreams) {
+		return func(t *testing.T) (*world, *suspendingUpstreams) {
 			return engines(t, f.answer("engine"), openLedger(12), closedLedger("full")).resumable(true), f
 		}
 	}
-	return map[string]func(t *testing.T) (*world, *freezing){
-		"before the header, another is free":                 two(freezeAt(beforeHeader)),
-		"before the header, no other":                        alone(freezeAt(beforeHeader)),
-		"before the header, all other engines full":          full(freezeAt(beforeHeader)),
-		"before the header, no retry left":                   poor(freezeAt(beforeHeader)),
-		"before the header, not resumable":                   once(freezeAt(beforeHeader)),
-		"before the header, the one that takes over as well": both(freezeAt(beforeHeader)),
-		"after the header, another is free":                  two(freezeAt(afterHeader)),
-		"after the header, all other engines full":           full(freezeAt(afterHeader)),
-		"after the header, no retry left":                    poor(freezeAt(afterHeader)),
-		"after the header, not resumable":                    once(freezeAt(afterHeader)),
-		"after a late header, another is free":               two(freezeAt(afterLateHeader)),
+	return map[string]func(t *testing.T) (*world, *suspendingUpstreams){
+		"before the header, another is free":                 two(suspendAt(beforeHeader)),
+		"before the header, no other":                        alone(suspendAt(beforeHeader)),
+		"before the header, all other engines full":          full(suspendAt(beforeHeader)),
+		"before the header, no retry left":                   noRetries(suspendAt(beforeHeader)),
+		"before the header, not resumable":                   notResumable(suspendAt(beforeHeader)),
+		"before the header, the one that takes over as well": both(suspendAt(beforeHeader)),
+		"after the header, another is free":                  two(suspendAt(afterHeader)),
+		"after the header, all other engines full":           full(suspendAt(afterHeader)),
+		"after the header, no retry left":                    noRetries(suspendAt(afterHeader)),
+		"after the header, not resumable":                    notResumable(suspendAt(afterHeader)),
+		"after a late header, another is free":               two(suspendAt(afterLateHeader)),
 	}
 }
 
@@ -200,21 +202,21 @@
 	return "/stream/"
 }
 
-// Guards against callers that leave a stream that has not begun without any answer, although their
-// entry is well: the engine begins their requests when its VM wakes.
-func TestCallerOfAFrozenVMIsAnsweredBeforeItLeaves(t *testing.T) {
-	for name, order := range orders() {
+// Guards against callers that leave a stream that has not started without any answer, although
+// their entry works: the engine would start their requests after its VM resumes.
+func TestCallerOfASuspendedVMIsAnsweredBeforeItLeaves(t *testing.T) {
+	for name, setUp := range suspensionCases() {
 		t.Run(name, func(t *testing.T) {
 			t.Parallel()
-			w, f := order(t)
-			c := w.impatient().call(t, streamPath(w), "r1", "", "order", "")
-			<-f.came
+			w, f := setUp(t)
+			c := w.withEventTimeout().call(t, streamPath(w), "r1", "", "order", "")
+			<-f.arrived
 			res, err := c.waitAnswer(callerGap)
 			if err != nil {
 				left := time.Now()
 				c.Close()
 				t.Logf("caller left after %v; the upstream saw the close %v later", left.Sub(c.sent), (<-f.closed).Sub(left))
-				t.Fatalf("caller had got nothing when it left: %v", err)
+				t.Fatalf("the caller got nothing before it left: %v", err)
 			}
 			res.Body.Close()
 			t.Logf("status %d after %v; the first upstream saw the close after %v", res.StatusCode, time.Since(c.sent), (<-f.closed).Sub(c.sent))
@@ -222,18 +224,18 @@
 	}
 }
 
-// Guards against callers of plain requests that get nothing before their limit, at an upstream that
-// freezes.
-func TestPlainCallerOfAFrozenVMIsAnsweredWithinItsLimit(t *testing.T) {
-	for name, at := range map[string]stage{"before the header": beforeHeader, "in the body": inPlainBody} {
+// Guards against callers of plain requests that get nothing within their time limit, at an upstream
+// that is suspended.
+func TestPlainCallerOfASuspendedVMIsAnsweredWithinItsLimit(t *testing.T) {
+	for name, s := range map[string]stage{"before the header": beforeHeader, "in the body": inPlainBody} {
 		for _, path := range []string{"/safe/", "/once/"} {
 			t.Run(name+path, func(t *testing.T) {
 				t.Parallel()
-				f := freezeAt(at)
+				f := suspendAt(s)
 				w := newWorld(t, newUpstream(t, "u1", f.answer("u1")))
 				c := w.call(t, path, "r1", "Patience: 1000\r\n", "order", "")
 				res, err := c.waitAnswer(time.Second)
-				must.NoError(t, err, must.Sprint("the caller got nothing within its limit"))
+				must.NoError(t, err, must.Sprint("the caller got nothing within its time limit"))
 				res.Body.Close()
 				t.Logf("status %d after %v; the upstream saw the close after %v", res.StatusCode, time.Since(c.sent), (<-f.closed).Sub(c.sent))
 			})
@@ -241,30 +243,30 @@
 	}
 }
 
-// Guards against callers that leave without an answer while their entry looks for a slot, after an
-// engine was given up at the end of its weights' time.
-func TestCallerIsAnsweredBeforeItLeavesAfterItsWeightsTime(t *testing.T) {
-	f := freezeAt(beforeHeader)
-	w := staleEngine(t, f.answer("engine")).resumable(true).impatient()
+// Guards against callers that leave without an answer while their entry waits for a slot, after an
+// engine was given up because its weights expired.
+func TestCallerIsAnsweredBeforeItLeavesAfterItsWeightsExpired(t *testing.T) {
+	f := suspendAt(beforeHeader)
+	w := entryWithStaleEngine(t, f.answer("engine")).resumable(true).withEventTimeout()
 	w.relayer.Placer.WeightsBound = callerGap - 200*time.Millisecond
 	c := w.call(t, "/draft", "r1", "", "order", "")
-	<-f.came
+	<-f.arrived
 	res, err := c.waitAnswer(callerGap)
 	t.Logf("the engine saw the close after %v", (<-f.closed).Sub(c.sent))
-	must.NoError(t, err, must.Sprint("caller had got nothing when it left"))
+	must.NoError(t, err, must.Sprint("the caller got nothing before it left"))
 	res.Body.Close()
 }
 
-// Guards against the same when all slots of an engine are granted just before its VM freezes.
-func TestAllCallersOfAFrozenEngineAreAnsweredBeforeTheyLeave(t *testing.T) {
-	f := freezeAt(beforeHeader)
-	f.came, f.closed, f.bothFreeze = make(chan time.Time, 100), make(chan time.Time, 100), true
+// Guards against the same when all slots of an engine are granted just before its VM is suspended.
+func TestAllCallersOfASuspendedEngineAreAnsweredBeforeTheyLeave(t *testing.T) {
+	f := suspendAt(beforeHeader)
+	f.arrived, f.closed, f.bothSuspend = make(chan time.Time, 100), make(chan time.Time, 100), true
 	ledgers := []*scheduler.Ledger{openLedger(12), openLedger(12)}
-	w := engines(t, f.answer("engine"), ledgers...).resumable(true).impatient()
+	w := engines(t, f.answer("engine"), ledgers...).resumable(true).withEventTimeout()
 	answered := make(chan error)
 	for i := range 12 {
 		c := w.call(t, "/draft/", fmt.Sprintf("r%d", i), "", "order", "")
-		<-f.came
+		<-f.arrived
 		go func() {
 			res, err := c.waitAnswer(callerGap)
 			if err == nil {
--- a/internal/relayer/upstream_rest_test.go
+++ b/internal/relayer/upstream_backoff_test.go
@@ -27,22 +27,22 @@
 )
 
 const (
-	// restKnown is how long after its answer an upstream may still get what was on its way, and
-	// mostAtRest how many requests may reach it after that.
-	restKnown  = 500 * time.Millisecond
-	mostAtRest = 2
+	// backoffGrace is how long after its answer an upstream may still get requests in flight, and
+	// maxDuringBackoff how many may reach it after that.
+	backoffGrace     = 500 * time.Millisecond
+	maxDuringBackoff = 2
 )
 
-// statingUpstream answers as its conduct says and keeps when the requests of each entry came.
+// statingUpstream answers by its conduct and records the arrivals of each entry's requests.
 type statingUpstream struct {
 	listener net.Listener
 
 	mu sync.Mutex
-	// conduct writes an answer's status, header and body; the entry is that which sent the request.
+	// conduct writes an answer's status, header and body; entry sent the request.
 	conduct func(w http.ResponseWriter, r *http.Request, entry string)
-	// arrived are the times at which requests of each entry came.
+	// arrived has the arrival times of the requests of each entry.
 	arrived map[string][]time.Time
-	// informed is when an entry was first informed to rest, or of the upstream's leaving.
+	// informed is when an entry was first asked to back off, or was sent another statement.
 	informed map[string]time.Time
 }
 
@@ -61,7 +61,7 @@
 	return u
 }
 
-// ServeHTTP answers a request; its body names the entry that it came through.
+// ServeHTTP answers a request; its body names the entry that sent it.
 func (u *statingUpstream) ServeHTTP(w http.ResponseWriter, r *http.Request) {
 	entry, err := io.ReadAll(r.Body)
 	if err != nil {
@@ -74,7 +74,7 @@
 	u.conduct(w, r, string(entry))
 }
 
-// inform notes that an entry is informed something now, if it is the first time.
+// inform records the time of the first statement to an entry.
 func (u *statingUpstream) inform(entry string) {
 	if _, ok := u.informed[entry]; !ok {
 		u.informed[entry] = time.Now()
@@ -86,24 +86,24 @@
 	_, _ = io.WriteString(w, "done")
 }
 
-// reject refuses a request and asks for rest.
-func reject(w http.ResponseWriter, rest time.Duration) {
+// reject refuses a request and asks for a backoff.
+func reject(w http.ResponseWriter, backoff time.Duration) {
 	w.Header().Set("X-Not-Executed", "shed")
-	w.Header().Set("Retry-After", strconv.FormatFloat(rest.Seconds(), 'f', -1, 64))
+	w.Header().Set("Retry-After", strconv.FormatFloat(backoff.Seconds(), 'f', -1, 64))
 	w.WriteHeader(http.StatusServiceUnavailable)
 }
 
-// asksForRest turns away everything and asks each entry for the same rest.
-func asksForRest(rest time.Duration) func(u *statingUpstream, w http.ResponseWriter, entry string) {
+// asksForBackoff refuses all requests and asks each entry for the same backoff.
+func asksForBackoff(backoff time.Duration) func(u *statingUpstream, w http.ResponseWriter, entry string) {
 	return func(u *statingUpstream, w http.ResponseWriter, entry string) {
 		u.inform(entry)
-		reject(w, rest)
+		reject(w, backoff)
 	}
 }
 
 func servesAll(_ *statingUpstream, w http.ResponseWriter, _ string) { serveWhole(w) }
 
-// servesHalf refuses every other request and doesn't say for how long.
+// servesHalf refuses every other request without stating for how long.
 func servesHalf() func(u *statingUpstream, w http.ResponseWriter, entry string) {
 	n := 0
 	return func(_ *statingUpstream, w http.ResponseWriter, _ string) {
@@ -116,8 +116,8 @@
 	}
 }
 
-// mostBetween is the most requests that any entry sent between two times after it was informed.
-func (u *statingUpstream) mostBetween(after, until time.Duration) int {
+// maxBetween is the most requests that any entry sent between two times after it was informed.
+func (u *statingUpstream) maxBetween(after, until time.Duration) int {
 	u.mu.Lock()
 	defer u.mu.Unlock()
 	most := 0
@@ -151,7 +151,7 @@
 	return registrar.Upstream{ID: id, Service: service, Address: netip.MustParseAddrPort(u.listener.Addr().String()), FailureDomain: "a", Slots: slots}
 }
 
-// agentBeside starts an agent that grants slots at its engine, and gives its port.
+// agentBeside starts an agent that grants slots at its engine, and returns its port.
 func agentBeside(t *testing.T, ip string, engine *matcher.Engine, delay func() time.Duration) uint16 {
 	ledger := &scheduler.Ledger{Clock: clock.RealClock{}}
 	ledger.Open(engine)
@@ -167,18 +167,18 @@
 	return netip.MustParseAddrPort(l.Addr().String()).Port()
 }
 
-func atOnce() time.Duration { return 0 }
+func noDelay() time.Duration { return 0 }
 
-// ask sends one request through an entry and gives the status and the time to come back.
+// ask sends one request through an entry and returns the status and the time to come back.
 func ask(t *testing.T, w *world, id string) (status int, retryAfter, took time.Duration) {
 	t.Helper()
 	return askAs(t, w, "0", id)
 }
 
-// askAs is ask through an entry of a name.
+// askAs is ask through the entry of the given name.
 func askAs(t *testing.T, w *world, entry, id string) (status int, retryAfter, took time.Duration) {
 	t.Helper()
-	began := time.Now()
+	start := time.Now()
 	r, err := http.NewRequestWithContext(context.Background(), http.MethodPost, w.URL+"/", strings.NewReader(entry))
 	must.NoError(t, err)
 	r.Header.Set("X-Request-Attempt", id)
@@ -187,54 +187,54 @@
 	_, _ = io.Copy(io.Discard, res.Body)
 	res.Body.Close()
 	seconds, _ := strconv.ParseFloat(res.Header.Get("Retry-After"), 64)
-	return res.StatusCode, time.Duration(seconds * float64(time.Second)), time.Since(began)
+	return res.StatusCode, time.Duration(seconds * float64(time.Second)), time.Since(start)
 }
 
-// informAll has each entry send requests until an upstream has informed it something.
+// informAll sends requests through each entry until it has received a statement of an upstream.
 func informAll(t *testing.T, ws []*world, u *statingUpstream) {
 	t.Helper()
 	for i, w := range ws {
-		for n, began := 0, time.Now(); !u.isInformed(fmt.Sprint(i)); n++ {
-			must.Less(t, patience, time.Since(began))
+		for n, start := 0, time.Now(); !u.isInformed(fmt.Sprint(i)); n++ {
+			must.Less(t, patience, time.Since(start))
 			_, _, _ = askAs(t, w, fmt.Sprint(i), fmt.Sprintf("%d-%d", i, n))
 		}
 	}
 }
 
-// Guards against entries that go on sending to a plain service that asked them for rest.
-func TestServiceAtRestGetsNothing(t *testing.T) {
-	const rest = 3 * time.Second
-	tired, busy := newStatingUpstream(t, asksForRest(rest)), newStatingUpstream(t, servesHalf())
-	ws := limitedEntries(t, 5, &matcher.Service{Name: "desk"}, tired.record("tired", "desk", 6), busy.record("busy", "desk", 6))
-	informAll(t, ws, tired)
+// Guards against entries that continue to send to a plain service that asked for a backoff.
+func TestServiceThatIsBackingOffGetsNothing(t *testing.T) {
+	const backoff = 3 * time.Second
+	backingOff, busy := newStatingUpstream(t, asksForBackoff(backoff)), newStatingUpstream(t, servesHalf())
+	ws := limitedEntries(t, 5, &matcher.Service{Name: "desk"}, backingOff.record("tired", "desk", 6), busy.record("busy", "desk", 6))
+	informAll(t, ws, backingOff)
 	served := loadEntries(t, ws, 20*time.Millisecond, 4*time.Second)
-	must.LessEq(t, mostAtRest, tired.mostBetween(restKnown, rest))
+	must.LessEq(t, maxDuringBackoff, backingOff.maxBetween(backoffGrace, backoff))
 	must.Positive(t, served)
 }
 
-// Guards against entries that go on sending to an engine that asked them for rest, as its agent, which
-// was not asked, grants slots.
-func TestEngineAtRestGetsNothing(t *testing.T) {
-	const rest = 3 * time.Second
-	tired, busy := newStatingUpstream(t, asksForRest(rest)), newStatingUpstreamAt(t, "127.0.0.2", servesHalf())
+// Guards against entries that continue to send to an engine that asked them for a backoff, because
+// its agent, which was not asked, grants slots.
+func TestEngineThatIsBackingOffGetsNothing(t *testing.T) {
+	const backoff = 3 * time.Second
+	backingOff, busy := newStatingUpstream(t, asksForBackoff(backoff)), newStatingUpstreamAt(t, "127.0.0.2", servesHalf())
 	engine := engineTable().Services["engines"].Engine
-	port := agentBeside(t, "0.0.0.0", engine, atOnce)
+	port := agentBeside(t, "0.0.0.0", engine, noDelay)
 	ws := limitedEntries(t, 5, &matcher.Service{Name: "engines", Engine: engine},
-		tired.record("tired", "engines", engine.Slots), busy.record("busy", "engines", engine.Slots))
+		backingOff.record("tired", "engines", engine.Slots), busy.record("busy", "engines", engine.Slots))
 	for _, w := range ws {
 		w.relayer.Placer.AgentPort = port
 	}
-	informAll(t, ws, tired)
+	informAll(t, ws, backingOff)
 	served := loadEntries(t, ws, 20*time.Millisecond, 4*time.Second)
-	must.LessEq(t, mostAtRest, tired.mostBetween(restKnown, rest))
+	must.LessEq(t, maxDuringBackoff, backingOff.maxBetween(backoffGrace, backoff))
 	must.Positive(t, served)
 }
 
-// Guards against requests that were granted slots before their entry was asked for rest, and are sent
+// Guards against requests that got slots before their entry was asked for a backoff, and are sent
 // long after.
-func TestRequestOnItsWayIsHeldBackFromAnEngineAtRest(t *testing.T) {
-	const rest, late = 5 * time.Second, time.Second
-	tired := newStatingUpstream(t, asksForRest(rest))
+func TestPlacedRequestIsWithheldFromAnEngineThatIsBackingOff(t *testing.T) {
+	const backoff, late = 5 * time.Second, time.Second
+	backingOff := newStatingUpstream(t, asksForBackoff(backoff))
 	engine := engineTable().Services["engines"].Engine
 	var mu sync.Mutex
 	questions := 0
@@ -247,31 +247,31 @@
 		}
 		return late
 	})
-	ws := limitedEntries(t, 1, &matcher.Service{Name: "engines", Engine: engine}, tired.record("tired", "engines", engine.Slots))
+	ws := limitedEntries(t, 1, &matcher.Service{Name: "engines", Engine: engine}, backingOff.record("tired", "engines", engine.Slots))
 	ws[0].relayer.Placer.AgentPort = port
 	var all sync.WaitGroup
 	for i := range 6 {
 		all.Go(func() { _, _, _ = ask(t, ws[0], fmt.Sprint(i)) })
 	}
 	all.Wait()
-	must.Eq(t, 1, tired.informedEntries())
-	must.LessEq(t, mostAtRest, tired.mostBetween(restKnown, rest))
+	must.Eq(t, 1, backingOff.informedEntries())
+	must.LessEq(t, maxDuringBackoff, backingOff.maxBetween(backoffGrace, backoff))
 }
 
-// Guards against refusals with a time to come back at which the whole service still rests, and against
-// callers who wait for one.
-func TestServiceThatRestsAsAWholeRefusesAtOnce(t *testing.T) {
-	const rest, spread = 3 * time.Second, time.Second
+// Guards against a Retry-After at which the whole service is still backing off, and against
+// requests that wait for one.
+func TestServiceWithAllUpstreamsBackingOffRefusesAtOnce(t *testing.T) {
+	const backoff, spread = 3 * time.Second, time.Second
 	for name, engine := range map[string]*matcher.Engine{"plain": nil, "engines": engineTable().Services["engines"].Engine} {
 		t.Run(name, func(t *testing.T) {
 			t.Parallel()
 			conduct := func(u *statingUpstream, w http.ResponseWriter, entry string) {
 				u.inform(entry)
-				if time.Since(u.informed[entry]) > rest {
+				if time.Since(u.informed[entry]) > backoff {
 					serveWhole(w)
 					return
 				}
-				reject(w, rest)
+				reject(w, backoff)
 			}
 			first, second := newStatingUpstream(t, conduct), newStatingUpstreamAt(t, "127.0.0.2", conduct)
 			slots := 6
@@ -280,50 +280,50 @@
 			}
 			ws := limitedEntries(t, 1, &matcher.Service{Name: "s", Engine: engine}, first.record("first", "s", slots), second.record("second", "s", slots))
 			if engine != nil {
-				ws[0].relayer.Placer.AgentPort = agentBeside(t, "0.0.0.0", engine, atOnce)
+				ws[0].relayer.Placer.AgentPort = agentBeside(t, "0.0.0.0", engine, noDelay)
 			}
-			began := time.Now()
+			start := time.Now()
 			for i := range 20 {
-				asked := time.Since(began)
+				sentAt := time.Since(start)
 				status, retryAfter, took := ask(t, ws[0], fmt.Sprint(i))
 				must.Eq(t, http.StatusServiceUnavailable, status)
-				// Both have been asked by the second request at the latest.
+				// By the second request at the latest, both upstreams have received one.
 				if i > 1 {
 					must.Less(t, 200*time.Millisecond, took)
-					left := rest - asked - took
+					left := backoff - sentAt - took
 					must.GreaterEq(t, left-100*time.Millisecond, retryAfter)
 					must.LessEq(t, left+spread+500*time.Millisecond, retryAfter)
 				}
 				time.Sleep(20 * time.Millisecond)
 			}
-			must.LessEq(t, mostAtRest, max(first.mostBetween(restKnown, rest), second.mostBetween(restKnown, rest)))
-			time.Sleep(time.Until(began.Add(rest + 500*time.Millisecond)))
+			must.LessEq(t, maxDuringBackoff, max(first.maxBetween(backoffGrace, backoff), second.maxBetween(backoffGrace, backoff)))
+			time.Sleep(time.Until(start.Add(backoff + 500*time.Millisecond)))
 			status, _, _ := ask(t, ws[0], "after")
 			must.Eq(t, http.StatusOK, status)
 		})
 	}
 }
 
-// Guards against a stream that is moved to an upstream at rest, and against repeats that go there.
-func TestRepeatsAvoidAnUpstreamAtRest(t *testing.T) {
-	const rest = 3 * time.Second
-	tired := newStatingUpstream(t, asksForRest(rest))
+// Guards against retries and continued streams that are sent to an upstream that is backing off.
+func TestRetriesAvoidAnUpstreamThatIsBackingOff(t *testing.T) {
+	const backoff = 3 * time.Second
+	backingOff := newStatingUpstream(t, asksForBackoff(backoff))
 	breaks := func(_ *statingUpstream, w http.ResponseWriter, _ string) {
 		w.Header().Set("X-Replica-Seal", "s")
 		w.Header().Set("Content-Length", "100")
 		_, _ = io.WriteString(w, "half")
 	}
 	flaky := newStatingUpstream(t, breaks)
-	ws := limitedEntries(t, 3, &matcher.Service{Name: "desk"}, tired.record("tired", "desk", 6), flaky.record("flaky", "desk", 6))
+	ws := limitedEntries(t, 3, &matcher.Service{Name: "desk"}, backingOff.record("tired", "desk", 6), flaky.record("flaky", "desk", 6))
 	loadEntries(t, ws, 10*time.Millisecond, 3*time.Second)
-	must.Positive(t, tired.informedEntries())
-	must.LessEq(t, mostAtRest, tired.mostBetween(restKnown, rest))
+	must.Positive(t, backingOff.informedEntries())
+	must.LessEq(t, maxDuringBackoff, backingOff.maxBetween(backoffGrace, backoff))
 }
 
 // platformCodec reads the headers of the users' platform.
 var platformCodec = platform.Headers{}
 
-// Guards against a retry that is spent on a request which no upstream got, and is missing for one that
+// Guards against retries spent on requests that no upstream got, and then missing for one that
 // failed.
 func TestWithheldRequestCostsNoRetry(t *testing.T) {
 	first, second := newStatingUpstream(t, servesAll), newStatingUpstream(t, servesAll)
@@ -337,7 +337,7 @@
 		j := &relayer.Job{Request: relayer.Request{ID: "r"}, Route: w.registrar.View().Table.Routes[0], Arrived: time.Now()}
 		w.relayer.Admit(j)
 		sends := 0
-		err := w.relayer.Serve(t.Context(), j, func(_ context.Context, p *relayer.Place) error {
+		err := w.relayer.Serve(t.Context(), j, func(_ context.Context, p *relayer.Placement) error {
 			if sends++; sends > 1 {
 				return nil
 			}
--- a/internal/relayer/upstream_leaving_test.go
+++ b/internal/relayer/upstream_draining_test.go
@@ -10,44 +10,44 @@
 	"github.com/oriolecroft/oriolecroft/internal/matcher"
 )
 
-// leavingBound is how long after an entry has handed on an answer of a leaving upstream that gets
-// requests from it.
-const leavingBound = 2 * time.Second
+// drainBound is how long an upstream may still get requests from an entry that has passed on its
+// statement of draining.
+const drainBound = 2 * time.Second
 
-// statesLeaving serves all and states that the upstream leaves.
-func statesLeaving(u *statingUpstream, w http.ResponseWriter, entry string) {
+// statesDraining serves all and states that the upstream is draining.
+func statesDraining(u *statingUpstream, w http.ResponseWriter, entry string) {
 	u.inform(entry)
 	w.Header().Set("Server-Leaving", "1")
 	serveWhole(w)
 }
 
-// Guards against requests to an upstream that states in its answers that it leaves, while its record
-// doesn't say so.
-func TestUpstreamThatStatesItsLeavingGetsNothing(t *testing.T) {
+// Guards against requests to an upstream that states in its replies that it is draining, while its
+// record doesn't.
+func TestUpstreamThatStatesItIsDrainingGetsNothing(t *testing.T) {
 	for name, engine := range map[string]*matcher.Engine{"plain": nil, "engines": engineTable().Services["engines"].Engine} {
 		t.Run(name, func(t *testing.T) {
 			t.Parallel()
-			leaves, stays := newStatingUpstream(t, statesLeaving), newStatingUpstreamAt(t, "127.0.0.2", servesAll)
+			leaves, stays := newStatingUpstream(t, statesDraining), newStatingUpstreamAt(t, "127.0.0.2", servesAll)
 			slots := 6
 			if engine != nil {
 				slots = engine.Slots
 			}
 			ws := limitedEntries(t, 5, &matcher.Service{Name: "s", Engine: engine}, leaves.record("leaves", "s", slots), stays.record("stays", "s", slots))
 			if engine != nil {
-				port := agentBeside(t, "0.0.0.0", engine, atOnce)
+				port := agentBeside(t, "0.0.0.0", engine, noDelay)
 				for _, w := range ws {
 					w.relayer.Placer.AgentPort = port
 				}
 			}
 			informAll(t, ws, leaves)
 			loadEntries(t, ws, 20*time.Millisecond, 4*time.Second)
-			must.Zero(t, leaves.mostBetween(leavingBound, time.Minute))
+			must.Zero(t, leaves.maxBetween(drainBound, time.Minute))
 		})
 	}
 }
 
-// Guards against a leaving that is read from an answer which is not the upstream's own.
-func TestLeavingOfAnotherUpstreamAtTheAddressIsNotItsOwn(t *testing.T) {
+// Guards against accepting a statement of draining from a reply that isn't the upstream's own.
+func TestDrainingOfAnotherUpstreamAtTheAddressIsIgnored(t *testing.T) {
 	requests := 0
 	u := newStatingUpstream(t, func(_ *statingUpstream, w http.ResponseWriter, _ string) {
 		requests++
--- a/internal/relayer/upstream_limit_test.go
+++ b/internal/relayer/upstream_limit_test.go
@@ -19,12 +19,12 @@
 )
 
 const (
-	// limitWindow is the span in which an upstream's requests are counted, and limitBound what it
-	// may get there at a limit of one a second.
+	// limitWindow is the span in which an upstream's requests are counted, and limitBound the most
+	// requests in it at a limit of one a second.
 	limitWindow = 4 * time.Second
 	limitBound  = 1.5*1*4 + 5
-	// limitKnown is how long after its first such reply an entry has to keep to the limit.
-	limitKnown = 500 * time.Millisecond
+	// limitGrace is the time after the first reply with the limit in which an entry may exceed it.
+	limitGrace = 500 * time.Millisecond
 )
 
 // statesLimit serves all and states a limit of one request a second.
@@ -34,24 +34,24 @@
 	serveWhole(w)
 }
 
-// mostOfInformed is the largest number of requests within limitWindow that came from entries when these
-// had known of the limit.
-func (u *statingUpstream) mostOfInformed() int {
+// maxFromInformed is the largest number of requests within limitWindow from entries that had
+// received the limit.
+func (u *statingUpstream) maxFromInformed() int {
 	u.mu.Lock()
 	defer u.mu.Unlock()
 	var informed []time.Time
 	for entry, arrived := range u.arrived {
 		for _, at := range arrived {
-			if at.Sub(u.informed[entry]) > limitKnown {
+			if at.Sub(u.informed[entry]) > limitGrace {
 				informed = append(informed, at)
 			}
 		}
 	}
 	slices.SortFunc(informed, time.Time.Compare)
-	return mostWithin(informed, limitWindow)
+	return maxWithin(informed, limitWindow)
 }
 
-// limitedEntries are entries that know each other, before upstreams of one service.
+// limitedEntries makes entries that have each other as members, with upstreams of one service.
 func limitedEntries(t *testing.T, n int, service *matcher.Service, us ...registrar.Upstream) []*world {
 	route := &matcher.Route{Name: "r", Host: "127.0.0.1", Prefix: "/", Kind: matcher.Idempotent, Timeout: patience, MaxAttempts: 2,
 		Public: true, Generates: service.Engine != nil, Targets: []matcher.Target{{Service: service.Name, Weight: 1}}}
@@ -86,14 +86,14 @@
 	return ws
 }
 
-// loadEntries sends requests through all entries for a while, and gives how many were served.
+// loadEntries sends requests through all entries for a while, and returns how many were served.
 func loadEntries(t *testing.T, ws []*world, each, last time.Duration) (served int) {
 	t.Helper()
 	var mu sync.Mutex
 	var all sync.WaitGroup
 	for i, w := range ws {
 		all.Go(func() {
-			for n, began := 0, time.Now(); time.Since(began) < last; n++ {
+			for n, start := 0, time.Now(); time.Since(start) < last; n++ {
 				r, err := http.NewRequestWithContext(context.Background(), http.MethodPost, w.URL+"/", strings.NewReader(fmt.Sprint(i)))
 				if err != nil {
 					return
@@ -117,25 +117,25 @@
 	return served
 }
 
-// Guards against entries that together send a plain service more than the limit that it names.
+// Guards against entries that together exceed the limit that a plain service states.
 func TestEntriesKeepToTheLimitOfAService(t *testing.T) {
 	u := newStatingUpstream(t, statesLimit)
 	ws := limitedEntries(t, 9, &matcher.Service{Name: "desk"}, u.record("u", "desk", 6))
 	served := loadEntries(t, ws, 20*time.Millisecond, 6*time.Second)
-	must.LessEq(t, limitBound, u.mostOfInformed())
+	must.LessEq(t, limitBound, u.maxFromInformed())
 	must.Positive(t, served)
 }
 
-// Guards against an agent that grants slots beyond the limit that its engine names to entries.
+// Guards against an agent that grants slots beyond the limit that its engine states to entries.
 func TestAgentKeepsToTheLimitOfItsEngine(t *testing.T) {
 	u := newStatingUpstream(t, statesLimit)
 	engine := engineTable().Services["engines"].Engine
-	port := agentBeside(t, "127.0.0.1", engine, atOnce)
+	port := agentBeside(t, "127.0.0.1", engine, noDelay)
 	ws := limitedEntries(t, 9, &matcher.Service{Name: "engines", Engine: engine}, u.record("u", "engines", engine.Slots))
 	for _, w := range ws {
 		w.relayer.Placer.AgentPort = port
 	}
 	served := loadEntries(t, ws, 20*time.Millisecond, 6*time.Second)
-	must.LessEq(t, limitBound, u.mostOfInformed())
+	must.LessEq(t, limitBound, u.maxFromInformed())
 	must.Positive(t, served)
 }
