--- a/internal/relayer/admit.go
+++ b/internal/relayer/admit.go
@@ -42,11 +42,11 @@
 	}
 	l.mu.Lock()
 	defer l.mu.Unlock()
-	if l.longestPatience == nil {
-		l.longestPatience = map[string]time.Duration{}
+	if l.longestTimeLimits == nil {
+		l.longestTimeLimits = map[string]time.Duration{}
 	}
-	most := max(l.longestPatience[j.Route.Name], j.Patience)
-	l.longestPatience[j.Route.Name] = most
+	most := max(l.longestTimeLimits[j.Route.Name], j.Patience)
+	l.longestTimeLimits[j.Route.Name] = most
 	return float64(j.Patience) < leastPatienceShare*float64(most)
 }
 
--- a/internal/relayer/answer.go
+++ b/internal/relayer/answer.go
@@ -18,14 +18,14 @@
 	"github.com/oriolecroft/oriolecroft/internal/retrier"
 )
 
-// give is the final answer to a request that is given up.
-func (c *call) give(ctx context.Context, err error) {
-	if c.r.Context().Err() != nil {
-		c.endEnded(err)
+// answerFailure sends the final answer to a request that is given up.
+func (c *call) answerFailure(ctx context.Context, err error) {
+	if c.httpRequest.Context().Err() != nil {
+		c.endCancelled(err)
 		return
 	}
 	if isUnread(err) {
-		c.endUnread(err, c.progress(err)...)
+		c.endUnread(err, c.progressFields(err)...)
 		return
 	}
 	if cause := context.Cause(ctx); cause != nil {
@@ -33,36 +33,36 @@
 	}
 	if c.stream != nil {
 		c.count("cut")
-		c.log("Stream cut", err, c.progress(err)...)
-		c.cutReply()
+		c.log("Stream cut", err, c.progressFields(err)...)
+		c.abortReply()
 	}
 	refused := c.Refusal(err)
 	switch {
 	case refused != nil:
 		c.refuse(refused)
 	case ctx.Err() != nil:
-		c.log("Timed out", err, c.progress(err)...)
+		c.log("Timed out", err, c.progressFields(err)...)
 		c.answer(http.StatusGatewayTimeout, "timed out", 0)
 	default:
-		c.log("Failed", err, c.progress(err)...)
+		c.log("Failed", err, c.progressFields(err)...)
 		c.answer(http.StatusBadGateway, "upstream failed", 0)
 	}
 }
 
-// progress is how far a request got whose last attempt failed with an error, for the log.
-func (c *call) progress(err error) []any {
+// progressFields returns log fields on how far a request got before its last attempt failed with an error.
+func (c *call) progressFields(err error) []any {
 	fields := []any{"status", c.status, "outcome", c.outcome, "attempts", c.attempts, "tried", c.Tried}
 	var s *SendError
 	if errors.As(err, &s) {
 		fields = append(fields, "silence", s.Silence)
 	}
 	if c.stream != nil {
-		fields = append(fields, "events", c.stream.events, "lastEvent", c.stream.sequence.last)
+		fields = append(fields, "events", c.stream.events, "lastEvent", c.stream.sequence.lastID)
 	}
 	return fields
 }
 
-// recoverPanic ends a request whose handler panicked: net/http would close the connection without a status.
+// recoverPanic answers a request whose handler panicked: net/http would close the connection without a status.
 func (c *call) recoverPanic() {
 	reason := recover()
 	if reason == nil {
@@ -72,22 +72,22 @@
 		panic(reason)
 	}
 	c.count("panics")
-	c.log("Handler panicked", &PanicError{Value: reason}, append(c.progress(nil), "stack", string(debug.Stack()))...)
+	c.log("Handler panicked", &PanicError{Value: reason}, append(c.progressFields(nil), "stack", string(debug.Stack()))...)
 	if c.status != 0 {
-		c.cutReply()
+		c.abortReply()
 	}
-	// What stands there may be an upstream's.
-	clear(c.w.Header())
+	// The header may hold fields of an upstream's reply.
+	clear(c.response.Header())
 	c.answer(http.StatusInternalServerError, "internal error", 0)
 }
 
-// endEnded ends a request whose connection is over, as its caller left or this entry ends. A caller that has closed
-// only its side reads on, and net/http ends what a handler leaves open as a success.
-func (c *call) endEnded(err error) {
-	cause := context.Cause(c.r.Context())
+// endCancelled ends a request whose connection is over because its caller left or this entry ends. A caller that
+// closed only its sending side still reads, and net/http would end an unfinished reply as a success.
+func (c *call) endCancelled(err error) {
+	cause := context.Cause(c.httpRequest.Context())
 	byEntry := !errors.Is(cause, context.Canceled)
-	if !byEntry && c.out.unread() {
-		c.endUnread(err, c.progress(err)...)
+	if !byEntry && c.writer.recentlyUnread() {
+		c.endUnread(err, c.progressFields(err)...)
 		return
 	}
 	text, counter := "Caller left", "left"
@@ -95,21 +95,21 @@
 		text, counter, err = "Cut as the entry ends", "cut", fmt.Errorf("%w: %w", cause, err)
 	}
 	c.count(counter)
-	c.log(text, err, c.progress(err)...)
+	c.log(text, err, c.progressFields(err)...)
 	if c.status != 0 {
-		c.cutReply()
+		c.abortReply()
 	}
 	if refused := c.Refusal(err); byEntry && refused != nil {
 		c.refuse(refused)
 		return
 	}
-	c.send(http.StatusBadGateway, "request cut", 0)
+	c.writeError(http.StatusBadGateway, "request cut", 0)
 }
 
-// cutReply ends a reply so that its caller can't take it for whole.
-func (c *call) cutReply() {
-	if !c.r.ProtoAtLeast(1, 1) {
-		// Without chunks the caller takes the end of the connection for that of the reply, unless it is reset.
+// abortReply ends a reply so that its caller can't take it for whole.
+func (c *call) abortReply() {
+	if !c.httpRequest.ProtoAtLeast(1, 1) {
+		// Without chunks the caller takes the end of the connection for the end of the reply, unless it is reset.
 		c.resetConnection()
 	}
 	panic(http.ErrAbortHandler)
@@ -117,16 +117,16 @@
 
 // resetConnection resets the caller's connection.
 func (c *call) resetConnection() {
-	conn, _, err := http.NewResponseController(c.w).Hijack()
+	conn, _, err := http.NewResponseController(c.response).Hijack()
 	if err != nil {
-		c.log("Connection not reset", err)
+		c.log("Failed to reset connection", err)
 		return
 	}
 	connector.Reset(conn)
 }
 
-// Refusal is what the caller of a job that Serve gave up is told if it certainly did not run;
-// nil if it may have run.
+// Refusal returns the refusal for a job that Serve gave up and that certainly did not run; nil if it may have
+// run.
 func (j *Job) Refusal(err error) *RefusedError {
 	if j.outcome != retrier.NotRun {
 		return nil
@@ -139,13 +139,13 @@
 	if !errors.As(err, &refused) {
 		refused = &RefusedError{Reason: err.Error(), RetryAfter: busyRetry}
 	}
-	if j.rest > 0 {
-		refused.RetryAfter = j.rest
+	if j.backoff > 0 {
+		refused.RetryAfter = j.backoff
 	}
 	return refused
 }
 
-// refuse says that the request did not run and when to come back.
+// refuse answers that the request did not run and when to retry.
 func (c *call) refuse(e *RefusedError) {
 	c.count("refused")
 	wait := c.RetryAfter(&c.Job, e)
@@ -153,7 +153,7 @@
 	if e.Kept() {
 		c.count("refused.kept")
 	}
-	fields = append(fields, e.Met.fields()...)
+	fields = append(fields, e.Met.logFields()...)
 	if b := e.Blame; b != nil {
 		fields = append(fields, b.LogFields()...)
 	}
@@ -165,8 +165,8 @@
 	c.answer(http.StatusServiceUnavailable, e.Reason, wait)
 }
 
-// fields are those that aren't zero, for the log.
-func (m Met) fields() []any {
+// logFields returns the log fields of counts that aren't zero.
+func (m Met) logFields() []any {
 	var fields []any
 	for _, f := range []struct {
 		name  string
@@ -182,25 +182,25 @@
 	return fields
 }
 
-// answer sends an answer of the system's own.
+// answer counts and sends an answer of the entry itself.
 func (c *call) answer(status int, text string, retryAfter time.Duration) {
 	c.count("answers." + strconv.Itoa(status))
-	c.send(status, text, retryAfter)
+	c.writeError(status, text, retryAfter)
 }
 
-func (c *call) send(status int, text string, retryAfter time.Duration) {
-	h := c.w.Header()
+func (c *call) writeError(status int, text string, retryAfter time.Duration) {
+	h := c.response.Header()
 	h.Set("Content-Type", "application/json")
 	if retryAfter > 0 {
 		h.Set("Retry-After", strconv.FormatFloat(retryAfter.Seconds(), 'f', 3, 64))
 	}
 	c.status = status
-	c.w.WriteHeader(status)
+	c.response.WriteHeader(status)
 	body := struct {
 		Error string `json:"error"`
 	}{text}
-	if err := json.NewEncoder(c.w).Encode(body); err != nil {
-		klog.V(1).InfoS("Answer not sent", "request", c.ID, "err", err)
+	if err := json.NewEncoder(c.response).Encode(body); err != nil {
+		klog.V(1).InfoS("Failed to send answer", "request", c.ID, "err", err)
 	}
 }
 
@@ -208,10 +208,10 @@
 	metrics.GetOrRegisterCounter(name, l.Metrics).Inc(1)
 }
 
-// log writes a line on this request.
+// log writes a log line on this request.
 func (c *call) log(text string, err error, more ...any) { c.Relayer.log(&c.Job, text, err, more...) }
 
-// log writes a line on a request.
+// log writes a log line on a request.
 func (l *Relayer) log(j *Job, text string, err error, more ...any) {
 	route, workspace := "", ""
 	if j.Route != nil {
@@ -225,7 +225,7 @@
 	if j.standing != nil {
 		fields = append(fields, "priority", j.standing.priority)
 	}
-	if left, leaves := l.Placer.cutIn(); leaves {
+	if left, leaves := l.Placer.timeToCut(); leaves {
 		fields = append(fields, "cutIn", left)
 	}
 	if v := l.Registrar.View(); v != nil {
--- a/internal/relayer/attempt.go
+++ b/internal/relayer/attempt.go
@@ -38,34 +38,34 @@
 	if err == nil {
 		err = c.relay(ctx, r)
 	}
-	return c.unreadError(c.overtaken(err))
+	return c.wrapUnread(c.wrapOvertaken(err))
 }
 
 // receive gets the beginning of a place's reply, by the hedge that is under way there or by a new attempt.
 func (c *call) receive(ctx context.Context, place *Place) (*receivedReply, error) {
-	stalled := func(conn *connection) bool { return c.readsOn(ctx, place, conn) }
-	h := c.takeHedge(place)
+	stalled := func(conn *connection) bool { return c.keepReading(ctx, place, conn) }
+	h := c.adoptHedge(place)
 	if h == nil {
 		r := c.newReception(place)
 		r.headerWithin, r.stalled = c.headerWithin(place), stalled
 		return r.receive(ctx)
 	}
-	if err := c.await(ctx, h); err != nil {
+	if err := c.awaitHedge(ctx, h); err != nil {
 		return nil, err
 	}
-	if err := h.reply.x.failure(); err != nil && c.mayRepeat() {
-		h.reply.x.abandon()
+	if err := h.reply.exchange.failure(); err != nil && c.mayRepeat() {
+		h.reply.exchange.abandon()
 		return nil, err
 	}
-	conn := h.reply.x.conn
+	conn := h.reply.exchange.conn
 	conn.stalled = func() bool { return stalled(conn) }
 	return h.reply, nil
 }
 
 // relay hands a reply on to the caller.
 func (c *call) relay(ctx context.Context, r *receivedReply) error {
-	c.out.from.Store(r.x.conn)
-	defer c.out.from.Store(nil)
+	c.writer.source.Store(r.exchange.conn)
+	defer c.writer.source.Store(nil)
 	if r.events != nil {
 		return c.relayStream(ctx, r)
 	}
@@ -115,27 +115,27 @@
 
 // relayPlain hands a reply on.
 func (c *call) relayPlain(ctx context.Context, r *receivedReply) error {
-	x := r.x
+	x := r.exchange
 	c.cancelHedge()
 	x.setGap(0)
-	if err := c.beginReply(x); err != nil {
+	if err := c.startReply(x); err != nil {
 		x.abandon()
 		return err
 	}
 	c.writeHeader(x)
-	if _, err := c.w.Write(r.start); err != nil {
+	if _, err := c.response.Write(r.start); err != nil {
 		x.abandon()
-		c.endEarly(x, ctx.Err(), err)
+		c.endPartial(x, ctx.Err(), err)
 	}
 	r.start = nil
 	x.releaseMemory()
-	if r.end == nil {
+	if r.endErr == nil {
 		err := c.copyRest(r.body)
 		if err == nil {
 			err = c.checkWhole(ctx, x, r.place)
 		}
 		if err != nil {
-			c.endEarly(x, ctx.Err(), err)
+			c.endPartial(x, ctx.Err(), err)
 		}
 	}
 	x.finish()
@@ -145,7 +145,7 @@
 
 // writeHeader hands the upstream's header on as it is.
 func (c *call) writeHeader(x *exchange) {
-	h := c.w.Header()
+	h := c.response.Header()
 	for name, fields := range c.Codec.Returned(x.response.Header) {
 		h[name] = fields
 	}
@@ -154,7 +154,7 @@
 		h["Content-Type"] = nil
 	}
 	c.status = x.response.StatusCode
-	c.w.WriteHeader(c.status)
+	c.response.WriteHeader(c.status)
 }
 
 // served counts and logs an answer.
@@ -171,7 +171,7 @@
 	fields := []any{"upstream", upstream, "status", status, "upstreamRevision", place.Upstream.Revision, "framing", x.framing()}
 	answered := took
 	if c.stream != nil {
-		answered = c.stream.firstAfter
+		answered = c.stream.firstEventAfter
 	}
 	if c.Route.Objective > 0 && answered > c.Route.Objective {
 		fields = append(fields, "late", answered-c.Route.Objective)
@@ -180,7 +180,7 @@
 		fields = append(fields, "returned", true)
 	}
 	if s := c.stream; s != nil {
-		fields = append(fields, "events", s.events, "firstEvent", s.firstAfter, "longestPause", s.longestPause,
+		fields = append(fields, "events", s.events, "firstEvent", s.firstEventAfter, "longestPause", s.longestPause,
 			"waitPredicted", place.Wait, "active", place.Active, "prompt", c.Prompt,
 			"endPredicted", place.Ends, "answer", c.Answer(), "maxAnswer", c.MaxAnswer)
 	}
--- a/internal/relayer/closing_test.go
+++ b/internal/relayer/closing_test.go
@@ -21,59 +21,59 @@
 	"github.com/oriolecroft/oriolecroft/internal/relayer"
 )
 
-// departure is how a caller leaves a request under way.
+// departure describes how a caller leaves a request in progress.
 type departure struct {
-	at                 stage
+	leaveStage         stage
 	path, fields, body string
-	// more is sent along with the request, later after the upstream has got it.
-	more, later string
-	// kept callers have sent a request on the connection before, stalled ones leave while their
-	// entry looks for another upstream.
-	kept, stalled bool
+	// pipelined is sent along with the request, pipelinedLater after the upstream has received it.
+	pipelined, pipelinedLater string
+	// keptAlive callers have used the connection for a request before, stalled ones leave while their entry looks
+	// for another upstream.
+	keptAlive, stalled bool
 }
 
-// Guards against upstreams that go on with a request whose caller has closed its connection.
+// Guards against upstreams that continue a request whose caller has closed its connection.
 func TestUpstreamSeesThatTheCallerLeft(t *testing.T) {
 	for name, d := range map[string]departure{
-		"stream before the header":         {at: beforeHeader, path: "/stream/", body: "order"},
-		"stream after the header":          {at: afterHeader, path: "/stream/", body: "order"},
-		"in the middle of a stream":        {at: midStream, path: "/stream/", body: "order"},
-		"plain before the header":          {at: beforeHeader, path: "/safe/", body: "order"},
-		"plain in the body":                {at: inPlainBody, path: "/safe/", body: "order"},
-		"once before the header":           {at: beforeHeader, path: "/once/", body: "order"},
-		"without a body":                   {at: beforeHeader, path: "/stream/"},
-		"on a kept connection":             {at: beforeHeader, path: "/stream/", body: "order", kept: true},
-		"while nobody takes over":          {at: beforeHeader, path: "/stream/", body: "order", stalled: true},
-		"while nobody goes on":             {at: midStream, path: "/stream/", body: "order", stalled: true},
-		"with a byte of the next request":  {at: beforeHeader, path: "/stream/", body: "order", more: "P"},
-		"with a byte more, mid-stream":     {at: midStream, path: "/stream/", body: "order", more: "P"},
-		"with a byte more, plain":          {at: beforeHeader, path: "/safe/", body: "order", more: "P"},
-		"with a line end behind its body":  {at: beforeHeader, path: "/stream/", body: "order", more: "\r\n"},
-		"with a body that waits for a 100": {at: beforeHeader, path: "/stream/", fields: "Expect: 100-continue\r\n", body: "order"},
+		"stream before the header":         {leaveStage: beforeHeader, path: "/stream/", body: "order"},
+		"stream after the header":          {leaveStage: afterHeader, path: "/stream/", body: "order"},
+		"in the middle of a stream":        {leaveStage: midStream, path: "/stream/", body: "order"},
+		"plain before the header":          {leaveStage: beforeHeader, path: "/safe/", body: "order"},
+		"plain in the body":                {leaveStage: inPlainBody, path: "/safe/", body: "order"},
+		"once before the header":           {leaveStage: beforeHeader, path: "/once/", body: "order"},
+		"without a body":                   {leaveStage: beforeHeader, path: "/stream/"},
+		"on a kept connection":             {leaveStage: beforeHeader, path: "/stream/", body: "order", keptAlive: true},
+		"while no upstream takes over":     {leaveStage: beforeHeader, path: "/stream/", body: "order", stalled: true},
+		"while no upstream resumes":        {leaveStage: midStream, path: "/stream/", body: "order", stalled: true},
+		"with a byte of the next request":  {leaveStage: beforeHeader, path: "/stream/", body: "order", pipelined: "P"},
+		"with a byte more, mid-stream":     {leaveStage: midStream, path: "/stream/", body: "order", pipelined: "P"},
+		"with a byte more, plain":          {leaveStage: beforeHeader, path: "/safe/", body: "order", pipelined: "P"},
+		"with a line end after its body":   {leaveStage: beforeHeader, path: "/stream/", body: "order", pipelined: "\r\n"},
+		"with a body that waits for a 100": {leaveStage: beforeHeader, path: "/stream/", fields: "Expect: 100-continue\r\n", body: "order"},
 	} {
 		t.Run(name, func(t *testing.T) {
 			t.Parallel()
-			d.play(t)
+			d.verifyClose(t)
 		})
 	}
 }
 
-// Guards against the same after the caller has begun to send its next request.
+// Guards against the same after the caller has started to send its next request.
 func TestUpstreamSeesThatTheCallerLeftAfterAPipelinedByte(t *testing.T) {
 	for name, d := range map[string]departure{
-		"before the header": {at: beforeHeader, path: "/stream/", body: "order", later: "P"},
-		"mid-stream":        {at: midStream, path: "/stream/", body: "order", later: "P"},
+		"before the header": {leaveStage: beforeHeader, path: "/stream/", body: "order", pipelinedLater: "P"},
+		"mid-stream":        {leaveStage: midStream, path: "/stream/", body: "order", pipelinedLater: "P"},
 	} {
 		t.Run(name, func(t *testing.T) {
 			t.Parallel()
-			d.play(t)
+			d.verifyClose(t)
 		})
 	}
 }
 
-// play has a caller leave, and expects that the upstream sees the close soon after.
-func (d departure) play(t *testing.T) {
-	f := freezeAt(d.at)
+// verifyClose closes the caller's connection, and checks that the upstream sees the close soon after.
+func (d departure) verifyClose(t *testing.T) {
+	f := freezeAt(d.leaveStage)
 	w := newWorld(t, newUpstream(t, "u1", func(n int, id string, conn net.Conn) bool {
 		if id == "before" {
 			say(conn, sealed(id, "done"))
@@ -82,34 +82,34 @@
 		return f.answer("u1")(n, id, conn)
 	}))
 	var c *caller
-	if d.kept {
+	if d.keptAlive {
 		c = w.call(t, "/safe/", "before", "", "order", "")
 		res, err := c.waitAnswer(patience)
 		must.NoError(t, err)
 		_, err = io.Copy(io.Discard, res.Body)
 		must.NoError(t, err)
 		res.Body.Close()
-		c.send(t, d.path, "r1", d.fields, d.body, d.more)
+		c.send(t, d.path, "r1", d.fields, d.body, d.pipelined)
 	} else {
-		c = w.call(t, d.path, "r1", d.fields, d.body, d.more)
+		c = w.call(t, d.path, "r1", d.fields, d.body, d.pipelined)
 	}
 	<-f.came
-	_, err := io.WriteString(c, d.later)
+	_, err := io.WriteString(c, d.pipelinedLater)
 	must.NoError(t, err)
 	time.Sleep(100 * time.Millisecond)
 	if d.stalled {
 		time.Sleep(relayer.EventGap + 350*time.Millisecond)
 	}
-	left := time.Now()
+	leftAt := time.Now()
 	c.Close()
 	select {
-	case at := <-f.closed:
-		must.Less(t, closeWithin, at.Sub(left))
+	case closedAt := <-f.closed:
+		must.Less(t, closeWithin, closedAt.Sub(leftAt))
 	case <-time.After(4 * time.Second):
-		t.Fatal("the upstream had not seen the close 4 s after its caller's leaving")
+		t.Fatal("the upstream had not seen the close 4 s after its caller left")
 	}
 	must.Wait(t, wait.InitialSuccess(wait.BoolFunc(func() bool { return w.relayer.Chooser.Running("u1") == 0 }),
-		wait.Timeout(patience), wait.Gap(time.Millisecond)), must.Sprint("the place is kept"))
+		wait.Timeout(patience), wait.Gap(time.Millisecond)), must.Sprint("the slot is not released"))
 }
 
 // Guards against the same while a long request is being written to an upstream that reads nothing.
@@ -123,34 +123,34 @@
 	must.NoError(t, err)
 	defer conn.Close()
 	time.Sleep(300 * time.Millisecond)
-	left := time.Now()
+	leftAt := time.Now()
 	c.Close()
 	must.Wait(t, wait.InitialSuccess(wait.BoolFunc(func() bool { return w.relayer.Chooser.Running("u1") == 0 }),
-		wait.Timeout(patience), wait.Gap(time.Millisecond)), must.Sprint("the place is kept"))
-	t.Logf("the place was given back %v after the caller's leaving", time.Since(left))
+		wait.Timeout(patience), wait.Gap(time.Millisecond)), must.Sprint("the slot is not released"))
+	t.Logf("the slot was released %v after the caller left", time.Since(leftAt))
 	n, err := io.Copy(io.Discard, conn)
-	t.Logf("the upstream reads %d bytes of 4 MB, and then %v", n, err)
+	t.Logf("the upstream read %d bytes of 4 MB, then: %v", n, err)
 	must.Less(t, 4<<20, n)
-	must.Less(t, closeWithin, time.Since(left))
+	must.Less(t, closeWithin, time.Since(leftAt))
 }
 
-// granting is the road to an agent at which the caller leaves just after a place is granted.
-type granting struct {
+// grantingAgent grants a slot, just after which the caller leaves.
+type grantingAgent struct {
 	leave context.CancelFunc
 	ended chan string
 }
 
-func (a *granting) Reserve(context.Context, messenger.Reservation) (messenger.Verdict, error) {
+func (a *grantingAgent) Reserve(context.Context, messenger.Reservation) (messenger.Verdict, error) {
 	return messenger.Verdict{Granted: true, Version: 1, Slots: 12}, nil
 }
 
-func (a *granting) Tell(p messenger.Progress) {
+func (a *grantingAgent) Tell(p messenger.Progress) {
 	for _, id := range p.Ended {
 		a.ended <- id
 	}
 }
 
-// leavingCodec has callers leave between the grant of a place and the sending.
+// leavingCodec makes callers leave between the grant of a slot and the sending.
 type leavingCodec struct {
 	codec
 	leave func()
@@ -163,8 +163,8 @@
 	return c.codec.Outgoing(h, s)
 }
 
-// Guards against a request that is sent although its caller left after the place was granted.
-func TestNothingIsSentForACallerThatLeftBeforeTheSending(t *testing.T) {
+// Guards against a request that is sent although its caller left after the slot was granted.
+func TestNothingIsSentForACallerThatLeftBeforeSending(t *testing.T) {
 	for _, kept := range []bool{false, true} {
 		t.Run(fmt.Sprintf("kept connection %v", kept), func(t *testing.T) {
 			sent := 0
@@ -198,7 +198,7 @@
 
 // Guards against requests that are sent although their caller left while the entry connected.
 func TestNothingIsSentForACallerThatLeftWhileTheEntryConnects(t *testing.T) {
-	// Without a backlog the kernel takes one connection; the entry's next ones wait.
+	// Without a backlog the kernel accepts one connection; the entry's next ones wait.
 	fd, err := syscall.Socket(syscall.AF_INET, syscall.SOCK_STREAM, 0)
 	must.NoError(t, err)
 	must.NoError(t, syscall.Bind(fd, &syscall.SockaddrInet4{Addr: [4]byte{127, 0, 0, 1}}))
@@ -215,11 +215,11 @@
 	c := w.call(t, "/stream/", "r1", "", "order", "")
 	must.Wait(t, wait.InitialSuccess(wait.BoolFunc(func() bool { return w.relayer.Chooser.Running("u1") == 1 }), wait.Timeout(patience), wait.Gap(time.Millisecond)))
 	time.Sleep(100 * time.Millisecond)
-	left := time.Now()
+	leftAt := time.Now()
 	c.Close()
 	must.Wait(t, wait.InitialSuccess(wait.BoolFunc(func() bool { return w.relayer.Chooser.Running("u1") == 0 }), wait.Timeout(patience), wait.Gap(time.Millisecond)))
-	t.Logf("the place was given back %v after the caller's leaving", time.Since(left))
-	must.Less(t, 150*time.Millisecond, time.Since(left), must.Sprint("the entry's own limit on connecting ended it"))
+	t.Logf("the slot was released %v after the caller left", time.Since(leftAt))
+	must.Less(t, 150*time.Millisecond, time.Since(leftAt), must.Sprint("ended by the entry's own connection timeout"))
 	for range 2 {
 		_ = l.(*net.TCPListener).SetDeadline(time.Now().Add(1500 * time.Millisecond))
 		conn, err := l.Accept()
@@ -233,26 +233,25 @@
 	}
 }
 
-// full is the road to an agent that has no place, and grants one to whoever asks again. Callers
-// leave in between.
-type full struct {
-	granting
+// fullAgent has no free slot at first, and grants one when asked again. Callers leave in between.
+type fullAgent struct {
+	grantingAgent
 	asked int
 }
 
-func (a *full) Reserve(ctx context.Context, r messenger.Reservation) (messenger.Verdict, error) {
+func (a *fullAgent) Reserve(ctx context.Context, r messenger.Reservation) (messenger.Verdict, error) {
 	if a.asked++; a.asked > 1 {
-		return a.granting.Reserve(ctx, r)
+		return a.grantingAgent.Reserve(ctx, r)
 	}
 	a.leave()
 	return messenger.Verdict{Active: 12, Slots: 12, FreeMS: 1}, nil
 }
 
-// Guards against requests that are sent although their caller left while the entry waited for a place.
+// Guards against requests that are sent although their caller left while the entry waited for a slot.
 func TestNothingIsSentForACallerThatLeftWhileTheEntryWaits(t *testing.T) {
-	w := engines(t, streams, openLedger(12)).resumable(true)
+	w := newEngineWorld(t, streamsOneEvent, openLedger(12)).resumable(true)
 	ctx, leave := context.WithCancel(t.Context())
-	a := &full{granting: granting{leave: leave, ended: make(chan string, 10)}}
+	a := &fullAgent{grantingAgent: grantingAgent{leave: leave, ended: make(chan string, 10)}}
 	w.relayer.Placer.Reach = func(netip.AddrPort) relayer.Agent { return a }
 	r := httptest.NewRequestWithContext(ctx, http.MethodPost, "http://127.0.0.1/draft", strings.NewReader("order"))
 	r.Header.Set("Id", "r1")
@@ -262,14 +261,14 @@
 	must.Eq(t, 0, w.relayer.Chooser.Running("engine-0"))
 }
 
-// Guards against a place that stays taken, or a request that is sent, when the caller leaves just as
-// a place to take over is granted.
-func TestCallerLeavesAsATakeOverIsGranted(t *testing.T) {
+// Guards against a slot that stays taken, or a request that is sent, when the caller leaves just as a hedge is
+// granted a slot.
+func TestCallerLeavesAsAHedgeIsGranted(t *testing.T) {
 	f := freezeAt(beforeHeader)
-	w := engines(t, f.answer("engine"), openLedger(12), openLedger(12)).resumable(true)
+	w := newEngineWorld(t, f.answer("engine"), openLedger(12), openLedger(12)).resumable(true)
 	ctx, leave := context.WithCancel(t.Context())
 	defer leave()
-	a := &granting{ended: make(chan string, 10)}
+	a := &grantingAgent{ended: make(chan string, 10)}
 	asked := 0
 	w.relayer.Placer.Reach = func(netip.AddrPort) relayer.Agent {
 		if asked++; asked == 2 {
@@ -286,8 +285,8 @@
 	<-f.closed
 }
 
-// Guards against a kept connection that asks for the request that used it before when it stalls.
-func TestKeptConnectionStallsForItsOwnRequest(t *testing.T) {
+// Guards against a kept connection that, when it stalls, hedges the request for which it was used before.
+func TestKeptConnectionHedgesItsCurrentRequest(t *testing.T) {
 	var first once
 	second := make(chan string, 2)
 	answer := func(name string) func(int, string, net.Conn) bool {
@@ -310,7 +309,7 @@
 	if first.is("u2") {
 		other = "u1"
 	}
-	// The next request goes to the same upstream.
+	// Directs the next request to the same upstream.
 	w.relayer.Chooser.Avoid(other, time.Second)
 	a := w.ask(t, "/stream/", "r1")
 	must.Eq(t, http.StatusOK, a.status)
--- a/internal/relayer/continuity_test.go
+++ b/internal/relayer/continuity_test.go
@@ -12,8 +12,8 @@
 	"github.com/shoenig/test/must"
 )
 
-// numbered are events with some ids.
-func numbered(ids ...int) []string {
+// numberedEvents returns events with the given ids.
+func numberedEvents(ids ...int) []string {
 	var all []string
 	for _, id := range ids {
 		all = append(all, event(id))
@@ -21,8 +21,8 @@
 	return all
 }
 
-// sends has an upstream answer with a stream of events that its framing ends.
-func sends(events ...string) func(int, string, net.Conn) bool {
+// streamsEvents answers with a stream of events that its framing ends.
+func streamsEvents(events ...string) func(int, string, net.Conn) bool {
 	return func(_ int, id string, conn net.Conn) bool {
 		say(conn, streamHead(id))
 		for _, e := range events {
@@ -33,7 +33,7 @@
 	}
 }
 
-// firstThen has the first of some upstreams answer in one way, and the others in another one.
+// firstThen lets the first of two upstreams that is called answer with first, the other with then.
 func firstThen(t *testing.T, first, then func(int, string, net.Conn) bool) *world {
 	var o once
 	var us []*upstream
@@ -48,68 +48,68 @@
 	return newWorld(t, us...)
 }
 
-// askBehind asks for the rest of a stream of which the caller has some events.
-func (w *world) askBehind(t *testing.T, path string, last int) answer {
+// askAfter requests the rest of a stream of which the caller has the events up to last.
+func (w *world) askAfter(t *testing.T, path string, last int) answer {
 	return w.sendHeader(t, path, "order", http.Header{"Id": {"r1"}, "Key": {"k"}, "Last": {strconv.Itoa(last)}})
 }
 
-// wrongRests are streams that don't go on behind event 2.
-func wrongRests() map[string][]string {
+// wrongContinuations returns streams that don't continue after event 2.
+func wrongContinuations() map[string][]string {
 	return map[string][]string{
-		"repeats the last event":     numbered(2, 3, 4),
-		"restarts":                   numbered(1, 2, 3, 4),
-		"skips an event":             numbered(4),
-		"has no ids":                 {"data: e3\n\n", "data: e4\n\n"},
-		"skips behind a comment":     {": hello\n\n", event(4)},
-		"has no id behind a comment": {": hello\n\n", "data: e3\n\n"},
+		"repeats the last event":    numberedEvents(2, 3, 4),
+		"restarts":                  numberedEvents(1, 2, 3, 4),
+		"skips an event":            numberedEvents(4),
+		"has no ids":                {"data: e3\n\n", "data: e4\n\n"},
+		"skips after a comment":     {": hello\n\n", event(4)},
+		"has no id after a comment": {": hello\n\n", "data: e3\n\n"},
 	}
 }
 
 // Guards against a caller that resumes its stream and gets events twice, or not all of them, as a complete reply.
-func TestCallersResumedStreamGoesOnBehindItsLastEvent(t *testing.T) {
-	for what, wrong := range wrongRests() {
+func TestResumedStreamContinuesAfterItsLastEvent(t *testing.T) {
+	for what, wrong := range wrongContinuations() {
 		t.Run(what, func(t *testing.T) {
 			t.Parallel()
-			right := numbered(3, 4)
-			got := firstThen(t, sends(wrong...), sends(right...)).askBehind(t, "/stream/1", 2)
+			right := numberedEvents(3, 4)
+			got := firstThen(t, streamsEvents(wrong...), streamsEvents(right...)).askAfter(t, "/stream/1", 2)
 			must.False(t, got.broken)
 			must.Eq(t, http.StatusOK, got.status)
 			must.Eq(t, events(3, 5), got.body)
 
-			got = newWorld(t, newUpstream(t, "u", sends(wrong...))).askBehind(t, "/stream/1", 2)
+			got = newWorld(t, newUpstream(t, "u", streamsEvents(wrong...))).askAfter(t, "/stream/1", 2)
 			must.Eq(t, http.StatusBadGateway, got.status)
 		})
 	}
 }
 
 // Guards against a caller that resumes its stream and gets the wrong rest of it by a hedge.
-func TestHedgeOfACallersResumedStreamGoesOnBehindItsLastEvent(t *testing.T) {
-	for what, wrong := range wrongRests() {
+func TestHedgeOfAResumedStreamContinuesAfterItsLastEvent(t *testing.T) {
+	for what, wrong := range wrongContinuations() {
 		t.Run(what, func(t *testing.T) {
 			t.Parallel()
 			slow := func(n int, id string, conn net.Conn) bool {
 				time.Sleep(silence)
-				return sends(numbered(3, 4)...)(n, id, conn)
+				return streamsEvents(numberedEvents(3, 4)...)(n, id, conn)
 			}
-			got := firstThen(t, slow, sends(wrong...)).askBehind(t, "/stream/1", 2)
+			got := firstThen(t, slow, streamsEvents(wrong...)).askAfter(t, "/stream/1", 2)
 			must.False(t, got.broken)
 			must.Eq(t, events(3, 5), got.body)
 		})
 	}
 }
 
-// Guards against sound rests of a stream that are refused.
-func TestSoundRestOfAStreamIsPassedOn(t *testing.T) {
+// Guards against valid rests of a stream that are refused.
+func TestValidRestOfAStreamIsPassedOn(t *testing.T) {
 	for what, rest := range map[string][]string{
-		"events":              numbered(3, 4),
+		"events":              numberedEvents(3, 4),
 		"none":                nil,
 		"comment before them": {": hello\n\n", event(3)},
-		"no id behind them":   {event(3), "data: end\n\n"},
+		"no id after them":    {event(3), "data: end\n\n"},
 	} {
 		for _, path := range []string{"/stream/1", "/draft/1"} {
 			t.Run(what+path, func(t *testing.T) {
 				t.Parallel()
-				got := newWorld(t, newUpstream(t, "u", sends(rest...))).askBehind(t, path, 2)
+				got := newWorld(t, newUpstream(t, "u", streamsEvents(rest...))).askAfter(t, path, 2)
 				must.False(t, got.broken)
 				must.Eq(t, http.StatusOK, got.status)
 				must.Eq(t, strings.Join(rest, ""), got.body)
@@ -118,101 +118,101 @@
 	}
 }
 
-// brokenSequences are streams in which an event is missing or comes twice, with what of them is sound.
-func brokenSequences() map[string]struct {
+// invalidSequences returns streams in which an event is missing or comes twice, with their valid part.
+func invalidSequences() map[string]struct {
 	events []string
-	sound  string
+	valid  string
 } {
 	return map[string]struct {
 		events []string
-		sound  string
+		valid  string
 	}{
-		"an event missing":          {numbered(1, 2, 4, 5), events(1, 3)},
-		"an event twice":            {numbered(1, 2, 2, 3, 4, 5), events(1, 3)},
-		"another run joined":        {numbered(1, 2, 1, 2, 3, 4, 5), events(1, 3)},
-		"an earlier event":          {numbered(1, 2, 3, 2, 4, 5), events(1, 4)},
-		"the last one missing":      {numbered(1, 2, 3, 5), events(1, 4)},
-		"a number, then a word":     {append(numbered(1, 2), "id: x\ndata: e3\n\n"), events(1, 3)},
-		"missing behind a comment":  {append(numbered(1, 2), ": hello\n\n", event(4), event(5)), events(1, 3) + ": hello\n\n"},
+		"an event missing":          {numberedEvents(1, 2, 4, 5), events(1, 3)},
+		"an event twice":            {numberedEvents(1, 2, 2, 3, 4, 5), events(1, 3)},
+		"another stream joined":     {numberedEvents(1, 2, 1, 2, 3, 4, 5), events(1, 3)},
+		"an earlier event":          {numberedEvents(1, 2, 3, 2, 4, 5), events(1, 4)},
+		"the last one missing":      {numberedEvents(1, 2, 3, 5), events(1, 4)},
+		"a number, then a word":     {append(numberedEvents(1, 2), "id: x\ndata: e3\n\n"), events(1, 3)},
+		"missing after a comment":   {append(numberedEvents(1, 2), ": hello\n\n", event(4), event(5)), events(1, 3) + ": hello\n\n"},
 		"ids that are words, twice": {[]string{"id: a\ndata: e1\n\n", "id: b\ndata: e2\n\n", "id: b\ndata: e2\n\n"}, "id: a\ndata: e1\n\nid: b\ndata: e2\n\n"},
 	}
 }
 
-// Guards against sound streams that are cut as their ids don't count by one.
+// Guards against valid streams that are cut because their ids don't count by one.
 func TestStreamWhoseIDsDoNotCountByOneIsPassedOn(t *testing.T) {
 	for what, ids := range map[string][]int{"by fives": {5, 10, 15, 18}, "not evenly": {0, 3, 4, 9, 10, 17}} {
 		for _, path := range []string{"/stream/1", "/draft/1"} {
 			t.Run(what+path, func(t *testing.T) {
 				t.Parallel()
-				got := newWorld(t, newUpstream(t, "u", sends(numbered(ids...)...))).ask(t, path, "r1")
+				got := newWorld(t, newUpstream(t, "u", streamsEvents(numberedEvents(ids...)...))).ask(t, path, "r1")
 				must.False(t, got.broken)
-				must.Eq(t, strings.Join(numbered(ids...), ""), got.body)
+				must.Eq(t, strings.Join(numberedEvents(ids...), ""), got.body)
 
-				again := append(numbered(ids...), event(ids[len(ids)-1]))
-				got = newWorld(t, newUpstream(t, "u", sends(again...))).ask(t, path, "r1")
+				again := append(numberedEvents(ids...), event(ids[len(ids)-1]))
+				got = newWorld(t, newUpstream(t, "u", streamsEvents(again...))).ask(t, path, "r1")
 				must.True(t, got.broken)
-				must.Eq(t, strings.Join(numbered(ids...), ""), got.body)
+				must.Eq(t, strings.Join(numberedEvents(ids...), ""), got.body)
 			})
 		}
 	}
 }
 
 // Guards against a stream that ends as complete though an event of it is missing or came twice.
-func TestBrokenSequenceIsNotCompleted(t *testing.T) {
-	for what, broken := range brokenSequences() {
+func TestInvalidSequenceIsNotCompleted(t *testing.T) {
+	for what, broken := range invalidSequences() {
 		for _, path := range []string{"/stream/1", "/draft/1"} {
 			t.Run(what+path, func(t *testing.T) {
 				t.Parallel()
-				u := newUpstream(t, "u", sends(broken.events...))
+				u := newUpstream(t, "u", streamsEvents(broken.events...))
 				got := newWorld(t, u).ask(t, path, "r1")
 				must.True(t, got.broken)
-				must.Eq(t, broken.sound, got.body)
+				must.Eq(t, broken.valid, got.body)
 				must.Len(t, 1, u.came())
 			})
 		}
 	}
 }
 
-// Guards against a stream with a missing event that nobody goes on with though another upstream can.
-func TestBrokenSequenceIsResumedBehindItsLastSoundEvent(t *testing.T) {
-	for what, broken := range brokenSequences() {
+// Guards against a stream with a missing event that is not resumed though another upstream can.
+func TestInvalidSequenceIsResumedAfterItsLastValidEvent(t *testing.T) {
+	for what, broken := range invalidSequences() {
 		t.Run(what, func(t *testing.T) {
 			t.Parallel()
-			goOn := func(n int, id string, conn net.Conn) bool {
-				return sends("id: c\ndata: e3\n\n")(n, id, conn)
+			resume := func(n int, id string, conn net.Conn) bool {
+				return streamsEvents("id: c\ndata: e3\n\n")(n, id, conn)
 			}
 			rest := "id: c\ndata: e3\n\n"
-			if last := strings.Count(broken.sound, "id: "); strings.Contains(broken.sound, "id: 1\n") {
-				goOn, rest = sends(event(last+1)), event(last+1)
+			if last := strings.Count(broken.valid, "id: "); strings.Contains(broken.valid, "id: 1\n") {
+				resume, rest = streamsEvents(event(last+1)), event(last+1)
 			}
-			w := firstThen(t, sends(broken.events...), goOn)
+			w := firstThen(t, streamsEvents(broken.events...), resume)
 			got := w.ask(t, "/stream/1", "r1")
 			must.False(t, got.broken)
-			must.Eq(t, broken.sound+rest, got.body)
+			must.Eq(t, broken.valid+rest, got.body)
 			must.Eq(t, 2, runs(w.upstreams))
 		})
 	}
 }
 
 // Guards against the rest of a stream that ends as complete though an event of it is missing or came twice.
-func TestBrokenSequenceOfAMovedStreamIsNotCompleted(t *testing.T) {
+func TestInvalidSequenceOfAMovedStreamIsNotCompleted(t *testing.T) {
 	for what, rest := range map[string][]string{
-		"missing": numbered(2, 4), "twice": numbered(2, 2, 3), "another run joined": numbered(2, 1, 2, 3),
+		"missing": numberedEvents(2, 4), "twice": numberedEvents(2, 2, 3), "another stream joined": numberedEvents(2, 1, 2, 3),
 	} {
 		t.Run(what, func(t *testing.T) {
-			cutBehindOne := func(_ int, id string, conn net.Conn) bool {
+			cutAfterOne := func(_ int, id string, conn net.Conn) bool {
 				say(conn, streamHead(id)+chunked(event(1)))
 				return false
 			}
-			got := firstThen(t, cutBehindOne, sends(rest...)).ask(t, "/stream/1", "r1")
+			got := firstThen(t, cutAfterOne, streamsEvents(rest...)).ask(t, "/stream/1", "r1")
 			must.True(t, got.broken)
 			must.Eq(t, events(1, 3), got.body)
 		})
 	}
 }
 
-// headed has an upstream answer with a stream that has some more lines in its header, and end it in some way.
-func headed(lines string, events []string, ending string, keep bool) func(int, string, net.Conn) bool {
+// streamsWithHeader answers with a stream that has more header lines and ends as given.
+func streamsWithHeader(lines string, events []string, ending string, keep bool) func(int, string, net.Conn) bool {
 	return func(_ int, id string, conn net.Conn) bool {
 		head := "HTTP/1.1 200 OK\r\nId: " + id + "\r\nSeal: x\r\n" + lines + "Transfer-Encoding: chunked\r\n\r\n"
 		say(conn, head)
@@ -225,96 +225,96 @@
 }
 
 const (
-	eventStream = "Content-Type: text/event-stream\r\n"
-	lastChunk   = "0\r\n\r\n"
+	eventStreamHeader = "Content-Type: text/event-stream\r\n"
+	lastChunk         = "0\r\n\r\n"
 )
 
-// continued is a stream that breaks off at one upstream and that another one goes on with.
-type continued struct {
-	// begins and goesOn are lines of both headers, had and rest both lists of events.
-	begins, goesOn string
-	had, rest      []string
-	// fits tells that the rest may follow.
-	fits bool
+// continuation is a stream that breaks off at one upstream and that another one resumes.
+type continuation struct {
+	// firstHeader and secondHeader are lines of both headers, first and rest both lists of events.
+	firstHeader, secondHeader string
+	first, rest               []string
+	// accepted reports whether the rest may follow.
+	accepted bool
 }
 
-func (c continued) check(t *testing.T) {
+func (c continuation) check(t *testing.T) {
 	t.Parallel()
-	w := firstThen(t, headed(c.begins, c.had, "", false), headed(c.goesOn, c.rest, lastChunk, true))
+	w := firstThen(t, streamsWithHeader(c.firstHeader, c.first, "", false), streamsWithHeader(c.secondHeader, c.rest, lastChunk, true))
 	got := w.ask(t, "/stream/1", "r1")
-	want := strings.Join(c.had, "")
-	if c.fits {
+	want := strings.Join(c.first, "")
+	if c.accepted {
 		want += strings.Join(c.rest, "")
 	}
 	must.Eq(t, want, got.body)
-	must.Eq(t, !c.fits, got.broken)
+	must.Eq(t, !c.accepted, got.broken)
 }
 
-// Guards against a stream that goes on with other weights than those that wrote its last event.
-func TestStreamGoesOnWithItsWeights(t *testing.T) {
-	const first, second = eventStream + "Version: 1\r\n", eventStream + "Version: 2\r\n"
+// Guards against a stream that continues with other weights than those that wrote its last event.
+func TestStreamContinuesWithItsWeights(t *testing.T) {
+	const first, second = eventStreamHeader + "Version: 1\r\n", eventStreamHeader + "Version: 2\r\n"
 	changed := "version: 2\n" + event(2)
-	for what, c := range map[string]continued{
-		"same":                     {first, first, numbered(1), numbered(2, 3), true},
-		"unknown":                  {first, eventStream, numbered(1), numbered(2, 3), true},
-		"unknown before":           {eventStream, second, numbered(1), numbered(2, 3), true},
-		"others":                   {first, second, numbered(1), numbered(2, 3), false},
-		"others from its event on": {first, first, numbered(1), []string{changed, event(3)}, false},
-		"changed before":           {first, second, []string{event(1), changed}, numbered(3), true},
-		"changed back":             {first, first, []string{event(1), changed}, numbered(3), false},
-		"changed within it":        {first, first, numbered(1), []string{event(2), "version: 2\n" + event(3)}, true},
+	for what, c := range map[string]continuation{
+		"same":                  {first, first, numberedEvents(1), numberedEvents(2, 3), true},
+		"unknown":               {first, eventStreamHeader, numberedEvents(1), numberedEvents(2, 3), true},
+		"unknown before":        {eventStreamHeader, second, numberedEvents(1), numberedEvents(2, 3), true},
+		"others":                {first, second, numberedEvents(1), numberedEvents(2, 3), false},
+		"others from its event": {first, first, numberedEvents(1), []string{changed, event(3)}, false},
+		"changed before":        {first, second, []string{event(1), changed}, numberedEvents(3), true},
+		"changed back":          {first, first, []string{event(1), changed}, numberedEvents(3), false},
+		"changed within it":     {first, first, numberedEvents(1), []string{event(2), "version: 2\n" + event(3)}, true},
 	} {
 		t.Run(what, c.check)
 	}
 }
 
 // Guards against a stream that is continued by something else than events.
-func TestStreamGoesOnAsAStream(t *testing.T) {
-	for what, c := range map[string]continued{
-		"text":                 {eventStream, "Content-Type: text/plain\r\n", numbered(1), []string{"out of memory\n\n"}, false},
-		"JSON":                 {eventStream, "Content-Type: application/json\r\n", numbered(1), []string{"{}\n\n"}, false},
-		"no type":              {eventStream, "", numbered(1), []string{"out of memory\n\n"}, false},
-		"with a character set": {eventStream, "Content-Type: Text/Event-Stream; charset=utf-8\r\n", numbered(1), numbered(2), true},
+func TestStreamContinuesWithItsMediaType(t *testing.T) {
+	for what, c := range map[string]continuation{
+		"text":                 {eventStreamHeader, "Content-Type: text/plain\r\n", numberedEvents(1), []string{"out of memory\n\n"}, false},
+		"JSON":                 {eventStreamHeader, "Content-Type: application/json\r\n", numberedEvents(1), []string{"{}\n\n"}, false},
+		"no type":              {eventStreamHeader, "", numberedEvents(1), []string{"out of memory\n\n"}, false},
+		"with a character set": {eventStreamHeader, "Content-Type: Text/Event-Stream; charset=utf-8\r\n", numberedEvents(1), numberedEvents(2), true},
 	} {
 		t.Run(what, c.check)
 	}
 }
 
-// Guards against events that come twice, as the upstream that goes on can't know which one was the last.
-func TestStreamIsNotResumedBehindAnEventWithoutID(t *testing.T) {
-	for what, c := range map[string]continued{
-		"none has one":       {eventStream, eventStream, []string{"data: e1\n\n"}, []string{"data: e1\n\n", "data: e2\n\n"}, false},
-		"the last has none":  {eventStream, eventStream, []string{event(1), "data: e2\n\n"}, []string{"id: 2\ndata: e2\n\n"}, false},
-		"the last has one":   {eventStream, eventStream, []string{event(1), "data: e2\n\n", event(2)}, numbered(3), true},
-		"only a comment out": {eventStream, eventStream, []string{": hello\n\n"}, numbered(1, 2), true},
+// Guards against duplicate events: the upstream that resumes can't know which event was the last.
+func TestStreamIsNotResumedAfterAnEventWithoutID(t *testing.T) {
+	for what, c := range map[string]continuation{
+		"none has one":        {eventStreamHeader, eventStreamHeader, []string{"data: e1\n\n"}, []string{"data: e1\n\n", "data: e2\n\n"}, false},
+		"the last has none":   {eventStreamHeader, eventStreamHeader, []string{event(1), "data: e2\n\n"}, []string{"id: 2\ndata: e2\n\n"}, false},
+		"the last has one":    {eventStreamHeader, eventStreamHeader, []string{event(1), "data: e2\n\n", event(2)}, numberedEvents(3), true},
+		"only a comment sent": {eventStreamHeader, eventStreamHeader, []string{": hello\n\n"}, numberedEvents(1, 2), true},
 	} {
 		t.Run(what, c.check)
 	}
 }
 
-// Guards against a hedge that sends events again which the silent upstream has sent without ids.
-func TestStreamIsNotHedgedBehindAnEventWithoutID(t *testing.T) {
+// Guards against a hedge that repeats events which the silent upstream has sent without ids.
+func TestStreamIsNotHedgedAfterAnEventWithoutID(t *testing.T) {
 	pauses := func(_ int, id string, conn net.Conn) bool {
 		say(conn, streamHead(id)+chunked("data: e1\n\n"))
 		time.Sleep(silence)
 		say(conn, chunked("data: e2\n\n")+lastChunk)
 		return true
 	}
-	w := firstThen(t, pauses, sends("data: e1\n\n", "data: e2\n\n"))
+	w := firstThen(t, pauses, streamsEvents("data: e1\n\n", "data: e2\n\n"))
 	got := w.ask(t, "/stream/1", "r1")
 	must.False(t, got.broken)
 	must.Eq(t, "data: e1\n\ndata: e2\n\n", got.body)
 	must.Eq(t, 1, runs(w.upstreams))
 }
 
-// Guards against streams of another status than 200 that aren't looked at, or are held back until they end.
-func TestStreamOfAnySuccessIsAStream(t *testing.T) {
+// Guards against streams with another status than 200 that aren't checked, or are held back until they end.
+func TestEventStreamOfAnySuccessStatusIsAStream(t *testing.T) {
 	for _, status := range []string{"201 Created", "202 Accepted", "206 Partial Content"} {
 		t.Run(status, func(t *testing.T) {
 			t.Parallel()
 			release := make(chan struct{})
 			u := newUpstream(t, "u", func(_ int, id string, conn net.Conn) bool {
-				say(conn, "HTTP/1.1 "+status+"\r\nId: "+id+"\r\nSeal: x\r\n"+eventStream+"Transfer-Encoding: chunked\r\n\r\n"+chunked(event(1)))
+				say(conn, "HTTP/1.1 "+status+"\r\nId: "+id+"\r\nSeal: x\r\n"+eventStreamHeader+"Transfer-Encoding: chunked\r\n\r\n"+chunked(event(1)))
 				<-release
 				say(conn, chunked(event(2))+chunked(event(4))+lastChunk)
 				return true
@@ -329,7 +329,7 @@
 			first := make([]byte, len(event(1)))
 			_, err = io.ReadFull(res.Body, first)
 			must.NoError(t, err)
-			must.True(t, timer.Stop(), must.Sprint("held back"))
+			must.True(t, timer.Stop(), must.Sprint("the first event is held back"))
 			close(release)
 			_, err = io.ReadAll(res.Body)
 			must.Error(t, err)
@@ -348,8 +348,8 @@
 	must.Eq(t, "{}", got.body)
 }
 
-// Guards against a reply that ends, after a pause, while a hedge is under way, and is cut or gets the hedge's events
-// as well.
+// Guards against a reply that ends, after a pause, beside its hedge, and is cut or gets the hedge's events as
+// well.
 func TestStreamThatEndsBesideItsHedgeIsComplete(t *testing.T) {
 	hedged := make(chan struct{})
 	pauses := func(_ int, id string, conn net.Conn) bool {
@@ -361,7 +361,7 @@
 	slow := func(n int, id string, conn net.Conn) bool {
 		close(hedged)
 		time.Sleep(silence)
-		return sends(numbered(2, 3)...)(n, id, conn)
+		return streamsEvents(numberedEvents(2, 3)...)(n, id, conn)
 	}
 	got := firstThen(t, pauses, slow).ask(t, "/stream/1", "r1")
 	must.False(t, got.broken)
--- a/internal/relayer/crash.go
+++ b/internal/relayer/crash.go
@@ -54,7 +54,7 @@
 // EventPassed counts an event of the reply that the present attempt gets.
 func (l *Relayer) EventPassed(j *Job) {
 	if j.events == 0 {
-		j.begunAt = l.Clock.Now()
+		j.firstEventAt = l.Clock.Now()
 	}
 	j.delivered++
 	if j.events++; j.events == survivedEvents {
@@ -67,7 +67,7 @@
 	if l.Localizer == nil || len(j.Parts) == 0 {
 		return
 	}
-	began := j.begunAt
+	began := j.firstEventAt
 	if began.IsZero() {
 		began = l.Clock.Now()
 	}
--- a/internal/relayer/cut_reply_test.go
+++ b/internal/relayer/cut_reply_test.go
@@ -14,7 +14,7 @@
 	"github.com/oriolecroft/oriolecroft/internal/bodyreader/bodyreadertest"
 )
 
-// framing is how a reply shows where it ends.
+// framing is how a reply marks its end.
 type framing string
 
 const (
@@ -25,7 +25,7 @@
 
 var framings = []framing{byLength, byChunks, byConnection}
 
-// ending is what an upstream does behind the last byte that it sends.
+// ending is what an upstream does after the last byte that it sends.
 type ending string
 
 const (
@@ -33,14 +33,14 @@
 	closes ending = "closes"
 	// resetsAfter resets the connection.
 	resetsAfter ending = "resets"
-	// ends marks the end of the reply, as if what was sent were all of it.
+	// ends marks the end of the reply, as if it had been sent whole.
 	ends ending = "ends"
 )
 
 // reply is a stream of events as an upstream sends it.
 type reply struct {
 	framing framing
-	// whole is the body that the reply should have, sent the part of it that is sent.
+	// whole is the complete body of the reply, sent the part of it that is sent.
 	whole, sent string
 	ending      ending
 }
@@ -77,7 +77,7 @@
 	return true
 }
 
-// events are those from one number up to and without another.
+// events returns the events from up to, but without, to.
 func events(from, to int) string {
 	var b strings.Builder
 	for i := from; i < to; i++ {
@@ -86,10 +86,10 @@
 	return b.String()
 }
 
-// streamLength is how many events a whole stream of these tests has.
+// streamLength is the number of events in a whole stream of these tests.
 const streamLength = 4
 
-// cutPoints are places at which a stream that begins with an event may break off.
+// cutPoints returns what is sent of a stream from an event on that breaks off.
 func cutPoints(from int) map[string]string {
 	return map[string]string{
 		"before any event":      "",
@@ -100,8 +100,8 @@
 	}
 }
 
-// cutStreams calls f with each way in which a stream may break off.
-func cutStreams(t *testing.T, f func(t *testing.T, cut func(from int) reply)) {
+// forEachCut calls f with each way in which a stream may break off.
+func forEachCut(t *testing.T, f func(t *testing.T, cut func(from int) reply)) {
 	for _, framing := range framings {
 		for _, ending := range []ending{closes, resetsAfter, ends} {
 			for point, sent := range cutPoints(0) {
@@ -120,9 +120,9 @@
 	}
 }
 
-// Guards against a cut stream that ends as complete where nobody may go on with it.
+// Guards against a cut stream that ends as complete where it may not be resumed.
 func TestCutStreamIsNotCompletedWithoutResuming(t *testing.T) {
-	cutStreams(t, func(t *testing.T, cut func(int) reply) {
+	forEachCut(t, func(t *testing.T, cut func(int) reply) {
 		u := newUpstream(t, "u", func(_ int, id string, conn net.Conn) bool { return cut(0).write(id, conn) })
 		got := newWorld(t, u).ask(t, "/draft/1", "r1")
 		if got.status == http.StatusOK {
@@ -135,9 +135,9 @@
 	})
 }
 
-// Guards against a cut stream that is completed, or given up, though another upstream can go on with it.
-func TestCutStreamIsResumedWhereItBrokeOff(t *testing.T) {
-	cutStreams(t, func(t *testing.T, cut func(int) reply) {
+// Guards against a cut stream that is ended as complete, or given up, though another upstream can resume it.
+func TestCutStreamIsResumedAfterItsLastEvent(t *testing.T) {
+	forEachCut(t, func(t *testing.T, cut func(int) reply) {
 		var first once
 		answer := func(name string) func(int, string, net.Conn) bool {
 			return func(_ int, id string, conn net.Conn) bool {
@@ -161,7 +161,7 @@
 
 // Guards against a stream that was moved, cut again and then ended as complete.
 func TestStreamCutTwiceIsNotCompleted(t *testing.T) {
-	cutStreams(t, func(t *testing.T, cut func(int) reply) {
+	forEachCut(t, func(t *testing.T, cut func(int) reply) {
 		var first once
 		answer := func(name string) func(int, string, net.Conn) bool {
 			return func(_ int, id string, conn net.Conn) bool {
@@ -181,8 +181,7 @@
 	})
 }
 
-// Guards against whole streams that are refused for their framing, their line ends or what stands beside
-// their events.
+// Guards against whole streams that are refused for their framing, their line ends or data beside their events.
 func TestWholeStreamIsPassedOn(t *testing.T) {
 	bodies := map[string]string{
 		"events":              events(0, streamLength),
@@ -224,9 +223,9 @@
 	}
 }
 
-// Guards against a moved stream that is cut because its second part isn't as long as the first upstream
-// announced for its own.
-func TestMovedStreamIsNotHeldToItsFirstLength(t *testing.T) {
+// Guards against a moved stream that is cut because its second part differs from the first upstream's stated
+// length.
+func TestMovedStreamIgnoresItsFirstContentLength(t *testing.T) {
 	var first once
 	answer := func(name string) func(int, string, net.Conn) bool {
 		return func(_ int, id string, conn net.Conn) bool {
@@ -237,24 +236,24 @@
 		}
 	}
 	w := newWorld(t, newUpstream(t, "a", answer("a")), newUpstream(t, "b", answer("b")))
-	w.relayer.Codec = lengthReturning{}
+	w.relayer.Codec = lengthKeepingCodec{}
 	got := w.ask(t, "/stream/1", "r1")
 	must.False(t, got.broken)
 	must.Eq(t, events(0, 2), got.body)
 }
 
-// lengthReturning is a codec that hands an upstream's length on.
-type lengthReturning struct{ codec }
+// lengthKeepingCodec passes an upstream's length on.
+type lengthKeepingCodec struct{ codec }
 
-func (lengthReturning) Returned(h http.Header) http.Header { return h.Clone() }
+func (lengthKeepingCodec) Returned(h http.Header) http.Header { return h.Clone() }
 
-// plainReply is a reply without a length or chunks.
+// plainReply returns a reply without a length or chunks.
 func plainReply(id, body string) string {
 	return "HTTP/1.1 200 OK\r\nId: " + id + "\r\nSeal: x\r\n\r\n" + body
 }
 
-// Guards against plain replies without a length that are refused though whole, or passed on as whole
-// though reset.
+// Guards against plain replies without a length that are refused though whole, or passed on as whole though
+// reset.
 func TestPlainReplyWithoutLength(t *testing.T) {
 	for name, size := range map[string]int{"empty": 0, "short": 700, "buffered": 256 << 10, "long": 900 << 10} {
 		body := strings.Repeat("x", size)
@@ -279,7 +278,7 @@
 			got := newWorld(t, u).ask(t, "/once/1", "r1")
 			must.True(t, got.broken || got.status == http.StatusBadGateway, must.Sprintf("status %d, %d bytes", got.status, len(got.body)))
 		})
-		t.Run(name+"/reset and asked again", func(t *testing.T) {
+		t.Run(name+"/reset and retried", func(t *testing.T) {
 			t.Parallel()
 			var first once
 			answer := func(name string) func(int, string, net.Conn) bool {
@@ -293,7 +292,7 @@
 				}
 			}
 			got := newWorld(t, newUpstream(t, "a", answer("a")), newUpstream(t, "b", answer("b"))).ask(t, "/safe/1", "r1")
-			// A long reply has been handed on in part and can't be taken back.
+			// A long reply has been passed on in part and can't be taken back.
 			if !got.broken {
 				must.Eq(t, http.StatusOK, got.status)
 				must.True(t, body == got.body, must.Sprintf("%d bytes", len(got.body)))
@@ -303,7 +302,7 @@
 }
 
 // Guards against a stream on a plain route that is passed on as whole though it ends inside an event.
-func TestCutStreamOnAPlainRouteIsNoSuccess(t *testing.T) {
+func TestCutStreamOnAPlainRouteIsAFailure(t *testing.T) {
 	for _, framing := range framings {
 		t.Run(string(framing), func(t *testing.T) {
 			u := newUpstream(t, "u", func(_ int, id string, conn net.Conn) bool {
@@ -314,9 +313,9 @@
 	}
 }
 
-// Guards against a reset that only the sending of a long request notices, so that the reply's part passes
-// for the whole.
-func TestResetDuringALongRequestIsNoEnd(t *testing.T) {
+// Guards against a reset that only the sending of a long request notices, so that part of the reply passes for
+// the whole.
+func TestResetDuringALongRequestIsNotTheEndOfTheReply(t *testing.T) {
 	l := bodyreadertest.ResetEarly(t, func(header string) string {
 		_, id, _ := strings.Cut(header, "\r\nId: ")
 		id, _, _ = strings.Cut(id, "\r\n")
@@ -333,7 +332,7 @@
 	must.Zero(t, whole, must.Sprintf("of %d cut replies", tries))
 }
 
-// Guards against a cut reply that passes for whole with a caller that knows no chunks.
+// Guards against a cut reply that passes for whole with a caller that doesn't support chunks.
 func TestCutStreamIsResetForACallerWithoutChunks(t *testing.T) {
 	u := newUpstream(t, "u", func(_ int, id string, conn net.Conn) bool {
 		say(conn, streamHead(id)+chunked(event(0)))
--- a/internal/relayer/engine.go
+++ b/internal/relayer/engine.go
@@ -52,8 +52,8 @@
 	if err != nil {
 		return nil, err
 	}
-	if late := p.checkTimeLeft(j, leastTime(s.Engine, j)); late != nil {
-		return nil, p.refuse(j, late)
+	if late := p.checkTimeLeft(j, unloadedTime(s.Engine, j)); late != nil {
+		return nil, p.shutdownRefusal(j, late)
 	}
 	if err := p.checkCanEnd(s.Engine, j); err != nil {
 		return nil, err
@@ -94,7 +94,7 @@
 		}
 		if late != nil {
 			if met.EndsLate == firstAsked {
-				return nil, p.refuse(j, late)
+				return nil, p.shutdownRefusal(j, late)
 			}
 			endsLate = late
 			continue
@@ -145,7 +145,7 @@
 			return place, nil
 		}
 		if late != nil {
-			return nil, p.refuse(j, late)
+			return nil, p.shutdownRefusal(j, late)
 		}
 		p.Chooser.End(w.upstream.ID)
 		if v != nil && v.Closed == "" && !v.EndsLate {
@@ -159,7 +159,7 @@
 		return nil, ctx.Err()
 	}
 	if endsLate != nil {
-		return nil, p.refuse(j, endsLate)
+		return nil, p.shutdownRefusal(j, endsLate)
 	}
 	if met.CallerLeaves > 0 && free == 0 && opens == 0 && met.Silent+met.Unasked+met.Connections == 0 {
 		return nil, p.refuseLate(j)
--- a/internal/relayer/entry_ends_test.go
+++ b/internal/relayer/entry_ends_test.go
@@ -11,8 +11,8 @@
 	"github.com/shoenig/test/must"
 )
 
-// Guards against requests that are cut as their entry ends and get no status, or one that is no promise though they
-// have not run.
+// Guards against requests that are cut as their entry ends and get no status, or not the one that means they did
+// not run.
 func TestRequestCutAsTheEntryEndsIsAnswered(t *testing.T) {
 	for name, tt := range map[string]struct {
 		after  time.Duration
@@ -27,9 +27,9 @@
 			r := httptest.NewRequestWithContext(ctx, http.MethodPost, "/draft/1", nil)
 			r.Host, r.Header = "127.0.0.1", http.Header{"Id": {"r1"}, "Key": {"k"}}
 			if tt.after == 0 {
-				cut(errors.New("grace is over"))
+				cut(errors.New("grace period over"))
 			} else {
-				time.AfterFunc(tt.after, func() { cut(errors.New("grace is over")) })
+				time.AfterFunc(tt.after, func() { cut(errors.New("grace period over")) })
 			}
 			a := httptest.NewRecorder()
 			w.relayer.ServeHTTP(a, r)
--- a/internal/relayer/first_event.go
+++ b/internal/relayer/first_event.go
@@ -9,7 +9,7 @@
 	"github.com/oriolecroft/oriolecroft/internal/retrier"
 )
 
-// firstEventMargin is how much before its caller leaves a stream without a first event is given up.
+// firstEventMargin is how long before its caller leaves a stream without a first event is given up.
 const firstEventMargin = 200 * time.Millisecond
 
 // FirstEventTimeoutError reports a stream that had no event when its caller was about to leave.
@@ -17,9 +17,9 @@
 
 func (e *FirstEventTimeoutError) Error() string { return fmt.Sprintf("no event within %v", e.After) }
 
-// limitFirstEvent gives a stream up that has no event shortly before its caller leaves. Held at an
-// engine on a frozen VM the caller would leave without an answer, and the engine would begin its
-// request when the VM wakes. The returned context ends then; stop ends the limit.
+// limitFirstEvent gives up a stream without an event shortly before its caller leaves. At an engine on a frozen
+// VM the caller would otherwise leave without an answer, and the engine would start the request when the VM
+// resumes. The returned context ends at the limit; stop removes it.
 func (c *call) limitFirstEvent(ctx context.Context) (limited context.Context, stop func()) {
 	if c.Route.Kind != matcher.Streaming || c.Route.EventTimeout <= 0 {
 		return ctx, func() {}
@@ -34,9 +34,8 @@
 	}
 }
 
-// beginReply takes the limit off, as the reply goes to the caller now. It fails if the request has
-// been given up.
-func (c *call) beginReply(x *exchange) error {
+// startReply removes the limit because the reply starts. It fails if the request has been given up.
+func (c *call) startReply(x *exchange) error {
 	if c.firstEventTimer == nil || c.firstEventTimer.Stop() {
 		c.firstEventTimer = nil
 		return nil
--- a/internal/relayer/frozen_test.go
+++ b/internal/relayer/frozen_test.go
@@ -175,7 +175,7 @@
 	// full is before engines whose agents grant: the second takes nothing.
 	full := func(f *freezing) func(t *testing.T) (*world, *freezing) {
 		return func(t *testing.T) (*world, *freezing) {
-			return engines(t, f.answer("engine"), openLedger(12), closedLedger("full")).resumable(true), f
+			return newEngineWorld(t, f.answer("engine"), openLedger(12), closedLedger("full")).resumable(true), f
 		}
 	}
 	return map[string]func(t *testing.T) (*world, *freezing){
@@ -260,7 +260,7 @@
 	f := freezeAt(beforeHeader)
 	f.came, f.closed, f.bothFreeze = make(chan time.Time, 100), make(chan time.Time, 100), true
 	ledgers := []*scheduler.Ledger{openLedger(12), openLedger(12)}
-	w := engines(t, f.answer("engine"), ledgers...).resumable(true).impatient()
+	w := newEngineWorld(t, f.answer("engine"), ledgers...).resumable(true).impatient()
 	answered := make(chan error)
 	for i := range 12 {
 		c := w.call(t, "/draft/", fmt.Sprintf("r%d", i), "", "order", "")
--- a/internal/relayer/given_up_test.go
+++ b/internal/relayer/given_up_test.go
@@ -76,7 +76,7 @@
 func TestRequestKeptBackSaysNothingOfItsUpstream(t *testing.T) {
 	for _, path := range []string{"/stream/", "/brief/"} {
 		t.Run(path, func(t *testing.T) {
-			w := newWorld(t, newUpstream(t, "u1", streams)).impatient()
+			w := newWorld(t, newUpstream(t, "u1", streamsOneEvent)).impatient()
 			w.relayer.Pool.Opened = func() { time.Sleep(callerGap) }
 			a := w.ask(t, path, "r1")
 			must.Eq(t, 503, a.status)
@@ -106,7 +106,7 @@
 // Guards against an entry that stays without the age of an announcement that it found in the store,
 // although others tell it.
 func TestStartedEntryLearnsSinceWhenFromAnother(t *testing.T) {
-	w := oldEngines(t, clock.RealClock{}, 1, streams, direct)
+	w := oldEngines(t, clock.RealClock{}, 1, streamsOneEvent, direct)
 	name(w.registrar, 2)
 	other := w.registrar
 	w.restart()
@@ -120,7 +120,7 @@
 // Guards against answers that come sooner than they should: a caller that takes a while to send its
 // body has not waited for a first event meanwhile.
 func TestSlowBodyTakesNothingOffTheWaitForAnEvent(t *testing.T) {
-	w := newWorld(t, newUpstream(t, "u1", streams)).impatient()
+	w := newWorld(t, newUpstream(t, "u1", streamsOneEvent)).impatient()
 	conn, err := net.Dial("tcp", w.Listener.Addr().String())
 	must.NoError(t, err)
 	defer conn.Close()
--- a/internal/relayer/hedge.go
+++ b/internal/relayer/hedge.go
@@ -19,13 +19,13 @@
 	place     *Place
 	startedAt time.Time
 	cancel    context.CancelFunc
-	// done is closed once reply or err is set, and ended once the hedge touches no connection any more.
+	// done is closed once reply or err is set, and ended once the hedge uses no connection.
 	done, ended chan struct{}
 	reply       *receivedReply
 	err         error
 }
 
-// OvertakenError reports an attempt that was given up as another upstream delivered first.
+// OvertakenError reports an attempt that was given up because another upstream delivered first.
 type OvertakenError struct{ By string }
 
 func (e *OvertakenError) Error() string { return "overtaken by " + e.By }
@@ -35,14 +35,14 @@
 
 func (e *PanicError) Error() string { return fmt.Sprintf("panic: %v", e.Value) }
 
-// startHedge makes another attempt at a place, beside the one under way, which is woken when it is over.
+// startHedge starts another attempt beside the current one, and calls wake when it has finished.
 func (c *call) startHedge(ctx context.Context, place *Place, wake func()) {
 	c.count("hedges.started")
 	ctx, cancel := context.WithCancel(ctx)
 	h := &hedge{place: place, startedAt: time.Now(), cancel: cancel, done: make(chan struct{}), ended: make(chan struct{})}
-	c.hedge, c.next = h, place
+	c.hedge, c.nextPlace = h, place
 	r := c.newReception(place)
-	// The attempt beside it is as good as failed here: a blamed part must not go to two upstreams.
+	// The attempt beside it counts as failed: a blamed part must not go to two upstreams.
 	r.hedged, r.failed = true, true
 	go func() {
 		defer close(h.ended)
@@ -52,19 +52,20 @@
 	}()
 }
 
-// receive gets the beginning of the reply. A panic would end the whole process, as this isn't the handler's goroutine.
+// receive receives the start of the reply. It recovers panics, which would end the process outside the handler's
+// goroutine.
 func (h *hedge) receive(ctx context.Context, r *reception) {
 	defer func() {
 		if value := recover(); value != nil {
-			klog.InfoS("Hedge panicked", "request", r.c.ID, "err", value, "stack", string(debug.Stack()))
+			klog.InfoS("Hedge panicked", "request", r.call.ID, "err", value, "stack", string(debug.Stack()))
 			h.err = &SendError{Upstream: h.place.Upstream.ID, Outcome: retrier.Unknown, Err: &PanicError{Value: value}}
 		}
 	}()
 	h.reply, h.err = r.receive(ctx)
 }
 
-// over tells whether the hedge has a reply or has failed.
-func (h *hedge) over() bool {
+// finished reports whether the hedge has a reply or has failed.
+func (h *hedge) finished() bool {
 	select {
 	case <-h.done:
 		return true
@@ -73,8 +74,8 @@
 	}
 }
 
-// overSoon is over once the hedge has read what has arrived.
-func (h *hedge) overSoon() bool {
+// finishedSoon is finished after a short wait for data that has arrived.
+func (h *hedge) finishedSoon() bool {
 	select {
 	case <-h.done:
 		return true
@@ -83,19 +84,19 @@
 	}
 }
 
-// drop makes a reply with the upstream's own failure the hedge's error.
-func (h *hedge) drop() {
+// discardFailure replaces a reply with the upstream's own failure by an error.
+func (h *hedge) discardFailure() {
 	if h.err != nil {
 		return
 	}
-	if err := h.reply.x.failure(); err != nil {
-		h.reply.x.abandon()
+	if err := h.reply.exchange.failure(); err != nil {
+		h.reply.exchange.abandon()
 		h.reply, h.err = nil, err
 	}
 }
 
-// takeHedge gives the hedge that has a place, as the attempt that goes on; nil if there is none.
-func (c *call) takeHedge(place *Place) *hedge {
+// adoptHedge returns the hedge at a place, which becomes the current attempt; nil if there is none.
+func (c *call) adoptHedge(place *Place) *hedge {
 	h := c.hedge
 	if h == nil || h.place != place {
 		return nil
@@ -105,51 +106,51 @@
 	return h
 }
 
-// await waits for the beginning of the reply to a hedge that goes on as the attempt. While that is silent another
-// hedge is made beside it. Errors are *SendError.
-func (c *call) await(ctx context.Context, h *hedge) error {
-	var look <-chan time.Time
+// awaitHedge waits for the start of the reply to a hedge that became the current attempt. While it is silent
+// another hedge is made beside it. Errors are *SendError.
+func (c *call) awaitHedge(ctx context.Context, h *hedge) error {
+	var check <-chan time.Time
 	if c.mayRepeat() {
-		look = time.After(time.Until(h.startedAt.Add(c.beginWithin(h.place))))
+		check = time.After(time.Until(h.startedAt.Add(c.beginWithin(h.place))))
 	}
-	woken := make(chan struct{}, maxSends)
+	wakeups := make(chan struct{}, maxSends)
 	for {
 		select {
 		case <-h.done:
 			return h.err
-		case <-look:
-			if h.overSoon() {
+		case <-check:
+			if h.finishedSoon() {
 				return h.err
 			}
-		case <-woken:
+		case <-wakeups:
 		}
-		if !c.waitsOn(ctx, h.place, func() { woken <- struct{}{} }) {
-			return c.giveUp(h)
+		if !c.keepWaiting(ctx, h.place, func() { wakeups <- struct{}{} }) {
+			return c.abandonHedge(h)
 		}
-		look = time.After(stallRetry)
+		check = time.After(stallCheckInterval)
 	}
 }
 
-// giveUp ends a hedge that went on as the attempt, as another one has a reply.
-func (c *call) giveUp(h *hedge) error {
+// abandonHedge ends a hedge that became the current attempt, as another one has a reply.
+func (c *call) abandonHedge(h *hedge) error {
 	h.cancel()
 	<-h.ended
 	if h.reply != nil {
-		h.reply.x.abandon()
+		h.reply.exchange.abandon()
 	}
 	return &SendError{Upstream: h.place.Upstream.ID, Outcome: h.outcome(), Silence: time.Since(h.startedAt),
 		Err: &OvertakenError{By: c.hedge.place.Upstream.ID}}
 }
 
-// cancelHedge ends the hedge, if there is one, as its request is over or the first upstream goes on.
+// cancelHedge ends the hedge, if there is one, as its request is over or the first upstream continues.
 func (c *call) cancelHedge() {
 	h := c.hedge
 	if h == nil {
 		return
 	}
-	if h.over() {
-		if h.drop(); h.err != nil {
-			c.hedgeFailed(h)
+	if h.finished() {
+		if h.discardFailure(); h.err != nil {
+			c.recordHedgeFailure(h)
 			return
 		}
 	}
@@ -162,7 +163,7 @@
 	}
 }
 
-// outcome is what is known of whether a hedge that has ended ran the request.
+// outcome is the outcome of a hedge that has ended.
 func (h *hedge) outcome() retrier.Outcome {
 	var s *SendError
 	if errors.As(h.err, &s) {
@@ -171,31 +172,32 @@
 	return retrier.Unknown
 }
 
-// hedgeFailed notes a hedge that failed while the first upstream is still silent.
-func (c *call) hedgeFailed(h *hedge) {
+// recordHedgeFailure records a hedge that failed while the first upstream is still silent.
+func (c *call) recordHedgeFailure(h *hedge) {
 	c.count("hedges.failed")
 	c.judge(h.place, h.err)
-	c.note(&c.Job, h.place, h.err, 0)
+	c.recordFailure(&c.Job, h.place, h.err, 0)
 	c.endHedge(h)
 }
 
-// endHedge waits until an unused hedge is over, keeps further attempts from its upstream and frees its place.
+// endHedge waits until an unused hedge has ended, excludes its upstream from further attempts and releases its
+// place.
 func (c *call) endHedge(h *hedge) {
 	c.hedge = nil
 	<-h.ended
 	if h.reply != nil {
-		h.reply.x.abandon()
+		h.reply.exchange.abandon()
 	}
 	h.cancel()
 	c.sends++
 	c.Tried = append(c.Tried, h.place.Upstream.ID)
-	c.giveBack()
+	c.releaseNextPlace()
 }
 
-// overtaken tells the end of an attempt for which a hedge has a reply from other errors.
-func (c *call) overtaken(err error) error {
+// wrapOvertaken marks the end of an attempt for which a hedge has a reply.
+func (c *call) wrapOvertaken(err error) error {
 	var s *SendError
-	if c.hedge == nil || !c.hedge.over() || !errors.As(err, &s) || !errors.Is(err, os.ErrDeadlineExceeded) {
+	if c.hedge == nil || !c.hedge.finished() || !errors.As(err, &s) || !errors.Is(err, os.ErrDeadlineExceeded) {
 		return err
 	}
 	return &SendError{Upstream: s.Upstream, Outcome: s.Outcome, Silence: s.Silence, Err: &OvertakenError{By: c.hedge.place.Upstream.ID}}
--- a/internal/relayer/late_begin_test.go
+++ b/internal/relayer/late_begin_test.go
@@ -32,7 +32,7 @@
 // oldEnginesOf is oldEngines with ledgers of the agents.
 func oldEnginesOf(t *testing.T, c clock.PassiveClock, ledgers []*scheduler.Ledger, answer func(int, string, net.Conn) bool, address func(*upstream) string) *world {
 	t.Helper()
-	w := engines(t, answer, ledgers...)
+	w := newEngineWorld(t, answer, ledgers...)
 	addresses := map[string]netip.AddrPort{}
 	for _, u := range w.upstreams {
 		addresses[u.name] = netip.MustParseAddrPort(address(u))
@@ -197,7 +197,7 @@
 	// The timer that gives the request up and the write race with each other.
 	for range 10 {
 		c := clocktest.NewFakeClock(time.Now())
-		w := oldEngines(t, c, 1, streams, direct)
+		w := oldEngines(t, c, 1, streamsOneEvent, direct)
 		name(w.registrar, 2)
 		w.relayer.Pool.Opened = func() { c.Step(weightsBound + time.Second) }
 		w.ask(t, "/draft/", "r1")
--- a/internal/relayer/left_test.go
+++ b/internal/relayer/left_test.go
@@ -14,27 +14,27 @@
 	"github.com/oriolecroft/oriolecroft/internal/relayer"
 )
 
-// leaving is the road to an agent that grants each place just as the caller leaves.
-type leaving struct {
+// leavingAgent grants each slot just as the caller leaves.
+type leavingAgent struct {
 	leave context.CancelFunc
 	ended []string
 }
 
-func (a *leaving) Reserve(ctx context.Context, _ messenger.Reservation) (messenger.Verdict, error) {
+func (a *leavingAgent) Reserve(ctx context.Context, _ messenger.Reservation) (messenger.Verdict, error) {
 	a.leave()
 	return messenger.Verdict{}, ctx.Err()
 }
 
-func (a *leaving) Tell(p messenger.Progress) { a.ended = append(a.ended, p.Ended...) }
+func (a *leavingAgent) Tell(p messenger.Progress) { a.ended = append(a.ended, p.Ended...) }
 
-// A caller leaves just while its entry asks an agent for a place, and the agent grants one.
-// Nobody will use it. If the agent isn't told, the place stays taken for as long as the caller
-// would have waited, and others are refused meanwhile.
-func TestPlaceOfACallerThatLeftIsGivenBack(t *testing.T) {
+// Guards against a leaked slot when a caller leaves while its entry asks an agent for one and the agent grants
+// it. Unless the agent is informed, the slot stays taken for the caller's whole time limit, and others are
+// refused meanwhile.
+func TestSlotOfACallerThatLeftIsReleased(t *testing.T) {
 	c := clocktest.NewFakeClock(time.Unix(1000, 0))
 	p, table := newPlacer(c, 0, 1)
 	ctx, leave := context.WithCancel(t.Context())
-	agent := &leaving{leave: leave}
+	agent := &leavingAgent{leave: leave}
 	p.Reach = func(netip.AddrPort) relayer.Agent { return agent }
 	j := &relayer.Job{Route: table.Routes[0], Service: "engines", Arrived: c.Now(), Deadline: c.Now().Add(5 * time.Second)}
 	j.ID, j.Model, j.Prompt = "id", "m", 800
--- a/internal/relayer/liveness_test.go
+++ b/internal/relayer/liveness_test.go
@@ -52,8 +52,8 @@
 // Guards against a stream without a length that ends as complete though its upstream died between two events.
 func TestStreamOfADeadUpstreamIsNotCompleted(t *testing.T) {
 	for what, then := range map[string]func(int, string, net.Conn) bool{
-		"draft": sends(numbered(3, 4)...), "no other upstream": refuses, "the other one fails": fails("500 Internal Server Error"),
-		"the other one goes on wrongly": sends(numbered(4)...),
+		"draft": streamsEvents(numberedEvents(3, 4)...), "no other upstream": refuses, "the other one fails": fails("500 Internal Server Error"),
+		"the other one goes on wrongly": streamsEvents(numberedEvents(4)...),
 	} {
 		t.Run(what, func(t *testing.T) {
 			path := "/stream/1"
@@ -70,9 +70,9 @@
 // Guards against a stream without a length that is cut, or ends as complete, though another upstream can go on
 // where the first one died.
 func TestStreamOfADeadUpstreamIsResumed(t *testing.T) {
-	for what, rest := range map[string][]string{"events left": numbered(3, 4), "nothing left": nil} {
+	for what, rest := range map[string][]string{"events left": numberedEvents(3, 4), "nothing left": nil} {
 		t.Run(what, func(t *testing.T) {
-			w := dyingFirst(t, unframed(events(1, 3)), sends(rest...))
+			w := dyingFirst(t, unframed(events(1, 3)), streamsEvents(rest...))
 			got := w.ask(t, "/stream/1", "r1")
 			must.False(t, got.broken)
 			must.Eq(t, events(1, 3)+strings.Join(rest, ""), got.body)
--- a/internal/relayer/memory.go
+++ b/internal/relayer/memory.go
@@ -132,8 +132,8 @@
 // bodySource reads a caller's body, and takes memory for one whose length isn't known as it comes.
 func (c *call) bodySource(limit int64) io.Reader {
 	// The server's own writer learns that the connection has to close behind a body that is too long.
-	body := http.MaxBytesReader(c.out.ResponseWriter, c.r.Body, limit)
-	if c.r.ContentLength >= 0 {
+	body := http.MaxBytesReader(c.writer.ResponseWriter, c.httpRequest.Body, limit)
+	if c.httpRequest.ContentLength >= 0 {
 		return body
 	}
 	return &countedReader{from: body, account: c.account}
@@ -210,6 +210,6 @@
 func (c *call) copyRest(body *bodyreader.Reader) error {
 	buffer := copyBuffers.Get().(*[copyBuffer]byte)
 	defer copyBuffers.Put(buffer)
-	_, err := io.CopyBuffer(c.w, body, buffer[:])
+	_, err := io.CopyBuffer(c.response, body, buffer[:])
 	return err
 }
--- a/internal/relayer/move.go
+++ b/internal/relayer/move.go
@@ -78,7 +78,7 @@
 	if next == nil {
 		return nil
 	}
-	j.next, j.mover.moving = next, true
+	j.nextPlace, j.mover.moving = next, true
 	l.count("moves")
 	moved := &MovedError{To: next.Upstream.ID, Late: ends.Sub(j.Deadline), Gain: ends.Sub(next.Ends)}
 	return &SendError{Upstream: place.Upstream.ID, Outcome: retrier.Ran, Err: moved}
@@ -103,7 +103,7 @@
 	}
 	stride := max(1, e.Stride)
 	left := time.Duration((expected + stride - 1) / stride)
-	ends = now.Add(left * l.perEvent(j, place, now.Sub(j.begunAt)))
+	ends = now.Add(left * l.perEvent(j, place, now.Sub(j.firstEventAt)))
 	return ends, ends.Sub(j.Deadline) > moveMargin
 }
 
@@ -181,7 +181,7 @@
 	if there.After(j.Deadline) || ends.Sub(there) < moveGain {
 		return false
 	}
-	if observed := l.Clock.Since(j.begunAt).Seconds() / float64(j.events-1); observed < moveSpeedup*slowdown*place.event.Seconds() {
+	if observed := l.Clock.Since(j.firstEventAt).Seconds() / float64(j.events-1); observed < moveSpeedup*slowdown*place.event.Seconds() {
 		return false
 	}
 	pause := l.Clock.Since(last) + place.First + moveOverhead
--- a/internal/relayer/move_test.go
+++ b/internal/relayer/move_test.go
@@ -31,7 +31,7 @@
 
 func newUnevenEngines(t *testing.T) *unevenEngines {
 	u := &unevenEngines{left: make(chan struct{})}
-	u.world = engines(t, u.answer, openLedger(12), openLedger(12)).resumable(true)
+	u.world = newEngineWorld(t, u.answer, openLedger(12), openLedger(12)).resumable(true)
 	u.relayer.NotePace(&relayer.Place{Upstream: u.registrar.View().Upstreams[0]}, 1)
 	return u
 }
@@ -40,7 +40,7 @@
 // upstream has stated a pace.
 func TestStreamsStayWhereNoUpstreamStatesAPace(t *testing.T) {
 	u := &unevenEngines{left: make(chan struct{})}
-	u.world = engines(t, u.answer, openLedger(12), openLedger(12)).resumable(true)
+	u.world = newEngineWorld(t, u.answer, openLedger(12), openLedger(12)).resumable(true)
 	must.True(t, u.ask(t).broken)
 	must.Eq(t, 0, u.moves())
 }
--- a/internal/relayer/panic_test.go
+++ b/internal/relayer/panic_test.go
@@ -11,13 +11,13 @@
 	"github.com/oriolecroft/oriolecroft/internal/relayer"
 )
 
-// panicsOn fails while it reads the nth reply's header.
-type panicsOn struct {
+// nthReplyPanicCodec panics on reading the nth reply's header.
+type nthReplyPanicCodec struct {
 	codec
 	replies, n int
 }
 
-func (c *panicsOn) Reply(status int, h http.Header) relayer.Reply {
+func (c *nthReplyPanicCodec) Reply(status int, h http.Header) relayer.Reply {
 	if c.replies++; c.replies == c.n {
 		panic("no such header")
 	}
@@ -28,12 +28,12 @@
 func TestCallerGetsAStatusAfterAPanic(t *testing.T) {
 	for _, path := range []string{"/safe/", "/once/", "/stream/", "/draft/"} {
 		t.Run(path, func(t *testing.T) {
-			w := newWorld(t, newUpstream(t, "u1", streams))
-			w.relayer.Codec = &panicsOn{n: 1}
+			w := newWorld(t, newUpstream(t, "u1", streamsOneEvent))
+			w.relayer.Codec = &nthReplyPanicCodec{n: 1}
 			a := w.ask(t, path, "r1")
 			must.False(t, a.broken)
 			must.Eq(t, http.StatusInternalServerError, a.status)
-			must.Eq(t, "", a.header.Get("Retry-After"), must.Sprint("no promise that it did not run"))
+			must.Eq(t, "", a.header.Get("Retry-After"), must.Sprint("promises that it did not run"))
 			must.Eq(t, 0, w.relayer.Chooser.Running("u1"))
 		})
 	}
@@ -46,11 +46,12 @@
 		return false
 	}
 	w := newWorld(t, newUpstream(t, "u1", breaksOff), newUpstream(t, "u2", breaksOff))
-	w.relayer.Codec = &panicsOn{n: 2}
+	w.relayer.Codec = &nthReplyPanicCodec{n: 2}
 	must.True(t, w.ask(t, "/stream/", "r1").broken)
 }
 
-// Guards against a connection to a hedge's upstream that stays open after a panic, while another attempt goes on.
+// Guards against a connection to a hedge's upstream that stays open after a panic, while another attempt
+// continues.
 func TestConnectionOfAHedgeThatPanickedIsClosed(t *testing.T) {
 	var one, two once
 	closed := make(chan struct{})
@@ -76,6 +77,6 @@
 		}
 	}
 	w := threeAttempts(t, newUpstream(t, "u1", answer("u1")), newUpstream(t, "u2", answer("u2")), newUpstream(t, "u3", answer("u3")))
-	w.relayer.Codec = &panicsOn{n: 1}
+	w.relayer.Codec = &nthReplyPanicCodec{n: 1}
 	must.Eq(t, http.StatusOK, w.ask(t, "/safe/", "r1").status)
 }
--- a/internal/relayer/place.go
+++ b/internal/relayer/place.go
@@ -58,7 +58,7 @@
 	predicted bool
 	// metSilence tells that an agent did not answer this request.
 	metSilence bool
-	tries
+	attemptState
 	// beyond is why engines should take it in beyond their slow start.
 	beyond scheduler.Beyond
 	// left tells that the caller is gone; nil for one that stays.
--- a/internal/relayer/ramp.go
+++ b/internal/relayer/ramp.go
@@ -42,7 +42,7 @@
 // at the engine.
 func (j *Job) judge(place *Place, err error) {
 	var s *SendError
-	if !errors.As(err, &s) || keptBack(err) || isOvertaken(err) || j.left != nil && j.left() {
+	if !errors.As(err, &s) || isLocalFailure(err) || isOvertaken(err) || j.left != nil && j.left() {
 		return
 	}
 	switch {
--- a/internal/relayer/reception.go
+++ b/internal/relayer/reception.go
@@ -13,66 +13,67 @@
 	"github.com/oriolecroft/oriolecroft/internal/retrier"
 )
 
-// maxComments bounds the comments before the event with which another upstream goes on, in bytes.
-const maxComments = 64 << 10
+// maxCommentBytes limits the comments before the event with which another upstream resumes.
+const maxCommentBytes = 64 << 10
 
-// receivedReply is a reply of which nothing has been handed on so far.
+// receivedReply is a reply of which nothing has been relayed yet.
 type receivedReply struct {
-	x     *exchange
-	place *Place
-	// events are those of a stream behind start; nil for a plain reply, which goes on with body.
+	exchange *exchange
+	place    *Place
+	// events reads the stream after start; nil for a plain reply, which continues with body.
 	events *bodyreader.EventReader
 	body   *bodyreader.Reader
-	// sequence is how far a stream has come with the last event read.
+	// sequence is the stream's position after the last event read.
 	sequence sequence
-	// start is the first event of a stream, or the start of a plain body. End is io.EOF if the reply ends with it.
-	start []byte
-	end   error
+	// start is the first event of a stream, or the start of a plain body. endErr is io.EOF if the reply ends with
+	// it.
+	start  []byte
+	endErr error
 }
 
-// reception gets the beginning of a reply. What it uses of its call doesn't change while it is under way, as a
-// hedge's runs beside the call's own goroutine.
+// reception receives the start of a reply. The fields of its call that it uses do not change meanwhile, as a
+// hedge runs beside the goroutine of the call.
 type reception struct {
-	c       *call
+	call    *call
 	place   *Place
 	message message
 	// hedged receptions run beside another attempt.
 	hedged bool
-	// resumes tells that the reply is to go on with a stream that has begun as one of a media type, sequence how
-	// far the caller has it.
-	resumes   bool
+	// resuming reports that the reply has to continue a stream of media type mediaType, of which the caller has
+	// the part up to sequence.
+	resuming  bool
 	mediaType string
 	sequence  sequence
-	// failed tells that an attempt has failed before.
+	// failed reports that an earlier attempt has failed.
 	failed bool
-	// fresh, headerWithin and stalled are those of sendOptions.
+	// fresh, headerWithin and stalled are passed on in sendOptions.
 	fresh        bool
 	headerWithin time.Duration
 	stalled      func(*connection) bool
-	// conn is the connection on which the request was sent, and begun ends the wait for its begin; nil before.
-	conn  *connection
-	begun func()
+	// conn is the connection on which the request was sent, and started ends the wait for its start; nil before.
+	conn    *connection
+	started func()
 }
 
 func (c *call) newReception(place *Place) *reception {
-	// A kept connection may be closed by the upstream just as the request is sent,
-	// and its end is then unknown; what may run only once goes on a new one. Where that has
-	// happened, others that rested as long may be gone as well, at other upstreams too: the
-	// last attempt spent on one of them would end the request although all upstreams are well.
-	r := &reception{c: c, place: place, message: c.message, sequence: c.sequence(), failed: c.failed, fresh: !c.repeatable() || c.reused}
+	// The upstream may close a kept connection just as the request is sent, and the outcome is then unknown;
+	// requests that may run only once use a new one. After such a failure, connections idle as long may be closed
+	// too, also at other upstreams: the last attempt, spent on one, would fail the request although all upstreams
+	// are healthy.
+	r := &reception{call: c, place: place, message: c.message, sequence: c.deliveredSequence(), failed: c.failed, fresh: !c.repeatable() || c.reused}
 	send := Send{Upstream: place.Upstream.ID, Left: c.Deadline.Sub(c.Clock.Now()), Version: place.Version, Priority: c.Priority()}
 	if c.Workspace != nil {
 		send.Workspace = c.Workspace.Name
 	}
 	if c.stream != nil {
-		r.resumes, r.mediaType = true, c.stream.mediaType
-		send.LastEvent = c.stream.sequence.last
+		r.resuming, r.mediaType = true, c.stream.mediaType
+		send.LastEvent = c.stream.sequence.lastID
 	}
-	r.message.header = c.Codec.Outgoing(c.r.Header, send)
+	r.message.header = c.Codec.Outgoing(c.httpRequest.Header, send)
 	return r
 }
 
-// receive sends the request and reads the beginning of its reply. Errors are *SendError.
+// receive sends the request and reads the start of its reply. Errors are *SendError.
 func (r *reception) receive(ctx context.Context) (*receivedReply, error) {
 	panicked := true
 	defer func() {
@@ -80,23 +81,23 @@
 			r.abandon()
 		}
 	}()
-	reply, err := r.exchange(ctx)
+	reply, err := r.sendAndReceive(ctx)
 	panicked = false
 	return reply, err
 }
 
-// abandon ends what a panic has left under way.
+// abandon releases the connection after a panic.
 func (r *reception) abandon() {
 	if r.conn != nil {
-		r.begun()
+		r.started()
 		r.conn.Close()
 	}
 }
 
-// exchange is receive but for panics.
-func (r *reception) exchange(ctx context.Context) (*receivedReply, error) {
-	c, u := r.c, r.place.Upstream
-	o := sendOptions{fresh: r.fresh, headerWithin: r.headerWithin, connections: c.Placer.connections(u), stalled: r.stalled, opened: r.opened}
+// sendAndReceive is receive without panic handling.
+func (r *reception) sendAndReceive(ctx context.Context) (*receivedReply, error) {
+	c, u := r.call, r.place.Upstream
+	o := sendOptions{fresh: r.fresh, headerWithin: r.headerWithin, connections: c.Placer.connections(u), stalled: r.stalled, opened: r.authorizeSend}
 	x, err := c.Pool.send(ctx, c.Codec, u.ID, u.Address, &r.message, c.ID, o)
 	if err != nil {
 		return nil, err
@@ -108,54 +109,54 @@
 		c.Chooser.Heard(u.ID, 0, active)
 		c.Placer.notePlainLoad(&c.Job, &x.reply)
 	}
-	if err := r.usable(x); err != nil {
+	if err := r.checkUsable(x); err != nil {
 		x.abandon()
 		return nil, err
 	}
 	if r.isStream(x) {
-		return r.receiveEvent(x)
+		return r.receiveFirstEvent(x)
 	}
-	return r.receiveStart(ctx, x)
+	return r.receivePlain(ctx, x)
 }
 
-// isStream tells whether a reply is one of events. A 200 on a streaming route has to be.
+// isStream reports whether a reply is an event stream. A 200 on a streaming route has to be one.
 func (r *reception) isStream(x *exchange) bool {
 	status := x.response.StatusCode
-	return r.c.Route.Kind == matcher.Streaming &&
+	return r.call.Route.Kind == matcher.Streaming &&
 		(status == http.StatusOK || status/100 == 2 && x.mediaType() == bodyreader.EventStreamType)
 }
 
-// opened decides whether a request is sent on a connection, and looks after its begin.
-func (r *reception) opened(conn *connection) (begun func(), err error) {
+// authorizeSend decides whether a request is sent on a connection, and watches for its start.
+func (r *reception) authorizeSend(conn *connection) (started func(), err error) {
 	// The slot may have been granted, and the connection opened, long ago.
-	if err := r.c.Placer.withhold(r.place.Upstream); err != nil {
+	if err := r.call.Placer.withhold(r.place.Upstream); err != nil {
 		return nil, err
 	}
-	// This entry may have begun to leave meanwhile.
+	// This entry may have started to shut down meanwhile.
 	if err := r.checkTimeLeft(); err != nil {
 		return nil, err
 	}
 	// A part may have been blamed while the request waited for its slot.
-	if err := r.c.checkPartsOf(r.c.Request, r.failed); err != nil {
+	if err := r.call.checkPartsOf(r.call.Request, r.failed); err != nil {
 		return nil, err
 	}
-	r.c.Localizer.Sent(r.c.ID, r.c.SharedParts())
-	begun, err = r.c.closeUnlessBegun(r.place, conn)
+	r.call.Localizer.Sent(r.call.ID, r.call.SharedParts())
+	started, err = r.call.closeUnlessBegun(r.place, conn)
 	if err == nil {
-		r.conn, r.begun = conn, begun
+		r.conn, r.started = conn, started
 	}
-	return begun, err
+	return started, err
 }
 
-// setGap bounds the wait for the next bytes, unless a hedge or the attempt beside it decides on that.
+// setGap limits the wait for the next bytes, unless a hedge or the attempt beside it decides on that.
 func (r *reception) setGap(x *exchange, d time.Duration) {
-	if !r.hedged && r.c.hedge == nil {
+	if !r.hedged && r.call.hedge == nil {
 		x.setGap(d)
 	}
 }
 
-// receiveStart reads a plain reply whole, or a long one up to bufferedReply.
-func (r *reception) receiveStart(ctx context.Context, x *exchange) (*receivedReply, error) {
+// receivePlain reads a plain reply whole, or a long one up to bufferedReply.
+func (r *reception) receivePlain(ctx context.Context, x *exchange) (*receivedReply, error) {
 	x.begun()
 	r.setGap(x, 0)
 	body := &bodyreader.Reader{Response: x.response}
@@ -164,26 +165,26 @@
 		x.abandon()
 		return nil, x.cutError(err)
 	}
-	reply := &receivedReply{x: x, place: r.place, body: body, start: start}
+	reply := &receivedReply{exchange: x, place: r.place, body: body, start: start}
 	if !ended {
 		return reply, nil
 	}
-	if err := r.c.checkWhole(ctx, x, r.place); err != nil {
+	if err := r.call.checkWhole(ctx, x, r.place); err != nil {
 		x.abandon()
 		return nil, err
 	}
-	reply.end = io.EOF
+	reply.endErr = io.EOF
 	return reply, nil
 }
 
-// receiveEvent reads a stream up to the end of its first event. Comments before the event with which another
-// upstream goes on are read with it, as they don't tell whether it is the right one.
-func (r *reception) receiveEvent(x *exchange) (*receivedReply, error) {
-	if err := r.sequence.begin(x.reply.Version); err != nil {
+// receiveFirstEvent reads a stream up to the end of its first event. Comments before the event with which another
+// upstream resumes are read with it, as they don't show whether it is the right one.
+func (r *reception) receiveFirstEvent(x *exchange) (*receivedReply, error) {
+	if err := r.sequence.acceptVersion(x.reply.Version); err != nil {
 		x.abandon()
 		return nil, &SendError{Upstream: x.upstream, Outcome: retrier.Unknown, Err: err}
 	}
-	events := bodyreader.NewEventReader(x.response, maxEvent)
+	events := bodyreader.NewEventReader(x.response, maxEventBytes)
 	events.Room = x.take
 	r.setGap(x, r.place.FirstEventLimit())
 	var start []byte
@@ -194,48 +195,47 @@
 		} else {
 			start = append(start, event...)
 		}
-		if err := r.sequence.take(event, r.c.Codec.EventVersion(event)); err != nil {
+		if err := r.sequence.acceptEvent(event, r.call.Codec.EventVersion(event)); err != nil {
 			x.abandon()
 			return nil, &SendError{Upstream: x.upstream, Outcome: retrier.Unknown, Err: err}
 		}
-		if !r.sequence.resumes {
+		if !r.sequence.resuming {
 			x.begun()
 			r.place.Started()
-			return &receivedReply{x: x, place: r.place, events: events, sequence: r.sequence, start: start}, nil
+			return &receivedReply{exchange: x, place: r.place, events: events, sequence: r.sequence, start: start}, nil
 		}
-		if len(start) > maxComments {
+		if len(start) > maxCommentBytes {
 			x.abandon()
-			return nil, x.cutError(&bodyreader.OversizeError{Limit: maxComments})
+			return nil, x.cutError(&bodyreader.OversizeError{Limit: maxCommentBytes})
 		}
 	}
 	if !errors.Is(err, io.EOF) {
 		x.abandon()
 		return nil, x.cutError(err)
 	}
-	if err := r.sequence.end(); err != nil {
+	if err := r.sequence.acceptEnd(); err != nil {
 		x.abandon()
 		return nil, &SendError{Upstream: x.upstream, Outcome: retrier.Unknown, Err: err}
 	}
-	return &receivedReply{x: x, place: r.place, events: events, sequence: r.sequence, start: append(start, event...), end: err}, nil
+	return &receivedReply{exchange: x, place: r.place, events: events, sequence: r.sequence, start: append(start, event...), endErr: err}, nil
 }
 
-// usable checks a reply's header: refusals and replies without the upstream's proof
-// are no answers.
-func (r *reception) usable(x *exchange) error {
+// checkUsable checks a reply's header: refusals and replies without the upstream's proof are not answers.
+func (r *reception) checkUsable(x *exchange) error {
 	status := x.response.StatusCode
 	if x.reply.NotRun {
 		return &SendError{Upstream: x.upstream, Outcome: retrier.NotRun, Status: status, Stated: x.reply.Stated,
 			Err: &UnusableError{Problem: fmt.Sprintf("refused with status %d", status)}}
 	}
-	if !x.reply.Sealed || x.reply.ID != r.c.ID {
+	if !x.reply.Sealed || x.reply.ID != r.call.ID {
 		return &SendError{Upstream: x.upstream, Outcome: retrier.Unknown, Status: status,
 			Err: &UnusableError{Problem: fmt.Sprintf("status %d without proof of its origin", status)}}
 	}
-	if r.resumes && status != http.StatusOK {
+	if r.resuming && status != http.StatusOK {
 		return &SendError{Upstream: x.upstream, Outcome: retrier.Unknown, Status: status,
 			Err: &UnusableError{Problem: fmt.Sprintf("status %d for the rest of a stream", status)}}
 	}
-	if kind := x.mediaType(); r.resumes && kind != r.mediaType {
+	if kind := x.mediaType(); r.resuming && kind != r.mediaType {
 		return &SendError{Upstream: x.upstream, Outcome: retrier.Unknown, Status: status,
 			Err: &UnusableError{Problem: fmt.Sprintf("reply of type %q for the rest of a stream of type %q", kind, r.mediaType)}}
 	}
@@ -243,15 +243,15 @@
 		return &SendError{Upstream: x.upstream, Outcome: retrier.Unknown, Status: status,
 			Err: &UnusableError{Problem: "reply with an encoding nobody asked for"}}
 	}
-	// Whether a hedge's is needed depends on what becomes of the attempt beside it.
-	if !r.hedged && r.c.mayRepeat() {
+	// Whether a hedge's failure matters depends on the attempt beside it.
+	if !r.hedged && r.call.mayRepeat() {
 		if err := x.failure(); err != nil {
 			return err
 		}
 	}
 	switch status {
 	case http.StatusServiceUnavailable, http.StatusTooManyRequests, http.StatusRequestTimeout:
-		// Handed on, these would promise that the request never ran.
+		// Passed on, these would promise that the request never ran.
 		return &SendError{Upstream: x.upstream, Outcome: retrier.Unknown, Status: status,
 			Err: &UnusableError{Problem: fmt.Sprintf("status %d that promises nothing", status)}}
 	}
--- a/internal/relayer/relayer.go
+++ b/internal/relayer/relayer.go
@@ -19,84 +19,84 @@
 )
 
 const (
-	// defaultTimeout bounds requests for which neither caller nor route has a limit.
+	// defaultTimeout applies to requests for which neither the caller nor the route sets a limit.
 	defaultTimeout = 30 * time.Second
-	// answerMargin is how much before the deadline the final answer is given, so that
-	// it reaches the caller within it.
+	// answerMargin is how long before the deadline the final answer is sent, so that it reaches the caller in
+	// time.
 	answerMargin = 15 * time.Millisecond
-	// unknownRetry is the time to come back to an entry that has not synced its blames yet, which takes up to 0.3 s, or
-	// whose news are old.
-	unknownRetry = 300 * time.Millisecond
-	// bodyTimeout bounds the reading of a request's body.
+	// staleStateRetry is the Retry-After of an entry that has not synced its blames yet, which takes up to 0.3 s,
+	// or whose view of the store is stale.
+	staleStateRetry = 300 * time.Millisecond
+	// bodyTimeout limits the time for reading a request's body.
 	bodyTimeout = 5 * time.Second
 )
 
-// Relayer is the handler of callers' requests. Set the exported fields before use.
+// Relayer is the HTTP handler for callers' requests. Set the exported fields before use.
 type Relayer struct {
 	Registrar *registrar.Registrar
 	Placer    *Placer
 	Chooser   *scheduler.Chooser
 	Pool      *Pool
 	Codec     Codec
-	// Budgets bound the retries at each service.
+	// Budgets limits the retries at each service.
 	Budgets *retrier.Budgets
-	// Prober finds out whether an upstream crashed that cut a reply; nil for never.
+	// Prober checks whether an upstream that cut a reply has crashed; nil disables the check.
 	Prober Prober
-	// Liveness tells whether the upstream has outlived a reply that only the end of its connection ended; nil takes
-	// each for whole.
+	// Liveness checks that the upstream outlived a reply that ended only with its connection; nil takes each such
+	// reply for whole.
 	Liveness Liveness
-	// Localizer finds and refuses prompts that crash upstreams; nil for none.
+	// Localizer finds and refuses prompts that crash upstreams; nil disables it.
 	Localizer *localizer.Localizer
-	// BlamesSynced tells whether the localizer has the blames of the other entries; nil for always.
+	// BlamesSynced reports whether the localizer has the blames of the other entries; nil means always.
 	BlamesSynced func() bool
 	Clock        clock.Clock
-	// Started is when this process started; zero for long ago.
+	// Started is the start time of this process; zero means long ago.
 	Started time.Time
 	Random  *rand.Rand
 	Metrics metrics.Registry
-	// Memory bounds what requests hold; nil for no bound.
+	// Memory limits the memory of requests; nil means no limit.
 	Memory *Memory
 
 	mu sync.Mutex
-	// longestPatience is the longest that callers of each route were seen to wait.
-	longestPatience map[string]time.Duration
+	// longestTimeLimits holds the longest time limit seen from callers, by route.
+	longestTimeLimits map[string]time.Duration
 
 	cuts      cuts
 	slowdowns slowdowns
 }
 
-// call is one caller's request on its way.
+// call is one caller's request in progress.
 type call struct {
 	*Relayer
 	Job
-	// w is out as what it implements.
-	w       http.ResponseWriter
-	out     *callerWriter
-	account *account
-	r       *http.Request
-	message message
-	// status is that of the header that went out; 0 for none yet.
+	// response is writer as an http.ResponseWriter.
+	response    http.ResponseWriter
+	writer      *callerWriter
+	account     *account
+	httpRequest *http.Request
+	message     message
+	// status is the status sent to the caller; 0 before the header is sent.
 	status int
-	// stream is set once a stream's header went out.
+	// stream is set once a stream's header is sent.
 	stream *stream
-	// hedge is under way beside the present attempt; nil for none. Its place is next.
+	// hedge runs beside the current attempt; nil for none. Its slot is nextPlace.
 	hedge *hedge
-	// firstEventTimer gives a stream up while nothing of it went out; nil for no limit.
+	// firstEventTimer cancels a stream before its first event is sent; nil for no limit.
 	firstEventTimer *time.Timer
 }
 
 // ServeHTTP implements http.Handler.
 func (l *Relayer) ServeHTTP(w http.ResponseWriter, r *http.Request) {
 	out := &callerWriter{ResponseWriter: w}
-	c := &call{Relayer: l, w: out, out: out, r: r, account: l.Memory.open()}
+	c := &call{Relayer: l, response: out, writer: out, httpRequest: r, account: l.Memory.open()}
 	defer c.account.close()
-	out.limit(defaultTimeout)
+	out.setTimeLimit(defaultTimeout)
 	c.Arrived = l.Clock.Now()
 	c.Request = l.Codec.Request(r.Header)
 	c.left = func() bool { return r.Context().Err() != nil }
 	defer c.recoverPanic()
 	l.count("requests")
-	if !c.admitMemory() || !c.route() || !c.readBody() {
+	if !c.admitMemory() || !c.resolveRoute() || !c.readBody() {
 		return
 	}
 	ctx, cancel := context.WithDeadline(r.Context(), c.Deadline)
@@ -107,53 +107,53 @@
 	err := l.Serve(ctx, &c.Job, c.attempt)
 	c.cancelHedge()
 	if err != nil {
-		c.give(ctx, err)
+		c.answerFailure(ctx, err)
 	}
 }
 
-// route finds the route and the workspace, or gives the final answer.
-func (c *call) route() bool {
+// resolveRoute finds the route and the workspace, or sends the final answer.
+func (c *call) resolveRoute() bool {
 	view := c.Registrar.View()
 	if view == nil || view.Table == nil {
 		c.refuse(&RefusedError{Reason: "no route table yet", RetryAfter: startRetry(c.Clock.Since(c.Started))})
 		return false
 	}
 	if len(c.Parts) > 0 && c.BlamesSynced != nil && !c.BlamesSynced() {
-		c.refuse(&RefusedError{Reason: "blames not synced yet", RetryAfter: unknownRetry})
+		c.refuse(&RefusedError{Reason: "blames not synced yet", RetryAfter: staleStateRetry})
 		return false
 	}
 	t := view.Table
 	c.TableVersion = t.Version
-	if t.Limits.HeaderBytes > 0 && headerBytes(c.r) > t.Limits.HeaderBytes {
+	if t.Limits.HeaderBytes > 0 && headerBytes(c.httpRequest) > t.Limits.HeaderBytes {
 		c.answer(http.StatusRequestHeaderFieldsTooLarge, "header too long", 0)
 		return false
 	}
-	c.Route = t.Match(c.r.Host, c.r.URL.EscapedPath())
+	c.Route = t.Match(c.httpRequest.Host, c.httpRequest.URL.EscapedPath())
 	if c.Route == nil {
-		return c.unknown(http.StatusNotFound, "no such route")
+		return c.answerUnknown(http.StatusNotFound, "no such route")
 	}
 	if !c.Route.Public && t.Keys != nil {
 		if c.Workspace = t.Keys[c.Key]; c.Workspace == nil {
-			return c.unknown(http.StatusUnauthorized, "unknown key")
+			return c.answerUnknown(http.StatusUnauthorized, "unknown key")
 		}
 	}
 	c.Admit(&c.Job)
-	c.out.limit(c.Deadline.Sub(c.Clock.Now()))
+	c.writer.setTimeLimit(c.Deadline.Sub(c.Clock.Now()))
 	return true
 }
 
-// unknown answers what the route table doesn't have. An entry that is out of touch
-// with the store may lack what was added since, and says so rather than deny it.
-func (c *call) unknown(status int, text string) bool {
+// answerUnknown denies keys and routes that the table lacks. An entry whose view of the store is stale may lack
+// recent ones, and refuses with Retry-After instead.
+func (c *call) answerUnknown(status int, text string) bool {
 	if !c.Registrar.Fresh() {
-		c.refuse(&RefusedError{Reason: text + ", but news are old", RetryAfter: unknownRetry})
+		c.refuse(&RefusedError{Reason: text + ", but news are old", RetryAfter: staleStateRetry})
 		return false
 	}
 	c.answer(status, text, 0)
 	return false
 }
 
-// headerBytes is about the size of a request's header on the wire.
+// headerBytes is the approximate size of a request's header on the wire.
 func headerBytes(r *http.Request) int64 {
 	n := len(r.Method) + len(r.RequestURI) + len(r.Host)
 	for name, fields := range r.Header {
@@ -164,24 +164,24 @@
 	return int64(n)
 }
 
-// readBody takes the whole body in, so that an attempt can be made again and an
-// upstream never waits for a slow caller.
+// readBody reads the whole body, so that the request can be retried and an upstream never waits for a slow
+// caller.
 func (c *call) readBody() bool {
 	limit := c.Registrar.View().Table.Limits.BodyBytes
 	if limit <= 0 {
 		limit = defaultBodyBytes
 	}
-	if c.r.ContentLength > limit {
+	if c.httpRequest.ContentLength > limit {
 		c.answer(http.StatusRequestEntityTooLarge, "body too long", 0)
 		return false
 	}
-	if c.r.ContentLength > 0 && !c.takeMemory("a body", c.r.ContentLength) {
+	if c.httpRequest.ContentLength > 0 && !c.takeMemory("a body", c.httpRequest.ContentLength) {
 		return false
 	}
-	control := http.NewResponseController(c.w)
-	// A writer without deadlines, as in tests, says so by an error.
+	control := http.NewResponseController(c.response)
+	// ResponseWriters without deadlines, as in tests, return an error.
 	_ = control.SetReadDeadline(time.Now().Add(bodyTimeout))
-	body, err := bodyreader.ReadExpected(c.bodySource(limit), limit, c.r.ContentLength)
+	body, err := bodyreader.ReadExpected(c.bodySource(limit), limit, c.httpRequest.ContentLength)
 	_ = control.SetReadDeadline(time.Time{})
 	var tooLong *http.MaxBytesError
 	var full *MemoryError
@@ -193,14 +193,14 @@
 		c.answer(http.StatusRequestEntityTooLarge, "body too long", 0)
 		return false
 	case err != nil:
-		c.log("Body not read", err)
+		c.log("Failed to read body", err)
 		c.answer(http.StatusRequestTimeout, "body not read", 0)
 		return false
 	}
-	c.message = message{method: c.r.Method, target: c.r.RequestURI, host: c.r.Host, body: body, account: c.account,
-		hasBody: c.r.ContentLength != 0 || len(c.r.TransferEncoding) > 0}
+	c.message = message{method: c.httpRequest.Method, target: c.httpRequest.RequestURI, host: c.httpRequest.Host, body: body, account: c.account,
+		hasBody: c.httpRequest.ContentLength != 0 || len(c.httpRequest.TransferEncoding) > 0}
 	return true
 }
 
-// defaultBodyBytes bounds bodies when the route table has no limit.
+// defaultBodyBytes limits bodies when the route table sets no limit.
 const defaultBodyBytes = 4 << 20
--- a/internal/relayer/relayer_test.go
+++ b/internal/relayer/relayer_test.go
@@ -23,29 +23,28 @@
 	return true
 }
 
-// resets takes the request and resets the connection.
+// resets accepts the request and resets the connection.
 func resets(int, string, net.Conn) bool { return false }
 
-// refuses says that it did not run the request.
+// refuses states that it did not run the request.
 func refuses(_ int, id string, conn net.Conn) bool {
 	say(conn, "HTTP/1.1 503 Service Unavailable\r\nId: "+id+"\r\nNot-Run: 1\r\nContent-Length: 0\r\n\r\n")
 	return true
 }
 
-// A booking reaches its upstream, which makes it, and the answer is lost on the way.
-// Sent once more, the same shed would get two pickers. The caller learns that nobody
-// knows.
+// Guards against a booking that is made twice: its upstream makes it, and the answer is lost. The caller must
+// learn that the outcome is unknown.
 func TestLostAnswerIsNotRepeated(t *testing.T) {
 	a, b := newUpstream(t, "a", resets), newUpstream(t, "b", resets)
 	w := newWorld(t, a, b)
 	got := w.ask(t, "/once/1", "r1")
 	must.Eq(t, http.StatusBadGateway, got.status)
-	must.Eq(t, "", got.header.Get("Retry-After"), must.Sprint("no promise that it did not run"))
+	must.Eq(t, "", got.header.Get("Retry-After"), must.Sprint("promises that it did not run"))
 	must.Len(t, 1, append(a.came(), b.came()...))
 }
 
-// The same failure with a question that may be asked twice: the caller need not notice.
-func TestLostAnswerOfIdempotentRequestIsAskedAgain(t *testing.T) {
+// Guards against the failure of an idempotent request that could be repeated after the same loss.
+func TestLostAnswerOfAnIdempotentRequestIsRetried(t *testing.T) {
 	var first once
 	answer := func(name string) func(int, string, net.Conn) bool {
 		return func(n int, id string, conn net.Conn) bool {
@@ -61,10 +60,9 @@
 	must.Eq(t, "done", got.body)
 }
 
-// Upstreams that are full say that they did not run a booking. It may then go to
-// another, and if all refuse the caller is told that it did not run and when to come
-// back.
-func TestRefusedBookingGoesElsewhere(t *testing.T) {
+// Guards against a booking that fails at a full upstream although another one could take it, and against a final
+// refusal that doesn't state that it did not run and when to retry.
+func TestRefusedBookingIsRetriedAtAnotherUpstream(t *testing.T) {
 	a, b := newUpstream(t, "a", refuses), newUpstream(t, "b", refuses)
 	w := newWorld(t, a, b)
 	got := w.ask(t, "/once/1", "r1")
@@ -76,9 +74,9 @@
 	must.Len(t, 1, b.came())
 }
 
-// An upstream sends a second answer to one request on a kept connection. Taken for the
-// answer to the next request, it would show one caller what another one asked.
-func TestExtraAnswerReachesNobody(t *testing.T) {
+// Guards against a second answer on a kept connection that is taken for the answer to the next request: a caller
+// would get another one's answer.
+func TestExtraReplyReachesNoCaller(t *testing.T) {
 	u := newUpstream(t, "a", func(n int, id string, conn net.Conn) bool {
 		say(conn, sealed(id, "for "+id))
 		if n == 0 {
@@ -92,8 +90,8 @@
 	must.Eq(t, "for r2", w.ask(t, "/safe/1", "r2").body)
 }
 
-// The extra answer comes only after the next request was sent.
-func TestLateAnswerIsReadPast(t *testing.T) {
+// Guards against the same after the next request was sent.
+func TestLateReplyToAnEarlierRequestIsSkipped(t *testing.T) {
 	u := newUpstream(t, "a", func(n int, id string, conn net.Conn) bool {
 		if n == 1 {
 			say(conn, sealed("r1", "for r1"))
@@ -106,9 +104,9 @@
 	must.Eq(t, "for r2", w.ask(t, "/safe/1", "r2").body)
 }
 
-// An answer is cut in the middle of its body. Handed on with its first half, it would
-// look like the whole order to a caller that doesn't count bytes.
-func TestCutAnswerIsNoSuccess(t *testing.T) {
+// Guards against an answer that is cut within its body and passed on: a caller that doesn't count bytes would
+// take the part for the whole.
+func TestCutAnswerIsAFailure(t *testing.T) {
 	u := newUpstream(t, "a", func(_ int, id string, conn net.Conn) bool {
 		say(conn, strings.TrimSuffix(sealed(id, "a long order"), "order"))
 		return false
@@ -117,7 +115,7 @@
 	must.Eq(t, http.StatusBadGateway, w.ask(t, "/once/1", "r1").status)
 }
 
-// An answer without a length ends with its connection; a reset is no end.
+// Guards against a reset that passes for the end of an unframed answer.
 func TestUnframedAnswer(t *testing.T) {
 	var whole atomic.Bool
 	whole.Store(true)
@@ -134,8 +132,8 @@
 	must.Eq(t, http.StatusBadGateway, w.ask(t, "/once/1", "r2").status)
 }
 
-// A success without the upstream's proof may come from anybody.
-func TestUnprovenAnswerIsNoSuccess(t *testing.T) {
+// Guards against a success without the upstream's proof.
+func TestUnprovenAnswerIsAFailure(t *testing.T) {
 	u := newUpstream(t, "a", func(_ int, id string, conn net.Conn) bool {
 		say(conn, "HTTP/1.1 200 OK\r\nId: "+id+"\r\nContent-Length: 2\r\n\r\nok")
 		return true
@@ -143,9 +141,9 @@
 	must.Eq(t, http.StatusBadGateway, newWorld(t, u).ask(t, "/once/1", "r1").status)
 }
 
-// An upstream's own 503 that does not say "not run" may have run the request. The
-// status would promise the caller that it did not.
-func TestForeignPromiseIsNotHandedOn(t *testing.T) {
+// Guards against an upstream's own 503, without "not run", that is passed on: it would promise that the request
+// did not run.
+func TestStatusThatImpliesNotRunIsNotPassedOn(t *testing.T) {
 	u := newUpstream(t, "a", func(_ int, id string, conn net.Conn) bool {
 		say(conn, "HTTP/1.1 503 Service Unavailable\r\nId: "+id+"\r\nSeal: x\r\nContent-Length: 0\r\n\r\n")
 		return true
@@ -153,9 +151,9 @@
 	must.Eq(t, http.StatusBadGateway, newWorld(t, u).ask(t, "/once/1", "r1").status)
 }
 
-// An upstream dies in the middle of an event. The half must not reach the caller, and
-// another upstream goes on behind the last whole one: no event missing, none twice.
-func TestStreamGoesOnElsewhere(t *testing.T) {
+// Guards against part of an event that reaches the caller from an upstream that dies, and against missing or
+// repeated events where another one resumes after the last whole event.
+func TestStreamIsResumedAtAnotherUpstream(t *testing.T) {
 	var died once
 	answer := func(name string) func(int, string, net.Conn) bool {
 		return func(_ int, id string, conn net.Conn) bool {
@@ -179,8 +177,8 @@
 	must.Eq(t, "1", second.header(0).Get("Last"))
 }
 
-// The upstream that should go on begins with the wrong event. The caller must see a
-// broken stream rather than one with a gap.
+// Guards against a stream that is resumed with the wrong event: the caller must see a broken stream rather than
+// one with a gap.
 func TestStreamWithGapIsBroken(t *testing.T) {
 	var first once
 	answer := func(_ int, id string, conn net.Conn) bool {
@@ -197,8 +195,8 @@
 	must.Eq(t, event(0), got.body)
 }
 
-// Nobody can go on with a stream. Ended as usual, its first half would look whole.
-func TestCutStreamLooksCut(t *testing.T) {
+// Guards against a stream that can't be resumed and ends as if it were whole.
+func TestCutStreamIsAborted(t *testing.T) {
 	u := newUpstream(t, "a", func(_ int, id string, conn net.Conn) bool {
 		say(conn, streamHead(id)+chunked(event(0)))
 		return false
@@ -206,8 +204,7 @@
 	must.True(t, newWorld(t, u).ask(t, "/stream/1", "r1").broken)
 }
 
-// An upstream takes a request and says nothing. The caller must hear at the route's
-// timeout, and not that the request never ran.
+// Guards against a silent upstream whose caller gets no timeout, or a promise that the request never ran.
 func TestSilentUpstreamTimesOut(t *testing.T) {
 	u := newUpstream(t, "a", func(int, string, net.Conn) bool {
 		time.Sleep(time.Minute)
@@ -217,9 +214,9 @@
 	must.Eq(t, http.StatusGatewayTimeout, w.ask(t, "/brief/1", "r1").status)
 }
 
-// Callers close the connection when they give up. An upstream that works on for
-// nobody takes a place from others.
-func TestUpstreamIsLeftWithItsCaller(t *testing.T) {
+// Guards against an upstream that keeps working for a caller that closed its connection, and takes a slot from
+// others.
+func TestUpstreamConnectionClosesWithItsCaller(t *testing.T) {
 	reached, left := make(chan struct{}), make(chan struct{})
 	u := newUpstream(t, "a", func(_ int, _ string, conn net.Conn) bool {
 		close(reached)
@@ -247,13 +244,13 @@
 	select {
 	case <-left:
 	case <-time.After(5 * time.Second):
-		t.Fatal("the upstream still works for a caller that left")
+		t.Fatal("the upstream's connection is still open after its caller left")
 	}
 }
 
-// Keys and routes that no table has are denied; but an entry that has not heard of the
-// store for long may lack what was added since, and must not deny it.
-func TestUnknownIsDeniedOnlyWithFreshNews(t *testing.T) {
+// Guards against an entry with a stale view of the store that denies keys or routes: it may lack those added
+// since.
+func TestUnknownRouteIsDeniedOnlyWithFreshState(t *testing.T) {
 	w := newWorld(t, newUpstream(t, "a", serves))
 	must.Eq(t, http.StatusNotFound, w.ask(t, "/other/1", "r1").status)
 	at, _, _ := w.registrar.At()
@@ -265,14 +262,14 @@
 	must.NotEq(t, "", got.header.Get("Retry-After"))
 }
 
-// A new entry that knows no route table must not say that a route does not exist.
-func TestEntryWithoutTableAsksToComeBack(t *testing.T) {
+// Guards against a new entry without a route table that denies a route.
+func TestEntryWithoutTableRefusesRequests(t *testing.T) {
 	w := newWorld(t)
 	w.relayer.Registrar = &registrar.Registrar{Clock: w.relayer.Clock}
 	must.Eq(t, http.StatusServiceUnavailable, w.ask(t, "/safe/1", "r1").status)
 }
 
-// The key stays here: an upstream gets the name of its workspace.
+// Guards against a caller's key that is sent to an upstream.
 func TestKeyIsNotPassedOn(t *testing.T) {
 	u := newUpstream(t, "a", serves)
 	newWorld(t, u).ask(t, "/safe/1", "r1")
@@ -280,8 +277,8 @@
 	must.Eq(t, "farm", u.header(0).Get("Workspace"))
 }
 
-// An upstream on a frozen VM takes a request and says nothing, and its connection stays
-// open. The caller of a stream would wait until it gives up, though others are idle.
+// Guards against a stream that waits for an upstream on a frozen VM, whose connection stays open, until its
+// caller gives up, though others are idle.
 func TestSilentUpstreamIsReplaced(t *testing.T) {
 	var first once
 	answer := func(name string) func(int, string, net.Conn) bool {
@@ -300,14 +297,13 @@
 	must.Eq(t, event(0), got.body)
 }
 
-// An upstream breaks off in the middle of a long reply, and so does the entry towards its
-// caller. The place that the request held must come free all the same: else each such reply
-// makes the upstream look fuller for good, and in the end nothing goes there.
-func TestPlaceOfABrokenReplyComesFree(t *testing.T) {
-	begun := make(chan struct{})
+// Guards against a slot that stays taken when a long reply is cut by its upstream and thus by the entry: each
+// such reply would make the upstream look fuller until it gets no requests.
+func TestSlotOfABrokenReplyIsReleased(t *testing.T) {
+	started := make(chan struct{})
 	u := newUpstream(t, "u", func(_ int, id string, conn net.Conn) bool {
 		say(conn, fmt.Sprintf("HTTP/1.1 200 OK\r\nId: %s\r\nSeal: x\r\nContent-Length: 1000000\r\n\r\n%s", id, strings.Repeat("a", 400_000)))
-		<-begun
+		<-started
 		return false
 	})
 	w := newWorld(t, u)
@@ -318,7 +314,7 @@
 	res, err := http.DefaultClient.Do(r)
 	must.NoError(t, err)
 	defer res.Body.Close()
-	close(begun)
+	close(started)
 	_, err = io.ReadAll(res.Body)
 	must.Error(t, err)
 	must.Wait(t, wait.InitialSuccess(wait.BoolFunc(func() bool { return w.relayer.Chooser.Running("u") == 0 }),
--- a/internal/relayer/resume_test.go
+++ b/internal/relayer/resume_test.go
@@ -17,11 +17,9 @@
 	"github.com/oriolecroft/oriolecroft/internal/scheduler"
 )
 
-// The engine of a reply that is half written dies. The only other one has taken a newer
-// version of the weights, and its agent is silent. Were the reply to go on there, the
-// caller would get a roster whose first half was written by other weights than its second,
-// as one whole.
-func TestStreamDoesNotGoOnWithOtherWeights(t *testing.T) {
+// Guards against a stream whose halves were written by different weights. The engine of a reply dies halfway; the
+// only other one has loaded a newer version of the weights, and its agent is unresponsive.
+func TestStreamIsNotResumedWithOtherWeights(t *testing.T) {
 	c := clocktest.NewFakeClock(time.Unix(1000, 0))
 	table := engineTable()
 	reg := &registrar.Registrar{Clock: c, Decode: func(key string, value []byte) (registrar.Fact, error) {
@@ -43,7 +41,7 @@
 		AgentPort: 1, WeightsBound: 8 * time.Second,
 		Agents: &messenger.Clients{Timeout: time.Second, Dial: func(a netip.AddrPort) *messenger.Client { return &messenger.Client{Address: a} }},
 	}
-	goesOn := func() bool {
+	resumes := func() bool {
 		j := &relayer.Job{Route: table.Routes[0], Service: "engines", Again: true, Version: 1, Arrived: c.Now(), Deadline: c.Now().Add(5 * time.Second)}
 		j.ID, j.Model, j.Prompt = "id", "m", 800
 		ctx, stop := context.WithTimeout(context.Background(), 100*time.Millisecond)
@@ -51,14 +49,14 @@
 		place, err := p.Place(ctx, j)
 		return err == nil && place != nil
 	}
-	must.False(t, goesOn(), must.Sprint("while the newer version is young"))
+	must.False(t, resumes(), must.Sprint("shortly after the announcement"))
 	c.Step(5 * time.Second)
-	must.False(t, goesOn(), must.Sprint("once half of its bound is over"))
+	must.False(t, resumes(), must.Sprint("after half of the weights bound"))
 }
 
-// Guards against the body of a failure, or of another kind of reply, that is written into a stream which has begun
+// Guards against the body of a failure, or of another kind of reply, that is written into a stream in progress
 // and ends it as if it were whole.
-func TestBegunStreamIsNotEndedByAFailure(t *testing.T) {
+func TestStartedStreamIsNotEndedByAFailure(t *testing.T) {
 	for _, status := range []string{"500 Internal Server Error", "404 Not Found", "204 No Content", "201 Created"} {
 		t.Run(status, func(t *testing.T) {
 			var first once
--- a/internal/relayer/sequence.go
+++ b/internal/relayer/sequence.go
@@ -8,58 +8,59 @@
 	"github.com/oriolecroft/oriolecroft/internal/bodyreader"
 )
 
-// GapError reports a stream that goes on with the wrong event.
+// GapError reports a stream that continues with the wrong event.
 type GapError struct{ Last, Next string }
 
 func (e *GapError) Error() string { return fmt.Sprintf("event %q follows %q", e.Next, e.Last) }
 
-// WeightsError reports a stream that goes on with other weights than those of its last event.
+// WeightsError reports a stream that continues with other weights than those of its last event.
 type WeightsError struct{ Want, Got uint64 }
 
 func (e *WeightsError) Error() string {
 	return fmt.Sprintf("goes on with version %d of the weights, not %d", e.Got, e.Want)
 }
 
-// MissingEventError reports a stream that ends where a former upstream had begun another event.
+// MissingEventError reports a stream that ends where an earlier upstream had started another event.
 type MissingEventError struct{ Last string }
 
 func (e *MissingEventError) Error() string {
 	return fmt.Sprintf("ends behind event %q though another one had begun", e.Last)
 }
 
-// sequence is how far a stream of events has come.
+// sequence is the position in a stream of events.
 type sequence struct {
-	// last is the id of the last event; empty for none.
-	last string
-	// step is by how much the first ids of the stream differ; 0 when not known.
+	// lastID is the id of the last event; empty for none.
+	lastID string
+	// step is the difference between the first ids of the stream; 0 if unknown.
 	step uint64
-	// resumes tells that another reply goes on behind the last event: its first event with data has to follow.
-	resumes bool
-	// version is that of the weights of the last event; 0 if unknown.
+	// resuming reports that another reply continues after the last event: its first event with data has to
+	// follow.
+	resuming bool
+	// version is the version of the weights of the last event; 0 if unknown.
 	version uint64
-	// unnumbered tells that data without an id came behind the last event: what follows can't be asked for.
+	// unnumbered reports data without an id after the last event: the rest can't be requested elsewhere.
 	unnumbered bool
-	// cutInside tells that a reply broke off inside the event behind the last one: there is one to come.
-	cutInside bool
+	// cutMidEvent reports that a reply broke off within the event after the last one: there is more to come.
+	cutMidEvent bool
 }
 
-// sequence is that of the events that the caller has.
-func (c *call) sequence() sequence {
+// deliveredSequence is the position up to which the caller has the stream.
+func (c *call) deliveredSequence() sequence {
 	switch {
 	case c.stream != nil:
 		s := c.stream.sequence
-		s.resumes = true
+		s.resuming = true
 		return s
 	case c.Route.Resumable && c.LastEvent != "":
-		return sequence{last: c.LastEvent, resumes: true}
+		return sequence{lastID: c.LastEvent, resuming: true}
 	default:
 		return sequence{}
 	}
 }
 
-// begin takes in the version that the header of a reply tells; 0 for none. Errors are *WeightsError.
-func (s *sequence) begin(version uint64) error {
-	if s.resumes && s.version != 0 && version != 0 && version != s.version {
+// acceptVersion records the version stated in a reply's header; 0 for none. Errors are *WeightsError.
+func (s *sequence) acceptVersion(version uint64) error {
+	if s.resuming && s.version != 0 && version != 0 && version != s.version {
 		return &WeightsError{Want: s.version, Got: version}
 	}
 	if version != 0 {
@@ -68,57 +69,57 @@
 	return nil
 }
 
-// take takes in the next event of a reply, which may state a version; 0 for none. Errors are *GapError and
-// *WeightsError.
-func (s *sequence) take(event []byte, version uint64) error {
-	if err := s.begin(version); err != nil {
+// acceptEvent checks and records the next event of a reply, which may state a version; 0 for none. Errors are
+// *GapError and *WeightsError.
+func (s *sequence) acceptEvent(event []byte, version uint64) error {
+	if err := s.acceptVersion(version); err != nil {
 		return err
 	}
 	id := bodyreader.EventID(event)
 	if id == "" {
-		return s.takeUnnumbered(event)
+		return s.acceptUnnumbered(event)
 	}
-	if !s.goesOn(id) {
-		return &GapError{Last: s.last, Next: id}
+	if !s.mayFollow(id) {
+		return &GapError{Last: s.lastID, Next: id}
 	}
-	s.last, s.unnumbered, s.resumes, s.cutInside = id, false, false, false
+	s.lastID, s.unnumbered, s.resuming, s.cutMidEvent = id, false, false, false
 	return nil
 }
 
-// end takes in the end of a reply. Errors are *MissingEventError.
-func (s *sequence) end() error {
-	if s.resumes && s.cutInside {
-		return &MissingEventError{Last: s.last}
+// acceptEnd checks the end of a reply. Errors are *MissingEventError.
+func (s *sequence) acceptEnd() error {
+	if s.resuming && s.cutMidEvent {
+		return &MissingEventError{Last: s.lastID}
 	}
 	return nil
 }
 
-// cut takes in that a reply broke off.
-func (s *sequence) cut(err error) {
+// recordCut records that a reply broke off.
+func (s *sequence) recordCut(err error) {
 	var cut *bodyreader.CutError
 	if errors.As(err, &cut) && cut.Unfinished > 0 {
-		s.cutInside = true
+		s.cutMidEvent = true
 	}
 }
 
-// takeUnnumbered takes in an event without an id. Comments may come anywhere.
-func (s *sequence) takeUnnumbered(event []byte) error {
+// acceptUnnumbered checks an event without an id. Comments are allowed anywhere.
+func (s *sequence) acceptUnnumbered(event []byte) error {
 	if len(bodyreader.EventData(event)) == 0 {
 		return nil
 	}
-	if s.resumes && s.last != "" {
-		return &GapError{Last: s.last}
+	if s.resuming && s.lastID != "" {
+		return &GapError{Last: s.lastID}
 	}
-	s.unnumbered, s.resumes = true, false
+	s.unnumbered, s.resuming = true, false
 	return nil
 }
 
-// goesOn tells whether an event may follow by its id. Ids that are numbers increase. Where another reply goes on, and
-// in streams that have counted by one, they count by one. Of other ids it is only known that they differ.
-func (s *sequence) goesOn(id string) bool {
-	last, err := strconv.ParseUint(s.last, 10, 64)
+// mayFollow reports whether an event's id may follow the last one. Numeric ids increase; after a resumption, and
+// in streams that have counted by one, they count by one. Other ids only have to differ.
+func (s *sequence) mayFollow(id string) bool {
+	last, err := strconv.ParseUint(s.lastID, 10, 64)
 	if err != nil {
-		return s.last == "" || id != s.last
+		return s.lastID == "" || id != s.lastID
 	}
 	next, err := strconv.ParseUint(id, 10, 64)
 	if err != nil || next <= last {
@@ -128,5 +129,5 @@
 	if s.step == 0 {
 		s.step = step
 	}
-	return step == 1 || !s.resumes && s.step != 1
+	return step == 1 || !s.resuming && s.step != 1
 }
--- a/internal/relayer/serve.go
+++ b/internal/relayer/serve.go
@@ -9,41 +9,40 @@
 	"github.com/oriolecroft/oriolecroft/internal/retrier"
 )
 
-// Attempt sends a request to the upstream of a place and hands the reply on. It gives nil once
-// the caller has its answer. Errors are *SendError.
+// Attempt sends a request to the place's upstream and relays the reply. It returns nil once the caller has its
+// answer. Errors are *SendError.
 type Attempt func(ctx context.Context, place *Place) error
 
-// tries is what became of a job's attempts.
-type tries struct {
-	// outcome joins what is known of all attempts.
+// attemptState is the state of a job's attempts.
+type attemptState struct {
+	// outcome joins the outcomes of all attempts.
 	outcome  retrier.Outcome
 	attempts int
 	sends    int
-	// failed tells that an attempt that was sent has failed.
+	// failed reports whether an attempt that was sent has failed.
 	failed bool
-	// reused tells that the last attempt failed on a connection that had been idle, unsent that it never
+	// reused reports whether the last attempt failed on a connection that had been idle, unsent whether it never
 	// reached its upstream.
 	reused, unsent bool
-	// events were passed on from the present attempt's reply, the first one at begunAt.
-	events  int
-	begunAt time.Time
-	// delivered counts the events passed on from the replies of all attempts.
+	// events counts the events relayed by the current attempt, the first one at firstEventAt.
+	events       int
+	firstEventAt time.Time
+	// delivered counts the events relayed from the replies of all attempts.
 	delivered int
-	// unnumbered tells that the last data that went out has no id: its rest can't be asked for.
+	// unnumbered reports that the last data sent has no id, so that the rest can't be requested elsewhere.
 	unnumbered bool
-	// next is the place that the next attempt already has; nil for none.
-	next  *Place
-	mover mover
-	// rest is for how long all upstreams want nothing from this entry, once the job is given up.
-	rest time.Duration
+	// nextPlace is the place reserved for the next attempt; nil for none.
+	nextPlace *Place
+	mover     mover
+	// backoff is how long all upstreams ask this entry to send nothing, once the job is given up.
+	backoff time.Duration
 }
 
-// Serve makes attempts until one gives the caller its answer. Errors are those of Place and
-// of the last attempt.
+// Serve makes attempts until one answers the caller. Errors are those of Place and of the last attempt.
 func (l *Relayer) Serve(ctx context.Context, j *Job, attempt Attempt) error {
 	err := l.serve(ctx, j, attempt)
 	if err != nil {
-		j.rest = l.Placer.rest(j)
+		j.backoff = l.Placer.rest(j)
 	}
 	return err
 }
@@ -51,7 +50,7 @@
 func (l *Relayer) serve(ctx context.Context, j *Job, attempt Attempt) error {
 	l.Budgets.Of(j.Service).First()
 	j.outcome = retrier.NotRun
-	defer j.endMove()
+	defer j.cancelMove()
 	for {
 		if err := l.checkParts(j); err != nil {
 			return err
@@ -68,49 +67,49 @@
 			}
 			return nil
 		}
-		l.note(j, place, err, j.events)
-		if ctx.Err() != nil || isShutdown(err) || isUnread(err) || endsForMemory(err) || !l.again(j) {
+		l.recordFailure(j, place, err, j.events)
+		if ctx.Err() != nil || isShutdownRefusal(err) || isUnread(err) || endsForMemory(err) || !l.allowRetry(j) {
 			return err
 		}
 		j.Again = j.attempts > 0
 	}
 }
 
-// attemptAt makes an attempt and frees its place however it ends. A reply that has to be cut
-// ends in a panic for the HTTP server; the place left taken, the upstream would look fuller
-// with each such reply until nothing goes there.
+// attemptAt makes an attempt and releases its place however it ends. Cutting a reply panics into the HTTP server;
+// without the release, each such reply would make the upstream look fuller until it gets no requests.
 func (l *Relayer) attemptAt(ctx context.Context, j *Job, place *Place, attempt Attempt) error {
 	defer place.Ended()
 	j.sends++
-	j.events, j.begunAt, j.mover.noted = 0, time.Time{}, false
+	j.events, j.firstEventAt, j.mover.noted = 0, time.Time{}, false
 	err := attempt(ctx, place)
 	j.judge(place, err)
 	return err
 }
 
-// note counts what an attempt that failed after some events means for the request and the upstream.
-func (l *Relayer) note(j *Job, place *Place, err error, events int) {
+// recordFailure updates the state of the request and the upstream after an attempt that failed after a number of
+// events.
+func (l *Relayer) recordFailure(j *Job, place *Place, err error, events int) {
 	upstream := place.Upstream.ID
-	j.failed = j.failed || !keptBack(err)
+	j.failed = j.failed || !isLocalFailure(err)
 	var s *SendError
 	if !errors.As(err, &s) {
 		return
 	}
 	j.outcome = retrier.Join(j.outcome, s.Outcome)
 	j.reused = s.Reused
-	j.unsent = s.Outcome == retrier.NotRun && keptBack(err)
+	j.unsent = s.Outcome == retrier.NotRun && isLocalFailure(err)
 	if s.Outcome != retrier.NotRun {
 		j.attempts++
 	}
 	if j.left != nil && j.left() {
-		// The caller left; that says nothing of the upstream.
+		// A caller that left says nothing about the upstream.
 		return
 	}
-	if !keptBack(err) && !isOvertaken(err) && !isMoved(err) {
+	if !isLocalFailure(err) && !isOvertaken(err) && !isMoved(err) {
 		l.Chooser.Failed(upstream, s.Status == 0 && !s.Reused)
 	}
 	if s.Outcome == retrier.NotRun && s.Status != 0 {
-		l.Chooser.Avoid(upstream, refusedPause)
+		l.Chooser.Avoid(upstream, refusalPause)
 		l.Placer.notePlainRefusal(j)
 	}
 	if isMoved(err) {
@@ -121,48 +120,48 @@
 	l.log(j, "Attempt failed", err, "upstream", upstream, "outcome", s.Outcome, "reused", s.Reused, "stated", s.Stated, "events", events, "silence", s.Silence)
 }
 
-// keptBack tells whether this entry itself didn't send the request or gave it up, which says nothing
-// of the upstream.
-func keptBack(err error) bool {
+// isLocalFailure reports whether this entry itself withheld or gave up the request, which says nothing about the
+// upstream.
+func isLocalFailure(err error) bool {
 	var full *ConnectionsError
 	var stale *StaleWeightsError
 	var unsent *UnsentError
 	var withheld *WithheldError
 	var blamed *localizer.BlamedError
-	return isShutdown(err) || isUnread(err) || endsForMemory(err) || errors.As(err, &blamed) || errors.As(err, &full) || errors.As(err, &stale) || errors.As(err, &unsent) || errors.As(err, &withheld)
+	return isShutdownRefusal(err) || isUnread(err) || endsForMemory(err) || errors.As(err, &blamed) || errors.As(err, &full) || errors.As(err, &stale) || errors.As(err, &unsent) || errors.As(err, &withheld)
 }
 
-// isOvertaken tells whether an attempt was given up while its upstream might still have gone on.
+// isOvertaken reports whether an attempt was given up although its upstream might still have continued.
 func isOvertaken(err error) bool {
 	var overtaken *OvertakenError
 	return errors.As(err, &overtaken)
 }
 
-// refusedPause is how long an upstream that refused is passed over: about the time
-// in which a place comes free.
-const refusedPause = 100 * time.Millisecond
+// refusalPause is how long an upstream that refused is passed over: about the time in which a slot becomes free.
+const refusalPause = 100 * time.Millisecond
 
-// maxSends bounds how often a request is sent although no upstream ran it.
+// maxSends limits how often a request is sent although no upstream ran it.
 const maxSends = 3
 
-// repeatable tells whether the request, or the rest of its stream, may go to another upstream though it has run.
+// repeatable reports whether the request, or the rest of its stream, may go to another upstream though it has
+// run.
 func (j *Job) repeatable() bool { return j.Route.Repeatable() && !j.unnumbered }
 
-// again tells whether another attempt may be made. Only what certainly did not run,
-// or may run twice, goes out again.
-func (l *Relayer) again(j *Job) bool {
+// allowRetry reports whether another attempt may be made. Only requests that certainly did not run, or that may
+// run twice, are sent again.
+func (l *Relayer) allowRetry(j *Job) bool {
 	if j.outcome != retrier.NotRun && !j.repeatable() {
 		return false
 	}
 	if j.attempts >= j.Route.MaxAttempts || j.sends >= maxSends {
 		return false
 	}
-	if j.next != nil {
-		// Its retry is paid for.
+	if j.nextPlace != nil {
+		// The retry is charged already.
 		return true
 	}
 	if j.unsent {
-		// The budget is for what upstreams get.
+		// The budget is for requests that are sent.
 		return true
 	}
 	if !l.Budgets.Of(j.Service).Take() {
--- a/internal/relayer/shutdown.go
+++ b/internal/relayer/shutdown.go
@@ -13,28 +13,28 @@
 )
 
 const (
-	// hintMargin is how many times as long as hinted an answer may be: three in four are within it.
+	// hintMargin is the factor by which an answer may exceed its hint: three in four stay within it.
 	hintMargin = 1.4
-	// paceMargin is how many times as long as predicted a reply may take: nine in ten of the longest under
-	// load are within it.
+	// paceMargin is the factor by which a reply may exceed its predicted time: nine in ten of the longest under
+	// load stay within it.
 	paceMargin = 1.35
-	// longestWithin is how long before its cut a leaving entry counts the longest answer instead of the hinted
-	// one. Callers come until 4.55 s before it, and a stream that is read as late as this and then cut is lost to
-	// its caller: by the hint 3 in 1,000 of them were.
-	longestWithin = 4950 * time.Millisecond
+	// maxAnswerWithin is how long before its cut an entry that shuts down counts the longest answer instead of
+	// the hinted one. Callers arrive until 4.55 s before the cut, and a stream that is read this late and then
+	// cut is lost: by the hint 3 in 1,000 of them were.
+	maxAnswerWithin = 4950 * time.Millisecond
 )
 
-// Shutdown tells of the end of an entry that leaves.
+// Shutdown describes the end of an entry that shuts down.
 type Shutdown interface {
-	// CutIn is in how long replies that are still under way are cut; false for an entry that stays.
+	// CutIn is the time until replies in progress are cut; false for an entry that keeps running.
 	CutIn() (time.Duration, bool)
-	// RetryAfter is when callers of a host that are refused should come back.
+	// RetryAfter is when refused callers of a host should retry.
 	RetryAfter(host string) time.Duration
 }
 
 // ShutdownError reports a request that could not end before its entry does.
 type ShutdownError struct {
-	// Takes is the predicted time that it takes, CutIn what is left.
+	// Takes is the predicted time for the request, CutIn the time left.
 	Takes, CutIn time.Duration
 }
 
@@ -42,27 +42,27 @@
 	return fmt.Sprintf("entry leaves, takes %v of %v left", e.Takes, e.CutIn)
 }
 
-// cutIn is in how long the replies of this entry are cut; false for an entry that stays.
-func (p *Placer) cutIn() (time.Duration, bool) {
+// timeToCut is the time until this entry cuts its replies; false for an entry that keeps running.
+func (p *Placer) timeToCut() (time.Duration, bool) {
 	if p.Shutdown == nil {
 		return 0, false
 	}
 	return p.Shutdown.CutIn()
 }
 
-// bound is in how long a job has to end: when its caller leaves, or its entry cuts it before that, which cut tells.
-func (p *Placer) bound(j *Job) (left time.Duration, cut bool) {
+// timeLeft is the time a job has until its caller leaves or, if cut is set, its entry cuts it before that.
+func (p *Placer) timeLeft(j *Job) (left time.Duration, cut bool) {
 	left = j.Deadline.Sub(p.Clock.Now())
-	if cutIn, leaves := p.cutIn(); leaves && cutIn < left {
+	if cutIn, leaves := p.timeToCut(); leaves && cutIn < left {
 		return cutIn, true
 	}
 	return left, false
 }
 
-// checkTimeLeft tells whether a job that takes a time can end before this entry does. One that may have run
-// already goes on: it can't be refused any more.
+// checkTimeLeft reports whether a job that needs some time can end before this entry does. One that may have run
+// already continues, as it can't be refused.
 func (p *Placer) checkTimeLeft(j *Job, takes time.Duration) *ShutdownError {
-	left, cut := p.bound(j)
+	left, cut := p.timeLeft(j)
 	if !cut || j.Again || takes <= left {
 		return nil
 	}
@@ -77,8 +77,8 @@
 	return p.checkTimeLeft(j, time.Duration(paceMargin*float64(place.Ends.Sub(p.Clock.Now()))))
 }
 
-// askInTime is ask for a place at which the reply can end before this entry does; late tells that it
-// can't at the one that was granted.
+// askInTime asks for a place at which the reply can end before this entry does; late reports that it can't at the
+// granted one.
 func (p *Placer) askInTime(ctx context.Context, view *registrar.View, u *registrar.UpstreamView, j *Job, budget time.Duration) (place *Place, v *messenger.Verdict, late *ShutdownError) {
 	place, v = p.ask(ctx, view, u, j, budget)
 	if place == nil {
@@ -92,59 +92,59 @@
 	return place, v, nil
 }
 
-// refuse is the refusal of a job that can't end before this entry does.
-func (p *Placer) refuse(j *Job, err *ShutdownError) *RefusedError {
+// shutdownRefusal returns the refusal of a job that can't end before this entry does.
+func (p *Placer) shutdownRefusal(j *Job, err *ShutdownError) *RefusedError {
 	return &RefusedError{Reason: err.Error(), RetryAfter: p.Shutdown.RetryAfter(j.Route.Host), Shutdown: err, Met: j.met}
 }
 
-// checkTimeLeft tells whether the reply can end before this entry does, if the request can still be refused.
-// Errors are *RefusedError.
+// checkTimeLeft checks that the reply can end before this entry does, if the request can still be refused. Errors
+// are *RefusedError.
 func (r *reception) checkTimeLeft() error {
 	if r.failed {
 		return nil
 	}
-	p, j := r.c.Placer, &r.c.Job
+	p, j := r.call.Placer, &r.call.Job
 	if late := p.checkTimeLeftAt(j, r.place); late != nil {
-		return p.refuse(j, late)
+		return p.shutdownRefusal(j, late)
 	}
 	return nil
 }
 
-// leastTime is how long an engine by its figures takes for a job that it runs alone.
-func leastTime(e *matcher.Engine, j *Job) time.Duration {
+// unloadedTime is how long an engine with these figures takes for a job that it runs alone.
+func unloadedTime(e *matcher.Engine, j *Job) time.Duration {
 	return scheduler.ReadTime(e, j.Prompt) + time.Duration(j.Answer())*scheduler.StepTime(e, 1)
 }
 
-// longAnswer is the size of an answer, in tokens, that is long for its hint; the longest one for a request that
-// comes shortly before the entry cuts it.
-func (j *Job) longAnswer(cutIn time.Duration) int {
+// longAnswerTokens is the size, in tokens, of an answer that is long for its hint; the longest answer for a
+// request that arrives shortly before the entry cuts it.
+func (j *Job) longAnswerTokens(cutIn time.Duration) int {
 	long := int(hintMargin * float64(j.Answer()))
 	switch {
 	case j.MaxAnswer <= 0:
 		return long
-	case cutIn < longestWithin:
+	case cutIn < maxAnswerWithin:
 		return j.MaxAnswer
 	default:
 		return min(long, j.MaxAnswer)
 	}
 }
 
-// sizeToReserve is the size of a job's answer that an agent reserves for, if the usual one is answer.
-func (p *Placer) sizeToReserve(j *Job, answer int) int {
-	if left, cut := p.bound(j); cut {
-		return max(answer, j.longAnswer(left))
+// tokensToReserve is the size of a job's answer for the reservation at an agent, given the usual answer.
+func (p *Placer) tokensToReserve(j *Job, answer int) int {
+	if left, cut := p.timeLeft(j); cut {
+		return max(answer, j.longAnswerTokens(left))
 	}
 	return answer
 }
 
-// isFinal tells whether a job was refused for a reason that waiting doesn't change.
-func isFinal(err error) bool {
+// isFinalRefusal reports whether a job was refused for a reason that waiting doesn't change.
+func isFinalRefusal(err error) bool {
 	var refused *RefusedError
 	return errors.As(err, &refused) && (refused.Shutdown != nil || refused.TooLate)
 }
 
-// isShutdown tells whether a job was refused as this entry leaves.
-func isShutdown(err error) bool {
+// isShutdownRefusal reports whether a job was refused because this entry shuts down.
+func isShutdownRefusal(err error) bool {
 	var refused *RefusedError
 	return errors.As(err, &refused) && refused.Shutdown != nil
 }
--- a/internal/relayer/slow_reader_test.go
+++ b/internal/relayer/slow_reader_test.go
@@ -20,21 +20,22 @@
 )
 
 const (
-	// slowCallers are at an entry at once, and smallBuffer is what their kernel takes for each, in bytes.
+	// slowCallers is the number of concurrent callers, smallBuffer the size of the kernel's buffer for each, in
+	// bytes.
 	slowCallers = 200
 	smallBuffer = 32 << 10
-	// budget is a quarter of the smallest VM's memory, in bytes.
-	budget = 136e6 / 4
+	// memoryBudget is a quarter of the smallest VM's memory, in bytes.
+	memoryBudget = 136e6 / 4
 )
 
-// bounded gives the entry a bound on the memory of requests.
-func (w *world) bounded(bytes int64) *world {
+// withMemoryBound limits the memory of the entry's requests.
+func (w *world) withMemoryBound(bytes int64) *world {
 	w.relayer.Memory = &relayer.Memory{Bytes: bytes, Metrics: w.metrics}
 	return w
 }
 
-// held is what requests hold of the bound.
-func (w *world) held() int64 { return w.counter("memory.held") }
+// heldMemory returns the memory counted for requests.
+func (w *world) heldMemory() int64 { return w.counter("memory.held") }
 
 func (w *world) counter(name string) int64 {
 	c, ok := w.metrics.Get(name).(interface{ Count() int64 })
@@ -44,10 +45,10 @@
 	return c.Count()
 }
 
-// smallListener has the kernel take little for callers that don't read.
-type smallListener struct{ net.Listener }
+// smallBufferListener limits the kernel's write buffers for callers that don't read.
+type smallBufferListener struct{ net.Listener }
 
-func (l smallListener) Accept() (net.Conn, error) {
+func (l smallBufferListener) Accept() (net.Conn, error) {
 	c, err := l.Listener.Accept()
 	if err != nil {
 		return nil, err
@@ -55,23 +56,23 @@
 	return c, c.(*net.TCPConn).SetWriteBuffer(smallBuffer)
 }
 
-// small has a server in front of the entry for whose callers the kernel takes little.
-func (w *world) small(t *testing.T) *world {
+// withSmallBuffers puts a server with small write buffers in front of the entry.
+func (w *world) withSmallBuffers(t *testing.T) *world {
 	s := httptest.NewUnstartedServer(w.relayer)
-	s.Listener = smallListener{s.Listener}
+	s.Listener = smallBufferListener{s.Listener}
 	s.Start()
 	t.Cleanup(s.Close)
 	w.Server = s
 	return w
 }
 
-func within(t *testing.T, d time.Duration, what string, f func() bool) {
+func waitUntil(t *testing.T, d time.Duration, what string, f func() bool) {
 	t.Helper()
 	must.Wait(t, wait.InitialSuccess(wait.BoolFunc(f), wait.Timeout(d), wait.Gap(5*time.Millisecond)), must.Sprint(what))
 }
 
-// dialSmall sends the head of a request on a connection whose kernel takes little for it.
-func (w *world) dialSmall(t *testing.T, path, id, fields string) net.Conn {
+// dialSmallBuffer sends the head of a request on a connection with a small read buffer.
+func (w *world) dialSmallBuffer(t *testing.T, path, id, fields string) net.Conn {
 	t.Helper()
 	conn, err := net.Dial("tcp", w.Listener.Addr().String())
 	must.NoError(t, err)
@@ -82,8 +83,8 @@
 	return conn
 }
 
-// endlessEvents sends long events without ids until its connection is closed, more than the kernel's buffers between an
-// entry and a caller take.
+// endlessEvents sends long events without ids until its connection is closed, more than the kernel's buffers
+// between an entry and a caller hold.
 func endlessEvents(_ int, id string, conn net.Conn) bool {
 	say(conn, streamHead(id))
 	for {
@@ -93,36 +94,36 @@
 	}
 }
 
-// longEvent is shared, so that the upstreams of a test take no memory for it.
+// longEvent is shared, so that the upstreams of a test need no memory for it.
 var longEvent = []byte(chunked("data: " + strings.Repeat("x", 16<<10) + "\n\n"))
 
-// Guards against callers that read nothing, or one byte in 100 ms, and fill the entry's memory or keep slots for
-// good.
-func TestSlowReadersHoldLittleMemory(t *testing.T) {
+// Guards against callers that read nothing, or one byte in 100 ms, and fill the entry's memory or hold slots
+// forever.
+func TestSlowReadersUseLittleMemory(t *testing.T) {
 	u := newUpstream(t, "u1", endlessEvents)
-	w := newWorld(t, u).bounded(budget).small(t)
+	w := newWorld(t, u).withMemoryBound(memoryBudget).withSmallBuffers(t)
 	w.registrar.View().Table.Services["desk"].Connections = 0
 	before := heapInUse()
 	conns := make([]net.Conn, slowCallers)
 	for i := range conns {
-		conns[i] = w.dialSmall(t, "/draft/", fmt.Sprint("r", i), "Patience: 6000\r\nContent-Length: 5\r\n")
+		conns[i] = w.dialSmallBuffer(t, "/draft/", fmt.Sprint("r", i), "Patience: 6000\r\nContent-Length: 5\r\n")
 		_, err := io.WriteString(conns[i], "order")
 		must.NoError(t, err)
 		if i%2 == 0 {
-			go drip(conns[i])
+			go readSlowly(conns[i])
 		}
 	}
 	// Some connect too slowly on a busy machine, and are refused.
-	within(t, patience, "most streams are under way", func() bool { return w.relayer.Chooser.Running("u1") > slowCallers*3/4 })
+	waitUntil(t, patience, "most streams are in progress", func() bool { return w.relayer.Chooser.Running("u1") > slowCallers*3/4 })
 	time.Sleep(2 * time.Second)
 	grown := heapInUse() - before
-	t.Logf("%d streams, the heap grew by %d kB, %d kB are counted", w.relayer.Chooser.Running("u1"), grown>>10, w.held()>>10)
-	must.Less(t, int64(budget), grown)
-	within(t, 10*time.Second, "slots and memory are given back", func() bool { return w.relayer.Chooser.Running("u1") == 0 && w.held() == 0 })
+	t.Logf("%d streams, heap grew by %d kB, %d kB counted", w.relayer.Chooser.Running("u1"), grown>>10, w.heldMemory()>>10)
+	must.Less(t, int64(memoryBudget), grown)
+	waitUntil(t, 10*time.Second, "slots and memory are released", func() bool { return w.relayer.Chooser.Running("u1") == 0 && w.heldMemory() == 0 })
 }
 
-// drip reads one byte in 100 ms.
-func drip(conn net.Conn) {
+// readSlowly reads one byte in 100 ms.
+func readSlowly(conn net.Conn) {
 	for {
 		if _, err := conn.Read(make([]byte, 1)); err != nil {
 			return
@@ -138,9 +139,9 @@
 	return int64(m.HeapAlloc)
 }
 
-// Guards against an upstream that cuts a reply which its caller doesn't read, and is passed over for that, or whose
-// request another upstream starts again.
-func TestUnreadReplyIsTheCallersFault(t *testing.T) {
+// Guards against an upstream that cuts a reply which its caller doesn't read, and is passed over for that, or
+// whose request is sent to another upstream.
+func TestCutOfAnUnreadReplyIsTheCallersFault(t *testing.T) {
 	for _, path := range []string{"/stream/", "/safe/"} {
 		t.Run(path, func(t *testing.T) {
 			var cut atomic.Int64
@@ -159,13 +160,13 @@
 				}
 			}
 			u1, u2 := newUpstream(t, "u1", serve), newUpstream(t, "u2", serve)
-			w := newWorld(t, u1, u2).bounded(budget)
-			conn := w.dialSmall(t, path, "r1", "Content-Length: 5\r\n")
+			w := newWorld(t, u1, u2).withMemoryBound(memoryBudget)
+			conn := w.dialSmallBuffer(t, path, "r1", "Content-Length: 5\r\n")
 			_, err := io.WriteString(conn, "order")
 			must.NoError(t, err)
-			within(t, patience, "the upstream cuts the reply", func() bool { return cut.Load() == 1 })
-			within(t, 2*time.Second, "slot and memory are given back", func() bool {
-				return w.relayer.Chooser.Running("u1") == 0 && w.relayer.Chooser.Running("u2") == 0 && w.held() == 0
+			waitUntil(t, patience, "the upstream cuts the reply", func() bool { return cut.Load() == 1 })
+			waitUntil(t, 2*time.Second, "slot and memory are released", func() bool {
+				return w.relayer.Chooser.Running("u1") == 0 && w.relayer.Chooser.Running("u2") == 0 && w.heldMemory() == 0
 			})
 			must.Len(t, 1, append(u1.came(), u2.came()...))
 			must.False(t, w.relayer.Chooser.Avoided("u1") || w.relayer.Chooser.Avoided("u2"))
@@ -194,12 +195,12 @@
 			return true
 		}
 	}
-	w := newWorld(t, newUpstream(t, "u1", serve("u1")), newUpstream(t, "u2", serve("u2"))).bounded(budget)
+	w := newWorld(t, newUpstream(t, "u1", serve("u1")), newUpstream(t, "u2", serve("u2"))).withMemoryBound(memoryBudget)
 	got := w.ask(t, "/stream/", "r1")
 	must.False(t, got.broken)
 	must.Eq(t, event(0)+event(1), got.body)
 	must.True(t, w.relayer.Chooser.Avoided(first.name))
-	within(t, soon, "memory is given back", func() bool { return w.held() == 0 })
+	waitUntil(t, soon, "memory is released", func() bool { return w.heldMemory() == 0 })
 }
 
 // Guards against a body that is read though it doesn't fit, and against a refusal of a request that runs.
@@ -210,8 +211,8 @@
 	})
 	for name, fields := range map[string]string{"length": "Content-Length: 1048576\r\n", "chunks": "Transfer-Encoding: chunked\r\n"} {
 		t.Run(name, func(t *testing.T) {
-			w := newWorld(t, u).bounded(256 << 10)
-			conn := w.dialSmall(t, "/safe/", "r1", fields+"Expect: 100-continue\r\n")
+			w := newWorld(t, u).withMemoryBound(256 << 10)
+			conn := w.dialSmallBuffer(t, "/safe/", "r1", fields+"Expect: 100-continue\r\n")
 			if name == "chunks" {
 				go func() { _, _ = io.WriteString(conn, strings.Repeat(chunked(strings.Repeat("x", 32<<10)), 8)) }()
 			}
@@ -227,7 +228,7 @@
 			must.Eq(t, http.StatusServiceUnavailable, res.StatusCode)
 			must.NotEq(t, "", res.Header.Get("Retry-After"))
 			must.SliceEmpty(t, u.came())
-			within(t, soon, "memory is given back", func() bool { return w.held() == 0 })
+			waitUntil(t, soon, "memory is released", func() bool { return w.heldMemory() == 0 })
 			must.Eq(t, http.StatusOK, w.ask(t, "/safe/", "r2").status)
 			u.mu.Lock()
 			u.requests = nil
@@ -241,39 +242,39 @@
 	l, err := net.Listen("tcp", "127.0.0.1:0")
 	must.NoError(t, err)
 	defer l.Close()
-	w := newWorld(t, &upstream{name: "u1", listener: l}).bounded(budget)
+	w := newWorld(t, &upstream{name: "u1", listener: l}).withMemoryBound(memoryBudget)
 	const body = 4 << 20
 	c := w.call(t, "/once/", "r1", "", strings.Repeat("x", body), "")
 	conn, err := l.Accept()
 	must.NoError(t, err)
 	defer conn.Close()
 	time.Sleep(300 * time.Millisecond)
-	must.Greater(t, body, w.held())
-	must.Less(t, body+(128<<10), w.held())
+	must.Greater(t, body, w.heldMemory())
+	must.Less(t, body+(128<<10), w.heldMemory())
 	c.Close()
-	within(t, soon, "memory is given back", func() bool { return w.held() == 0 })
+	waitUntil(t, soon, "memory is released", func() bool { return w.heldMemory() == 0 })
 }
 
-// Guards against replies and events that are kept beyond the bound, and against long replies that fail for want of
-// memory.
-func TestReplyThatDoesNotFitIsPassedOnUnkept(t *testing.T) {
+// Guards against replies and events that are buffered beyond the limit, and against long replies that fail for
+// lack of memory.
+func TestReplyThatDoesNotFitIsPassedOnUnbuffered(t *testing.T) {
 	body := strings.Repeat("x", 200<<10)
 	u := newUpstream(t, "u1", func(_ int, id string, conn net.Conn) bool {
 		say(conn, sealed(id, body))
 		return true
 	})
-	w := newWorld(t, u).bounded(100 << 10)
+	w := newWorld(t, u).withMemoryBound(100 << 10)
 	got := w.ask(t, "/safe/", "r1")
 	must.Eq(t, http.StatusOK, got.status)
 	must.True(t, body == got.body)
 	must.Positive(t, w.counter("memory.refused"))
-	within(t, soon, "memory is given back", func() bool { return w.held() == 0 })
+	waitUntil(t, soon, "memory is released", func() bool { return w.heldMemory() == 0 })
 
 	long := newUpstream(t, "u1", func(_ int, id string, conn net.Conn) bool {
 		say(conn, streamHead(id)+chunked("id: 0\ndata: "+body+"\n\n")+"0\r\n\r\n")
 		return true
 	})
-	w = newWorld(t, long, newUpstream(t, "u2", long.answer)).bounded(100 << 10)
+	w = newWorld(t, long, newUpstream(t, "u2", long.answer)).withMemoryBound(100 << 10)
 	must.Eq(t, http.StatusBadGateway, w.ask(t, "/stream/", "r1").status)
 	must.False(t, w.relayer.Chooser.Avoided("u1") || w.relayer.Chooser.Avoided("u2"))
 }
--- a/internal/relayer/stall.go
+++ b/internal/relayer/stall.go
@@ -11,17 +11,17 @@
 )
 
 const (
-	// stallRetry is the pause between two looks at a stalled reply, its hedge or a place for one.
-	stallRetry = 200 * time.Millisecond
+	// stallCheckInterval is the pause between two checks of a stalled reply, its hedge or a place for one.
+	stallCheckInterval = 200 * time.Millisecond
 )
 
-// Read reads what the upstream sends. When nothing comes until the read deadline, stalled decides
-// whether to read on; nil gives up.
+// Read reads from the upstream. When nothing arrives until the read deadline, stalled decides whether to read on;
+// nil gives up.
 func (c *connection) Read(b []byte) (int, error) {
 	for {
 		n, err := c.Conn.Read(b)
 		if n == 0 && c.stalled != nil && errors.Is(err, os.ErrDeadlineExceeded) {
-			n, err = c.readUnread(b)
+			n, err = c.readArrived(b)
 		}
 		if n > 0 {
 			c.lastRead = time.Now()
@@ -32,39 +32,39 @@
 	}
 }
 
-// readUnread reads what has arrived by the read deadline. Behind a deadline net.Conn doesn't look at the socket, so
-// an entry that was suspended would take its own silence for the upstream's.
-func (c *connection) readUnread(b []byte) (int, error) {
+// readArrived reads the data that arrived by the read deadline. After a deadline net.Conn doesn't check the
+// socket, so an entry that was suspended would take its own pause for the upstream's.
+func (c *connection) readArrived(b []byte) (int, error) {
 	if err := c.SetReadDeadline(time.Now().Add(connector.UnreadWithin)); err != nil {
 		return 0, err
 	}
 	n, err := c.Conn.Read(b)
 	if n > 0 {
 		// A connection that is closed meanwhile fails at the next read.
-		_ = c.SetReadDeadline(time.Now().Add(stallRetry))
+		_ = c.SetReadDeadline(time.Now().Add(stallCheckInterval))
 	}
 	return n, err
 }
 
-// readsOn decides what becomes of a reply for which nothing has come for too long. A hedge is made elsewhere, and
-// the silent upstream is given up only once that has a reply: the silence may end, or be that of a full link.
-func (c *call) readsOn(ctx context.Context, place *Place, conn *connection) bool {
+// keepReading decides whether to read on when a reply has stalled. It starts a hedge elsewhere, and gives up the
+// silent upstream only once the hedge has a reply: the silence may end, or be caused by a full link.
+func (c *call) keepReading(ctx context.Context, place *Place, conn *connection) bool {
 	// A connection that is closed meanwhile fails at the next read.
-	_ = conn.SetReadDeadline(time.Now().Add(stallRetry))
-	// The same holds for waking its reader.
-	return c.waitsOn(ctx, place, func() { _ = conn.SetReadDeadline(time.Now()) })
+	_ = conn.SetReadDeadline(time.Now().Add(stallCheckInterval))
+	// The same holds for interrupting its reader.
+	return c.keepWaiting(ctx, place, func() { _ = conn.SetReadDeadline(time.Now()) })
 }
 
-// waitsOn is readsOn for an attempt that is woken, when its hedge is over, by a function.
-func (c *call) waitsOn(ctx context.Context, place *Place, wake func()) bool {
+// keepWaiting is keepReading for an attempt that wake interrupts when its hedge has finished.
+func (c *call) keepWaiting(ctx context.Context, place *Place, wake func()) bool {
 	switch h := c.hedge; {
 	case h == nil:
 		if next := c.placeHedge(ctx); next != nil {
 			c.Chooser.Stalled(place.Upstream.ID)
 			c.startHedge(ctx, next, wake)
 		}
-	case !h.over():
-		if time.Since(h.startedAt) < c.beginWithin(h.place) || h.overSoon() {
+	case !h.finished():
+		if time.Since(h.startedAt) < c.beginWithin(h.place) || h.finishedSoon() {
 			break
 		}
 		if next := c.placeHedge(ctx); next != nil {
@@ -73,19 +73,19 @@
 			c.startHedge(ctx, next, wake)
 		}
 	case h.err != nil:
-		c.hedgeFailed(h)
-	case h.reply.x.failure() == nil:
+		c.recordHedgeFailure(h)
+	case h.reply.exchange.failure() == nil:
 		return false
 	case c.mayRepeatBeside(1):
-		h.drop()
-		c.hedgeFailed(h)
+		h.discardFailure()
+		c.recordHedgeFailure(h)
 	default:
-		// Without an answer from the silent upstream this failure is the caller's.
+		// Without an answer from the silent upstream, this failure is passed on to the caller.
 	}
 	return true
 }
 
-// placeHedge gets a place for an attempt beside those under way; nil if there may be none.
+// placeHedge gets a place for an attempt beside those in progress; nil if none is allowed.
 func (c *call) placeHedge(ctx context.Context) *Place {
 	again, tried, hedges := c.Again, c.Tried, 0
 	defer func() { c.Again, c.Tried = again, tried }()
@@ -110,27 +110,27 @@
 	return place
 }
 
-// placeNext gives the place of the next attempt.
+// placeNext returns the place of the next attempt.
 func (l *Relayer) placeNext(ctx context.Context, j *Job) (*Place, error) {
-	if place := j.next; place != nil {
-		j.next, j.mover.moving = nil, false
+	if place := j.nextPlace; place != nil {
+		j.nextPlace, j.mover.moving = nil, false
 		return place, nil
 	}
 	return l.Placer.Place(ctx, j)
 }
 
-// endMove frees the place of a move that will not be made. That of a hedge is freed with it.
-func (j *Job) endMove() {
+// cancelMove releases the place of a move that will not be made. A hedge's place is released with the hedge.
+func (j *Job) cancelMove() {
 	if j.mover.moving {
 		j.mover.moving = false
-		j.giveBack()
+		j.releaseNextPlace()
 	}
 }
 
-// giveBack frees a place that no attempt will use.
-func (j *Job) giveBack() {
-	if j.next != nil {
-		j.next.Ended()
-		j.next = nil
+// releaseNextPlace releases a place that no attempt will use.
+func (j *Job) releaseNextPlace() {
+	if j.nextPlace != nil {
+		j.nextPlace.Ended()
+		j.nextPlace = nil
 	}
 }
--- a/internal/relayer/stall_test.go
+++ b/internal/relayer/stall_test.go
@@ -12,26 +12,26 @@
 	"github.com/oriolecroft/oriolecroft/internal/retrier"
 )
 
-// stalling streams two events with a pause between them that is longer than allowed.
-func stalling(_ int, id string, conn net.Conn) bool {
+// stallsBetweenEvents streams two events with a longer pause between them than allowed.
+func stallsBetweenEvents(_ int, id string, conn net.Conn) bool {
 	say(conn, streamHead(id)+chunked(event(1)))
 	time.Sleep(relayer.EventGap + 300*time.Millisecond)
 	say(conn, chunked(event(2))+"0\r\n\r\n")
 	return true
 }
 
-// Guards against streams that are cut for a pause of their upstream, as on a full link, although
-// nobody can go on with them.
+// Guards against streams that are cut for a pause of their upstream, as on a full link, although no other
+// upstream can resume them.
 func TestStalledStreamIsNotCut(t *testing.T) {
-	w := newWorld(t, newUpstream(t, "u1", stalling))
+	w := newWorld(t, newUpstream(t, "u1", stallsBetweenEvents))
 	a := w.ask(t, "/stream/", "r1")
 	must.False(t, a.broken)
 	must.Eq(t, event(1)+event(2), a.body)
 }
 
 // Guards against the same while no retry is left in the budget.
-func TestStalledStreamIsNotCutForWantOfARetry(t *testing.T) {
-	u1, u2 := newUpstream(t, "u1", stalling), newUpstream(t, "u2", stalling)
+func TestStalledStreamIsNotCutWithoutARetryBudget(t *testing.T) {
+	u1, u2 := newUpstream(t, "u1", stallsBetweenEvents), newUpstream(t, "u2", stallsBetweenEvents)
 	w := newWorld(t, u1, u2)
 	w.relayer.Budgets = &retrier.Budgets{New: func() *retrier.Budget {
 		return &retrier.Budget{Clock: clock.RealClock{}, Share: 1e-9, Floor: 1e-9, Burst: 1e-9}
@@ -42,8 +42,8 @@
 	must.Eq(t, 1, len(u1.came())+len(u2.came()))
 }
 
-// Guards against waiting for a stalled upstream while another one can go on with the stream.
-func TestStalledStreamGoesOnElsewhere(t *testing.T) {
+// Guards against waiting for a stalled upstream while another one can resume the stream.
+func TestStalledStreamIsResumedAtAnotherUpstream(t *testing.T) {
 	var first once
 	answer := func(name string) func(int, string, net.Conn) bool {
 		return func(_ int, id string, conn net.Conn) bool {
@@ -57,17 +57,17 @@
 		}
 	}
 	w := newWorld(t, newUpstream(t, "u1", answer("u1")), newUpstream(t, "u2", answer("u2")))
-	began := time.Now()
+	start := time.Now()
 	a := w.ask(t, "/stream/", "r1")
 	must.False(t, a.broken)
 	must.Eq(t, event(1)+event(2), a.body)
-	must.Less(t, patience/2, time.Since(began))
+	must.Less(t, patience/2, time.Since(start))
 }
 
-// Guards against an entry that was suspended itself, or took long to find a place, and takes its upstream, whose bytes
-// lie unread, for a silent one.
-func TestBytesThatLieUnreadAreNoSilence(t *testing.T) {
-	for name, looks := range map[string]int{"at the deadline": 0, "after a look": 1} {
+// Guards against an entry that was suspended itself, or took long to find a place, and takes its upstream, whose
+// data arrived meanwhile, for a silent one.
+func TestArrivedBytesAreNotSilence(t *testing.T) {
+	for name, checks := range map[string]int{"at the deadline": 0, "after a check": 1} {
 		t.Run(name, func(t *testing.T) {
 			l, err := net.Listen("tcp", "127.0.0.1:0")
 			must.NoError(t, err)
@@ -78,7 +78,7 @@
 			far, err := l.Accept()
 			must.NoError(t, err)
 			defer far.Close()
-			say := func() {
+			send := func() {
 				_, err := far.Write([]byte("event"))
 				must.NoError(t, err)
 			}
@@ -86,21 +86,21 @@
 			c := relayer.StallingConnection(near, func() bool {
 				stalled++
 				must.NoError(t, near.SetReadDeadline(time.Now().Add(relayer.StallRetry)))
-				if stalled == looks {
-					say()
+				if stalled == checks {
+					send()
 					time.Sleep(2 * relayer.StallRetry)
 				}
 				return true
 			})
-			if looks == 0 {
-				say()
+			if checks == 0 {
+				send()
 			}
 			must.NoError(t, c.SetReadDeadline(time.Now().Add(100*time.Millisecond)))
 			time.Sleep(200 * time.Millisecond)
 			n, err := c.Read(make([]byte, 16))
 			must.NoError(t, err)
 			must.Eq(t, 5, n)
-			must.Eq(t, looks, stalled)
+			must.Eq(t, checks, stalled)
 		})
 	}
 }
--- a/internal/relayer/stream.go
+++ b/internal/relayer/stream.go
@@ -13,30 +13,29 @@
 	"github.com/oriolecroft/oriolecroft/internal/retrier"
 )
 
-// stream is a reply of events that the caller has begun to get.
+// stream is a reply of events that the caller has started to receive.
 type stream struct {
-	// sequence is how far it was handed on.
+	// sequence is how far the stream was relayed.
 	sequence sequence
-	// mediaType is that of its header.
+	// mediaType is the media type in its header.
 	mediaType string
 	events    int
-	// firstAfter is when the first event went out, counted from the arrival.
-	firstAfter time.Duration
-	// longestPause is between two events, and lastAt when the last one went out.
+	// firstEventAfter is the time from the request's arrival to the first event sent.
+	firstEventAfter time.Duration
+	// longestPause is the longest between two events, lastEventAt the time of the last.
 	longestPause time.Duration
-	lastAt       time.Time
+	lastEventAt  time.Time
 }
 
-// maxEvent bounds an event, in bytes.
-const maxEvent = 1 << 20
+// maxEventBytes limits the size of an event.
+const maxEventBytes = 1 << 20
 
-// relayStream hands events on as they come, whole ones only: an upstream that dies
-// may stop in the middle of one, and what another upstream sends next would be
-// joined to the half.
+// relayStream relays events as they arrive, only whole ones: an upstream that dies may stop within an event, and
+// the next upstream's events would be joined to the part.
 func (c *call) relayStream(ctx context.Context, r *receivedReply) error {
-	x := r.x
-	event, err := r.start, r.end
-	// Kept, it would take as much memory again for the whole of the stream.
+	x := r.exchange
+	event, err := r.start, r.endErr
+	// Holding the first event for the whole stream would double the memory.
 	r.start = nil
 	for {
 		ended := errors.Is(err, io.EOF)
@@ -45,7 +44,7 @@
 			err = c.checkWhole(ctx, x, r.place)
 		case err != nil:
 			if c.stream != nil {
-				c.stream.sequence.cut(err)
+				c.stream.sequence.recordCut(err)
 			}
 			err = x.cutError(err)
 		}
@@ -71,71 +70,71 @@
 	}
 }
 
-// next gives the next event of a stream, if it is the one that has to follow.
+// next reads the next event of a stream and checks that it may follow.
 func (r *receivedReply) next(codec Codec) ([]byte, error) {
 	event, err := r.events.Next()
 	if err != nil {
 		return event, err
 	}
-	return event, r.sequence.take(event, codec.EventVersion(event))
+	return event, r.sequence.acceptEvent(event, codec.EventVersion(event))
 }
 
-// FirstEventLimit is how long the first event of a reply may take there.
+// FirstEventLimit is how long the first event of a reply from this place may take.
 func (p *Place) FirstEventLimit() time.Duration {
 	return firstEventFactor*p.Wait + firstEventGrace
 }
 
-// relayEvent hands one event on. The header goes out with the first, so that until
-// then another upstream can take the request over.
+// relayEvent relays one event. The header goes out with the first one, so that until then another upstream can
+// take over the request.
 func (c *call) relayEvent(r *receivedReply, event []byte) error {
-	x := r.x
+	x := r.exchange
 	if c.stream == nil {
-		if err := c.beginReply(x); err != nil {
+		if err := c.startReply(x); err != nil {
 			return err
 		}
-		c.stream = &stream{mediaType: x.mediaType(), firstAfter: c.Clock.Since(c.Arrived)}
+		c.stream = &stream{mediaType: x.mediaType(), firstEventAfter: c.Clock.Since(c.Arrived)}
 		c.writeStreamHeader(x)
-		metrics.GetOrRegisterTimer("firstEvent", c.Metrics).Update(c.stream.firstAfter)
+		metrics.GetOrRegisterTimer("firstEvent", c.Metrics).Update(c.stream.firstEventAfter)
 	}
-	if _, err := c.w.Write(event); err != nil {
-		return c.leftError(x, err)
+	if _, err := c.response.Write(event); err != nil {
+		return c.callerLeftError(x, err)
 	}
-	if err := http.NewResponseController(c.w).Flush(); err != nil {
-		return c.leftError(x, err)
+	if err := http.NewResponseController(c.response).Flush(); err != nil {
+		return c.callerLeftError(x, err)
 	}
-	c.stream.passed(r.sequence, c.Clock.Now())
-	// A stream that goes on elsewhere stays with its weights.
+	c.stream.recordEvent(r.sequence, c.Clock.Now())
+	// A stream that is resumed elsewhere keeps its version of the weights.
 	c.Version, c.unnumbered = r.sequence.version, r.sequence.unnumbered
 	c.EventPassed(&c.Job)
 	c.Chooser.Alive(x.upstream)
 	return nil
 }
 
-// writeStreamHeader hands the header on without a length: another upstream may go on with a stream, and its
-// part may be shorter or longer.
+// writeStreamHeader sends the header without a length: another upstream may resume the stream, and its part may
+// be shorter or longer.
 func (c *call) writeStreamHeader(x *exchange) {
 	x.response.Header.Del("Content-Length")
 	c.writeHeader(x)
 }
 
-// passed notes an event that went out, with which the stream has come that far.
-func (s *stream) passed(at sequence, now time.Time) {
-	s.sequence = at
+// recordEvent records an event that was sent and the position reached with it.
+func (s *stream) recordEvent(reached sequence, now time.Time) {
+	s.sequence = reached
 	if s.events > 0 {
-		s.longestPause = max(s.longestPause, now.Sub(s.lastAt))
+		s.longestPause = max(s.longestPause, now.Sub(s.lastEventAt))
 	}
-	s.lastAt = now
+	s.lastEventAt = now
 	s.events++
 }
 
-func (c *call) leftError(x *exchange, err error) error {
+func (c *call) callerLeftError(x *exchange, err error) error {
 	return &SendError{Upstream: x.upstream, Outcome: retrier.Ran, Err: fmt.Errorf("caller left: %w", err)}
 }
 
-// endStream ends a whole reply, with the line ends behind its last event.
+// endStream ends a whole reply with the line ends after its last event.
 func (c *call) endStream(x *exchange, place *Place, lineEnds []byte) error {
 	if c.stream == nil {
-		if err := c.beginReply(x); err != nil {
+		if err := c.startReply(x); err != nil {
 			x.abandon()
 			return err
 		}
@@ -144,9 +143,9 @@
 		c.stream = &stream{}
 	}
 	if len(lineEnds) > 0 {
-		if _, err := c.w.Write(lineEnds); err != nil {
+		if _, err := c.response.Write(lineEnds); err != nil {
 			x.abandon()
-			return c.leftError(x, err)
+			return c.callerLeftError(x, err)
 		}
 	}
 	x.finish()
--- a/internal/relayer/unread.go
+++ b/internal/relayer/unread.go
@@ -13,42 +13,41 @@
 )
 
 const (
-	// unreadLook is the pause between two looks at a blocked write to a caller, unreadLooks after how many of them
-	// the caller doesn't read. They are counted, as a process that was stopped would take its own pause for the
-	// caller's; it finds one look due.
-	unreadLook  = 250 * time.Millisecond
-	unreadLooks = 4
-	// unreadFor is for how long after a blocked write a cut of the reply is the caller's fault: upstreams cut replies
-	// that nobody reads, and what had come by then is read before the cut shows.
-	unreadFor = 3 * time.Second
-	// writeMargin is how much after a request's deadline its caller may still be written to, and how long any write
-	// may take at least: the final answer goes out shortly before the deadline, and late where this process stood
-	// still.
+	// unreadCheckInterval is the pause between two checks of a blocked write to a caller, which counts as not
+	// reading after unreadChecks of them. Counting keeps a suspension of this process from being taken for a
+	// caller's pause: it finds one check due.
+	unreadCheckInterval = 250 * time.Millisecond
+	unreadChecks        = 4
+	// unreadWindow is how long after a blocked write a cut of the reply is the caller's fault: upstreams cut
+	// replies that callers don't read, and data that arrived before is read before the cut is seen.
+	unreadWindow = 3 * time.Second
+	// writeMargin is how long after a request's deadline writes to its caller may last, and the minimum time for
+	// any write: the final answer is sent shortly before the deadline, and late if this process was suspended.
 	writeMargin = 500 * time.Millisecond
 )
 
 // UnreadError reports a reply that its upstream cut while the caller didn't read it.
 type UnreadError struct {
-	// Cut is how the reply broke off. It isn't unwrapped, as it is no failure of the upstream.
+	// Cut is the error of the reply. It isn't unwrapped, as it is not a failure of the upstream.
 	Cut error
 }
 
 func (e *UnreadError) Error() string { return fmt.Sprintf("caller doesn't read: %v", e.Cut) }
 
-// callerWriter writes to a caller and looks at writes that block. Set the embedded field before use.
+// callerWriter writes to a caller and watches for writes that block. Set the embedded field before use.
 type callerWriter struct {
 	http.ResponseWriter
-	// from is the connection on which the reply comes; nil for none.
-	from atomic.Pointer[connection]
+	// source is the connection from which the reply is read; nil for none.
+	source atomic.Pointer[connection]
 
-	// until is the deadline of writes.
-	until time.Time
+	// deadline is the deadline of writes.
+	deadline time.Time
 
 	mu      sync.Mutex
 	timer   *time.Timer
 	writing bool
-	looks   int
-	// unreadAt is when a write was last seen blocked for unreadLooks.
+	checks  int
+	// unreadAt is when a write was last found blocked for unreadChecks.
 	unreadAt time.Time
 }
 
@@ -57,84 +56,84 @@
 
 // Write implements io.Writer.
 func (w *callerWriter) Write(b []byte) (int, error) {
-	w.begin()
-	defer w.end()
+	w.startWrite()
+	defer w.endWrite()
 	return w.ResponseWriter.Write(b)
 }
 
 // FlushError is for http.ResponseController.
 func (w *callerWriter) FlushError() error {
-	w.begin()
-	defer w.end()
+	w.startWrite()
+	defer w.endWrite()
 	return http.NewResponseController(w.ResponseWriter).Flush()
 }
 
-// limit bounds writes, which block for as long as the caller doesn't read, to the time that it still waits.
-func (w *callerWriter) limit(left time.Duration) {
-	w.until = time.Now().Add(left + writeMargin)
-	// A writer without deadlines, as in tests, says so by an error.
-	_ = http.NewResponseController(w.ResponseWriter).SetWriteDeadline(w.until)
+// setTimeLimit limits writes, which block while the caller doesn't read, to the time that the caller still waits.
+func (w *callerWriter) setTimeLimit(left time.Duration) {
+	w.deadline = time.Now().Add(left + writeMargin)
+	// ResponseWriters without deadlines, as in tests, return an error.
+	_ = http.NewResponseController(w.ResponseWriter).SetWriteDeadline(w.deadline)
 }
 
-func (w *callerWriter) begin() {
-	if time.Until(w.until) < writeMargin {
-		w.limit(0)
+func (w *callerWriter) startWrite() {
+	if time.Until(w.deadline) < writeMargin {
+		w.setTimeLimit(0)
 	}
 	w.mu.Lock()
 	defer w.mu.Unlock()
-	w.writing, w.looks = true, 0
+	w.writing, w.checks = true, 0
 	if w.timer == nil {
-		w.timer = time.AfterFunc(unreadLook, w.look)
+		w.timer = time.AfterFunc(unreadCheckInterval, w.checkBlocked)
 		return
 	}
-	w.timer.Reset(unreadLook)
+	w.timer.Reset(unreadCheckInterval)
 }
 
-func (w *callerWriter) end() {
+func (w *callerWriter) endWrite() {
 	w.mu.Lock()
 	defer w.mu.Unlock()
 	w.timer.Stop()
-	w.note()
+	w.recordBlocked()
 	w.writing = false
 }
 
-// note notes a write that has been blocked for long.
-func (w *callerWriter) note() (blocked bool) {
-	if blocked = w.looks >= unreadLooks; blocked {
+// recordBlocked records a write that has been blocked for long.
+func (w *callerWriter) recordBlocked() (blocked bool) {
+	if blocked = w.checks >= unreadChecks; blocked {
 		w.unreadAt = time.Now()
 	}
 	return blocked
 }
 
-// look ends the writing of a reply that its upstream has cut while the caller doesn't read. Else the caller and its
-// slot would wait for each other until the deadline.
-func (w *callerWriter) look() {
+// checkBlocked ends the write of a reply that its upstream has cut while the caller doesn't read. Otherwise the
+// slot would be held until the deadline.
+func (w *callerWriter) checkBlocked() {
 	w.mu.Lock()
 	defer w.mu.Unlock()
 	if !w.writing {
 		return
 	}
-	w.looks++
-	from := w.from.Load()
-	if w.note() && from != nil && connector.Over(from.Conn) {
+	w.checks++
+	source := w.source.Load()
+	if w.recordBlocked() && source != nil && connector.Over(source.Conn) {
 		// It fails for a connection that is closed already, whose write ends by itself.
 		_ = http.NewResponseController(w.ResponseWriter).SetWriteDeadline(time.Now())
 		return
 	}
-	w.timer.Reset(unreadLook)
+	w.timer.Reset(unreadCheckInterval)
 }
 
-// unread tells whether the caller doesn't read, or lately didn't.
-func (w *callerWriter) unread() bool {
+// recentlyUnread reports whether the caller doesn't read, or recently didn't.
+func (w *callerWriter) recentlyUnread() bool {
 	w.mu.Lock()
 	defer w.mu.Unlock()
-	return !w.unreadAt.IsZero() && time.Since(w.unreadAt) < unreadFor
+	return !w.unreadAt.IsZero() && time.Since(w.unreadAt) < unreadWindow
 }
 
-// unreadError tells a cut of a reply that the caller doesn't read from other errors.
-func (c *call) unreadError(err error) error {
+// wrapUnread marks the cut of a reply that the caller does not read.
+func (c *call) wrapUnread(err error) error {
 	var s *SendError
-	if !c.out.unread() || !isCut(err) || !errors.As(err, &s) {
+	if !c.writer.recentlyUnread() || !isCut(err) || !errors.As(err, &s) {
 		return err
 	}
 	return &SendError{Upstream: s.Upstream, Outcome: s.Outcome, Silence: s.Silence, Err: &UnreadError{Cut: s.Err}}
@@ -145,33 +144,33 @@
 	return errors.As(err, &unread)
 }
 
-// endUnread ends a request whose caller doesn't read its reply. The connection is reset: closed, the kernel would keep
-// what the caller hasn't read.
+// endUnread ends a request whose caller doesn't read its reply. The connection is reset, as after a close the
+// kernel would keep the unread data.
 func (c *call) endUnread(err error, more ...any) {
 	c.count("unread")
 	c.log("Caller doesn't read", err, more...)
 	if c.status == 0 {
-		c.send(http.StatusBadGateway, "request cut", 0)
+		c.writeError(http.StatusBadGateway, "request cut", 0)
 		return
 	}
 	c.resetConnection()
 	panic(http.ErrAbortHandler)
 }
 
-// endEarly ends a plain reply of which a part has gone out, as its upstream or its caller has broken off.
-func (c *call) endEarly(x *exchange, timeout, err error) {
+// endPartial ends a plain reply of which a part was sent, as its upstream or its caller has broken off.
+func (c *call) endPartial(x *exchange, timeout, err error) {
 	x.abandon()
 	var cut *bodyreader.CutError
 	fields := []any{"upstream", x.upstream, "status", c.status, "silence", x.silence()}
 	switch {
-	case c.out.unread():
+	case c.writer.recentlyUnread():
 		c.endUnread(err, fields...)
-	case errors.As(err, &cut) && c.r.Context().Err() == nil:
+	case errors.As(err, &cut) && c.httpRequest.Context().Err() == nil:
 		c.count("cut")
 		c.log("Reply cut", errors.Join(err, timeout), fields...)
 	default:
 		c.count("left")
 		c.log("Caller left", err, fields[:4]...)
 	}
-	c.cutReply()
+	c.abortReply()
 }
--- a/internal/relayer/wait.go
+++ b/internal/relayer/wait.go
@@ -44,7 +44,7 @@
 
 func (p *Placer) place(ctx context.Context, j *Job, began time.Time) (*Place, error) {
 	place, err := p.placeNow(ctx, j)
-	if err == nil || ctx.Err() != nil || isFinal(err) {
+	if err == nil || ctx.Err() != nil || isFinalRefusal(err) {
 		return place, err
 	}
 	service := p.Registrar.View().Table.Services[j.Service]
@@ -60,7 +60,7 @@
 		case <-p.Clock.After(w.pause):
 		}
 		place, err = p.placeNow(ctx, j)
-		if isFinal(err) {
+		if isFinalRefusal(err) {
 			p.endWait(j, w, false, err)
 			return nil, err
 		}
@@ -106,7 +106,7 @@
 // free once, or until its caller or this entry has no more time than a reply takes.
 func (p *Placer) lateWait(j *Job, e *matcher.Engine) slotWait {
 	turnover := time.Duration(max(1, e.Slots)) * scheduler.TurnTime(e)
-	left, _ := p.bound(j)
+	left, _ := p.timeLeft(j)
 	limit := min(turnover, left-turnover)
 	if limit < latePause {
 		return slotWait{pause: latePause}
