--- a/internal/relayer/answer.go
+++ b/internal/relayer/answer.go
@@ -225,7 +225,7 @@
 	if j.standing != nil {
 		fields = append(fields, "priority", j.standing.priority)
 	}
-	if left, leaves := l.Placer.timeToCut(); leaves {
+	if left, draining := l.Placer.timeToCut(); draining {
 		fields = append(fields, "cutIn", left)
 	}
 	if v := l.Registrar.View(); v != nil {
--- a/internal/relayer/logs_test.go
+++ b/internal/relayer/logs_test.go
@@ -186,8 +186,8 @@
 	containsInOrder(t, got, "Refused", "passedOver=2", "whyClosed=old weights")
 }
 
-// Guards against a returned request that can't be told from a first one. Both look the same to the entry but for
-// the time left, and returned requests are placed behind others.
+// Guards against a returned request that the log doesn't distinguish from a first one. Both look the same to the
+// entry but for the time left, and returned requests are placed behind others.
 func TestExplainRefusalOfAReturnedRequest(t *testing.T) {
 	w := newEngineWorld(t, streamsOneEvent, closedLedger("no weights")).withInstantClock()
 	must.Eq(t, http.StatusServiceUnavailable, w.askWithin(t, "/draft", "r1", 6*time.Second).status)
--- a/internal/relayer/relayer_test.go
+++ b/internal/relayer/relayer_test.go
@@ -90,7 +90,7 @@
 	must.Eq(t, "for r2", w.ask(t, "/safe/1", "r2").body)
 }
 
-// Guards against the same after the next request was sent.
+// Guards against the same if it arrives after the next request.
 func TestLateReplyToAnEarlierRequestIsSkipped(t *testing.T) {
 	u := newUpstream(t, "a", func(n int, id string, conn net.Conn) bool {
 		if n == 1 {
@@ -132,7 +132,7 @@
 	must.Eq(t, http.StatusBadGateway, w.ask(t, "/once/1", "r2").status)
 }
 
-// Guards against a success without the upstream's proof.
+// Guards against a success without the upstream's proof, which any sender may forge.
 func TestUnprovenAnswerIsAFailure(t *testing.T) {
 	u := newUpstream(t, "a", func(_ int, id string, conn net.Conn) bool {
 		say(conn, "HTTP/1.1 200 OK\r\nId: "+id+"\r\nContent-Length: 2\r\n\r\nok")
@@ -141,8 +141,8 @@
 	must.Eq(t, http.StatusBadGateway, newWorld(t, u).ask(t, "/once/1", "r1").status)
 }
 
-// Guards against an upstream's own 503, without "not run", that is passed on: it would promise that the request
-// did not run.
+// Guards against an upstream's own 503 without "not run" that is passed on: the request may have run, but the
+// status would promise the caller that it did not.
 func TestStatusThatImpliesNotRunIsNotPassedOn(t *testing.T) {
 	u := newUpstream(t, "a", func(_ int, id string, conn net.Conn) bool {
 		say(conn, "HTTP/1.1 503 Service Unavailable\r\nId: "+id+"\r\nSeal: x\r\nContent-Length: 0\r\n\r\n")
@@ -204,7 +204,8 @@
 	must.True(t, newWorld(t, u).ask(t, "/stream/1", "r1").broken)
 }
 
-// Guards against a silent upstream whose caller gets no timeout, or a promise that the request never ran.
+// Guards against a silent upstream whose caller gets no answer at the route's timeout, or a promise that the
+// request never ran.
 func TestSilentUpstreamTimesOut(t *testing.T) {
 	u := newUpstream(t, "a", func(int, string, net.Conn) bool {
 		time.Sleep(time.Minute)
@@ -269,7 +270,7 @@
 	must.Eq(t, http.StatusServiceUnavailable, w.ask(t, "/safe/1", "r1").status)
 }
 
-// Guards against a caller's key that is sent to an upstream.
+// Guards against a key that is sent to an upstream, which gets the workspace's name.
 func TestKeyIsNotPassedOn(t *testing.T) {
 	u := newUpstream(t, "a", serves)
 	newWorld(t, u).ask(t, "/safe/1", "r1")
--- a/internal/relayer/serve.go
+++ b/internal/relayer/serve.go
@@ -86,8 +86,7 @@
 	return err
 }
 
-// recordFailure updates the state of the request and the upstream after an attempt that failed after a number of
-// events.
+// recordFailure updates the request and the upstream for an attempt that failed after some events.
 func (l *Relayer) recordFailure(j *Job, place *Place, err error, events int) {
 	upstream := place.Upstream.ID
 	j.failed = j.failed || !isLocalFailure(err)
--- a/internal/relayer/shutdown.go
+++ b/internal/relayer/shutdown.go
@@ -53,7 +53,7 @@
 // timeLeft is the time a job has until its caller leaves or, if cut is set, its entry cuts it before that.
 func (p *Placer) timeLeft(j *Job) (left time.Duration, cut bool) {
 	left = j.Deadline.Sub(p.Clock.Now())
-	if cutIn, leaves := p.timeToCut(); leaves && cutIn < left {
+	if cutIn, draining := p.timeToCut(); draining && cutIn < left {
 		return cutIn, true
 	}
 	return left, false
