--- a/internal/relayer/admit.go
+++ b/internal/relayer/admit.go
@@ -42,11 +42,11 @@
 	}
 	l.mu.Lock()
 	defer l.mu.Unlock()
-	if l.longestPatience == nil {
-		l.longestPatience = map[string]time.Duration{}
+	if l.longestTimeLimits == nil {
+		l.longestTimeLimits = map[string]time.Duration{}
 	}
-	longest := max(l.longestPatience[j.Route.Name], j.Patience)
-	l.longestPatience[j.Route.Name] = longest
+	longest := max(l.longestTimeLimits[j.Route.Name], j.Patience)
+	l.longestTimeLimits[j.Route.Name] = longest
 	return float64(j.Patience) < returnedLimitShare*float64(longest)
 }
 
--- a/internal/relayer/late_start_test.go
+++ b/internal/relayer/late_start_test.go
@@ -32,7 +32,7 @@
 // entryWithLedgers is entryWithOldEngines with the given ledgers of agents.
 func entryWithLedgers(t *testing.T, c clock.PassiveClock, ledgers []*scheduler.Ledger, answer func(int, string, net.Conn) bool, address func(*upstream) string) *world {
 	t.Helper()
-	w := engines(t, answer, ledgers...)
+	w := newEngineWorld(t, answer, ledgers...)
 	addresses := map[string]netip.AddrPort{}
 	for _, u := range w.upstreams {
 		addresses[u.name] = netip.MustParseAddrPort(address(u))
@@ -199,7 +199,7 @@
 	// The timer that gives the request up and the write race with each other.
 	for range 10 {
 		c := clocktest.NewFakeClock(time.Now())
-		w := entryWithOldEngines(t, c, 1, streams, directAddress)
+		w := entryWithOldEngines(t, c, 1, streamsOneEvent, directAddress)
 		announce(w.registrar, 2)
 		w.relayer.Pool.Opened = func() { c.Step(weightsBound + time.Second) }
 		w.ask(t, "/draft/", "r1")
--- a/internal/relayer/memory.go
+++ b/internal/relayer/memory.go
@@ -136,8 +136,8 @@
 func (c *call) bodySource(limit int64) io.Reader {
 	// MaxBytesReader needs the server's own writer to close the connection after a body that is too
 	// long.
-	body := http.MaxBytesReader(c.out.ResponseWriter, c.r.Body, limit)
-	if c.r.ContentLength >= 0 {
+	body := http.MaxBytesReader(c.writer.ResponseWriter, c.httpRequest.Body, limit)
+	if c.httpRequest.ContentLength >= 0 {
 		return body
 	}
 	return &countedReader{source: body, account: c.account}
@@ -216,6 +216,6 @@
 func (c *call) copyRemaining(body *bodyreader.Reader) error {
 	buffer := copyBufferPool.Get().(*[copyBufferSize]byte)
 	defer copyBufferPool.Put(buffer)
-	_, err := io.CopyBuffer(c.w, body, buffer[:])
+	_, err := io.CopyBuffer(c.response, body, buffer[:])
 	return err
 }
--- a/internal/relayer/move.go
+++ b/internal/relayer/move.go
@@ -81,7 +81,7 @@
 	if next == nil {
 		return nil
 	}
-	j.next, j.mover.moving = next, true
+	j.nextPlace, j.mover.moving = next, true
 	l.count("moves")
 	moved := &MovedError{To: next.Upstream.ID, Late: ends.Sub(j.Deadline), Gain: ends.Sub(next.Ends)}
 	return &SendError{Upstream: place.Upstream.ID, Outcome: retrier.Ran, Err: moved}
@@ -107,7 +107,7 @@
 	}
 	stride := max(1, e.Stride)
 	left := time.Duration((expected + stride - 1) / stride)
-	ends = now.Add(left * l.eventInterval(j, place, now.Sub(j.begunAt)))
+	ends = now.Add(left * l.eventInterval(j, place, now.Sub(j.firstEventAt)))
 	return ends, ends.Sub(j.Deadline) > moveMargin
 }
 
@@ -187,7 +187,7 @@
 	if endThere.After(j.Deadline) || ends.Sub(endThere) < minMoveGain {
 		return false
 	}
-	if observed := l.Clock.Since(j.begunAt).Seconds() / float64(j.events-1); observed < minMoveSpeedup*slowdown*place.eventInterval.Seconds() {
+	if observed := l.Clock.Since(j.firstEventAt).Seconds() / float64(j.events-1); observed < minMoveSpeedup*slowdown*place.eventInterval.Seconds() {
 		return false
 	}
 	pause := l.Clock.Since(last) + place.First + moveOverhead
--- a/internal/relayer/place.go
+++ b/internal/relayer/place.go
@@ -57,7 +57,7 @@
 	predicted bool
 	// agentUnresponsive is set once an agent didn't answer this request.
 	agentUnresponsive bool
-	tries
+	attemptState
 	// rampOverride is why engines should admit the request beyond their slow start's limit.
 	rampOverride scheduler.RampBypass
 	// callerLeft reports whether the caller has disconnected; nil for one that stays.
--- a/internal/relayer/ramp.go
+++ b/internal/relayer/ramp.go
@@ -42,7 +42,7 @@
 // failed connection by its checks of the engine.
 func (j *Job) recordOutcome(place *Placement, err error) {
 	var s *SendError
-	if !errors.As(err, &s) || keptBack(err) || isOvertaken(err) || j.callerLeft != nil && j.callerLeft() {
+	if !errors.As(err, &s) || isLocalFailure(err) || isOvertaken(err) || j.callerLeft != nil && j.callerLeft() {
 		return
 	}
 	switch {
--- a/internal/relayer/suspended_test.go
+++ b/internal/relayer/suspended_test.go
@@ -177,7 +177,7 @@
 	// full has engines with agents: the second grants nothing.
 	full := func(f *suspendingUpstreams) func(t *testing.T) (*world, *suspendingUpstreams) {
 		return func(t *testing.T) (*world, *suspendingUpstreams) {
-			return engines(t, f.answer("engine"), openLedger(12), closedLedger("full")).resumable(true), f
+			return newEngineWorld(t, f.answer("engine"), openLedger(12), closedLedger("full")).resumable(true), f
 		}
 	}
 	return map[string]func(t *testing.T) (*world, *suspendingUpstreams){
@@ -262,7 +262,7 @@
 	f := suspendAt(beforeHeader)
 	f.arrived, f.closed, f.bothSuspend = make(chan time.Time, 100), make(chan time.Time, 100), true
 	ledgers := []*scheduler.Ledger{openLedger(12), openLedger(12)}
-	w := engines(t, f.answer("engine"), ledgers...).resumable(true).withEventTimeout()
+	w := newEngineWorld(t, f.answer("engine"), ledgers...).resumable(true).withEventTimeout()
 	answered := make(chan error)
 	for i := range 12 {
 		c := w.call(t, "/draft/", fmt.Sprintf("r%d", i), "", "order", "")
--- a/internal/relayer/wait.go
+++ b/internal/relayer/wait.go
@@ -45,7 +45,7 @@
 
 func (p *Placer) placeWithWait(ctx context.Context, j *Job, startedAt time.Time) (*Placement, error) {
 	place, err := p.placeOnce(ctx, j)
-	if err == nil || ctx.Err() != nil || isFinal(err) {
+	if err == nil || ctx.Err() != nil || isFinalRefusal(err) {
 		return place, err
 	}
 	service := p.Registrar.View().Table.Services[j.Service]
@@ -61,7 +61,7 @@
 		case <-p.Clock.After(w.pollInterval):
 		}
 		place, err = p.placeOnce(ctx, j)
-		if isFinal(err) {
+		if isFinalRefusal(err) {
 			p.recordWait(j, w, false, err)
 			return nil, err
 		}
@@ -107,7 +107,7 @@
 // been freed once, or until the time left to its caller or this entry only suffices for a reply.
 func (p *Placer) lateWait(j *Job, e *matcher.Engine) slotWait {
 	turnover := time.Duration(max(1, e.Slots)) * scheduler.SlotTurnaround(e)
-	left, _ := p.bound(j)
+	left, _ := p.timeLeft(j)
 	limit := min(turnover, left-turnover)
 	if limit < latePollInterval {
 		return slotWait{pollInterval: latePollInterval}
