--- a/internal/relayer/two_failures_test.go
+++ b/internal/relayer/two_failures_test.go
@@ -15,38 +15,38 @@
 	"github.com/oriolecroft/oriolecroft/internal/relayer"
 )
 
-// versionedCodec tells of the weights of a reply, too.
-type versionedCodec struct{ codec }
+// versionedCodec also reads the version of a reply's weights.
+type versionedCodec struct{ testCodec }
 
-func (c versionedCodec) Reply(status int, h http.Header) relayer.Reply {
-	r := c.codec.Reply(status, h)
+func (c versionedCodec) ParseReply(status int, h http.Header) relayer.Reply {
+	r := c.testCodec.ParseReply(status, h)
 	r.Version, _ = strconv.ParseUint(h.Get("Version"), 10, 64)
 	return r
 }
 
-// arrived is a request as an upstream with some trouble got it.
-type arrived struct {
+// receivedRequest is a request as a failing upstream received it.
+type receivedRequest struct {
 	id string
 	// from is the first event that the caller doesn't have.
 	from int
 	conn net.Conn
 }
 
-// trouble is what an upstream does with a request instead of serving it.
-type trouble struct {
+// failureMode is what an upstream does with a request instead of serving it.
+type failureMode struct {
 	name string
-	// play writes the reply; false asks for a reset.
-	play func(a arrived) bool
-	// notRun tells that the upstream says so.
+	// respond writes the reply; false requests a reset.
+	respond func(a receivedRequest) bool
+	// notRun reports that the upstream states that the request did not run.
 	notRun bool
 	// status and body are those of a whole reply that is the upstream's own answer; 0 for none.
 	status int
 	body   string
-	// statesEnd tells that a framed stream states that there is nothing behind what the caller has. Only an event that
-	// an upstream had begun shows that there is.
+	// statesEnd reports that a framed stream states that nothing follows what the caller has. Only an event that
+	// an upstream had started disproves it.
 	statesEnd bool
-	// inside tells that the reply breaks off inside an event.
-	inside bool
+	// insideEvent reports that the reply breaks off inside an event.
+	insideEvent bool
 }
 
 // versionEvents are events that weights of a version write.
@@ -57,126 +57,126 @@
 	return strings.ReplaceAll(events(from, to), "data: ", "data: other ")
 }
 
-// streamHeadOf begins a stream from weights of a version, with a framing's header.
+// streamHeadOf starts a stream from weights of a version, with a framing's header.
 func streamHeadOf(id string, version int, framed string) string {
 	return fmt.Sprintf("HTTP/1.1 200 OK\r\nId: %s\r\nSeal: x\r\nVersion: %d\r\nContent-Type: text/event-stream\r\n%s\r\n", id, version, framed)
 }
 
 const chunksFollow = "Transfer-Encoding: chunked\r\n"
 
-// sendsStream sends a part of a stream by chunks, with or without the last chunk.
-func sendsStream(a arrived, version int, text string, ended bool) {
-	say(a.conn, streamHeadOf(a.id, version, chunksFollow))
+// sendStream sends a part of a stream in chunks, with or without the last chunk.
+func sendStream(a receivedRequest, version int, text string, ended bool) {
+	writeString(a.conn, streamHeadOf(a.id, version, chunksFollow))
 	for part := range strings.SplitAfterSeq(text, "\n\n") {
 		if part != "" {
-			say(a.conn, chunked(part))
+			writeString(a.conn, chunked(part))
 		}
 	}
 	if ended {
-		say(a.conn, "0\r\n\r\n")
+		writeString(a.conn, "0\r\n\r\n")
 	}
 }
 
-// whole sends a framed reply that isn't a stream.
-func (a arrived) whole(status, header, body string) bool {
-	say(a.conn, fmt.Sprintf("HTTP/1.1 %s\r\nId: %s\r\n%sContent-Length: %d\r\n\r\n%s", status, a.id, header, len(body), body))
+// sendWhole sends a framed reply that isn't a stream.
+func (a receivedRequest) sendWhole(status, header, body string) bool {
+	writeString(a.conn, fmt.Sprintf("HTTP/1.1 %s\r\nId: %s\r\n%sContent-Length: %d\r\n\r\n%s", status, a.id, header, len(body), body))
 	return true
 }
 
-// answers is a status with a body, as the upstream's own whole reply.
-func answers(status int, body string) trouble {
+// answersWith is a status with a body, as the upstream's own whole reply.
+func answersWith(status int, body string) failureMode {
 	text := fmt.Sprintf("%d %s", status, http.StatusText(status))
-	return trouble{name: "answers " + strconv.Itoa(status), status: status, body: body, play: func(a arrived) bool {
+	return failureMode{name: "answers " + strconv.Itoa(status), status: status, body: body, respond: func(a receivedRequest) bool {
 		if status == http.StatusNoContent {
-			say(a.conn, "HTTP/1.1 "+text+"\r\nId: "+a.id+"\r\nSeal: x\r\n\r\n")
+			writeString(a.conn, "HTTP/1.1 "+text+"\r\nId: "+a.id+"\r\nSeal: x\r\n\r\n")
 			return true
 		}
-		return a.whole(text, "Seal: x\r\n", body)
+		return a.sendWhole(text, "Seal: x\r\n", body)
 	}}
 }
 
-// refusal says that the request did not run and when to come back.
-func refusal() trouble {
-	return trouble{name: "refuses", notRun: true, play: func(a arrived) bool {
-		return a.whole("503 Service Unavailable", "Not-Run: 1\r\nRetry-After: 0.3\r\n", "")
+// refusal states that the request did not run and when to come back.
+func refusal() failureMode {
+	return failureMode{name: "refuses", notRun: true, respond: func(a receivedRequest) bool {
+		return a.sendWhole("503 Service Unavailable", "Not-Run: 1\r\nRetry-After: 0.3\r\n", "")
 	}}
 }
 
-// half is an event and the beginning of the next one.
-func half(from int) string { return event(from) + event(from + 1)[:9] }
+// eventAndHalf is an event and the start of the next one.
+func eventAndHalf(from int) string { return event(from) + event(from + 1)[:9] }
 
-// breaksOff sends a part of a stream behind a header of its framing, and ends it in some way.
-func breaksOff(name, framed string, text func(from int) string, end func(a arrived) bool) trouble {
-	return trouble{name: name, play: func(a arrived) bool {
+// breaksOffStream sends a part of a stream after a header of its framing, and ends it in the given way.
+func breaksOffStream(name, framed string, text func(from int) string, end func(a receivedRequest) bool) failureMode {
+	return failureMode{name: name, respond: func(a receivedRequest) bool {
 		if framed == chunksFollow {
-			sendsStream(a, 1, text(a.from), false)
+			sendStream(a, 1, text(a.from), false)
 		} else {
-			say(a.conn, streamHeadOf(a.id, 1, strings.ReplaceAll(framed, "N", strconv.Itoa(len(text(a.from)))))+text(a.from))
+			writeString(a.conn, streamHeadOf(a.id, 1, strings.ReplaceAll(framed, "N", strconv.Itoa(len(text(a.from)))))+text(a.from))
 		}
 		return end(a)
 	}}
 }
 
 // The ends of a reply that isn't whole.
-func resetEnd(arrived) bool      { return false }
-func closedEnd(a arrived) bool   { return a.conn.Close() == nil }
-func framedEnd(a arrived) bool   { say(a.conn, "0\r\n\r\n"); return true }
-func statedEnd(arrived) bool     { return true }
-func timedOutEnd(a arrived) bool { return staysSilent(0, a.id, a.conn) }
+func resetEnd(receivedRequest) bool      { return false }
+func closedEnd(a receivedRequest) bool   { return a.conn.Close() == nil }
+func framedEnd(a receivedRequest) bool   { writeString(a.conn, "0\r\n\r\n"); return true }
+func statedEnd(receivedRequest) bool     { return true }
+func timedOutEnd(a receivedRequest) bool { return staysSilent(0, a.id, a.conn) }
 
-// silentEnd is silent for long enough that another upstream gets the request, and then resets.
-func silentEnd(arrived) bool {
-	time.Sleep(silence)
+// silentEnd sends nothing for so long that another upstream gets the request, and then resets.
+func silentEnd(receivedRequest) bool {
+	time.Sleep(replyPause)
 	return false
 }
 
-// cuts are the ways in which an upstream may break a stream off behind its first event.
-func cuts() []trouble {
+// streamCuts are the ways in which an upstream may break a stream off after its first event.
+func streamCuts() []failureMode {
 	two := func(from int) string { return events(from, from+2) }
-	inside := func(x trouble) trouble {
-		x.inside = true
+	inside := func(x failureMode) failureMode {
+		x.insideEvent = true
 		return x
 	}
-	return []trouble{
-		inside(breaksOff("resets inside an event", chunksFollow, half, resetEnd)),
-		breaksOff("resets between events", chunksFollow, two, resetEnd),
-		breaksOff("resets between events without framing", "", two, resetEnd),
-		inside(breaksOff("ends regularly inside an event", chunksFollow, half, framedEnd)),
-		inside(breaksOff("ends at its length inside an event", "Content-Length: N\r\n", half, statedEnd)),
-		inside(breaksOff("ends with its connection inside an event", "", half, closedEnd)),
-		breaksOff("closes without the last chunk", chunksFollow, two, closedEnd),
-		breaksOff("falls silent", chunksFollow, two, silentEnd),
+	return []failureMode{
+		inside(breaksOffStream("resets inside an event", chunksFollow, eventAndHalf, resetEnd)),
+		breaksOffStream("resets between events", chunksFollow, two, resetEnd),
+		breaksOffStream("resets between events without framing", "", two, resetEnd),
+		inside(breaksOffStream("ends regularly inside an event", chunksFollow, eventAndHalf, framedEnd)),
+		inside(breaksOffStream("ends at its length inside an event", "Content-Length: N\r\n", eventAndHalf, statedEnd)),
+		inside(breaksOffStream("ends with its connection inside an event", "", eventAndHalf, closedEnd)),
+		breaksOffStream("closes without the last chunk", chunksFollow, two, closedEnd),
+		breaksOffStream("falls silent", chunksFollow, two, silentEnd),
 	}
 }
 
-// failures are the ways in which an upstream may fail before the first event of a stream.
-func failures() []trouble {
-	return []trouble{
-		breaksOff("resets before any event", chunksFollow, func(int) string { return "" }, resetEnd),
-		{name: "resets before the header", play: resetEnd},
-		{name: "stays silent", play: timedOutEnd},
-		answers(http.StatusInternalServerError, "out of memory"),
+// earlyFailures are the ways in which an upstream may fail before the first event of a stream.
+func earlyFailures() []failureMode {
+	return []failureMode{
+		breaksOffStream("resets before any event", chunksFollow, func(int) string { return "" }, resetEnd),
+		{name: "resets before the header", respond: resetEnd},
+		{name: "stays silent", respond: timedOutEnd},
+		answersWith(http.StatusInternalServerError, "out of memory"),
 		refusal(),
 	}
 }
 
-// goesOn is the upstream that is well.
+// goesOn is the name of the outcome where the stream is resumed correctly.
 const goesOn = "goes on"
 
-// others are the ways in which an upstream that is to go on with a stream may fail besides. With nothing to go on
-// with they send what they hold.
-func others() []trouble {
-	rest := func(name string, version int, text func(from int) string) trouble {
-		return trouble{name: name, play: func(a arrived) bool {
+// resumeOutcomes are the further ways in which an upstream that should resume a stream may answer. With nothing
+// to resume they send the whole stream.
+func resumeOutcomes() []failureMode {
+	rest := func(name string, version int, text func(from int) string) failureMode {
+		return failureMode{name: name, respond: func(a receivedRequest) bool {
 			if a.from == 0 {
-				sendsStream(a, version, versionEvents(version, 0, streamLength), true)
+				sendStream(a, version, versionEvents(version, 0, streamLength), true)
 			} else {
-				sendsStream(a, version, text(a.from), true)
+				sendStream(a, version, text(a.from), true)
 			}
 			return true
 		}}
 	}
-	return []trouble{
+	return []failureMode{
 		rest(goesOn, 1, func(from int) string { return events(from, streamLength) }),
 		rest("repeats an event", 1, func(from int) string { return events(from-1, streamLength) }),
 		rest("restarts", 1, func(int) string { return events(0, streamLength) }),
@@ -184,90 +184,90 @@
 		rest("leaves a later event out", 1, func(from int) string { return event(from) + events(from+2, streamLength+1) }),
 		rest("repeats a later event", 1, func(from int) string { return event(from) + events(from, streamLength) }),
 		rest("has other weights", 2, func(from int) string { return versionEvents(2, from, streamLength) }),
-		answers(http.StatusNotFound, "no such thing"),
-		answers(http.StatusNoContent, ""),
-		answers(http.StatusCreated, "made"),
-		{name: "answers 200 with another type", status: http.StatusOK, body: "all of it", play: func(a arrived) bool {
-			return a.whole("200 OK", "Seal: x\r\nVersion: 1\r\nContent-Type: text/plain\r\n", "all of it")
+		answersWith(http.StatusNotFound, "no such thing"),
+		answersWith(http.StatusNoContent, ""),
+		answersWith(http.StatusCreated, "made"),
+		{name: "answers 200 with another type", status: http.StatusOK, body: "all of it", respond: func(a receivedRequest) bool {
+			return a.sendWhole("200 OK", "Seal: x\r\nVersion: 1\r\nContent-Type: text/plain\r\n", "all of it")
 		}},
-		{name: "answers 200 with another type that looks like an event", status: http.StatusOK, body: event(0), play: func(a arrived) bool {
-			return a.whole("200 OK", "Seal: x\r\nVersion: 1\r\nContent-Type: text/plain\r\n", event(a.from))
+		{name: "answers 200 with another type that looks like an event", status: http.StatusOK, body: event(0), respond: func(a receivedRequest) bool {
+			return a.sendWhole("200 OK", "Seal: x\r\nVersion: 1\r\nContent-Type: text/plain\r\n", event(a.from))
 		}},
-		{name: "answers 200 with nothing", status: http.StatusOK, statesEnd: true, play: func(a arrived) bool {
-			return a.whole("200 OK", "Seal: x\r\nVersion: 1\r\nContent-Type: text/event-stream\r\n", "")
+		{name: "answers 200 with nothing", status: http.StatusOK, statesEnd: true, respond: func(a receivedRequest) bool {
+			return a.sendWhole("200 OK", "Seal: x\r\nVersion: 1\r\nContent-Type: text/event-stream\r\n", "")
 		}},
-		{name: "answers without a seal", play: func(a arrived) bool {
-			return a.whole("200 OK", "Version: 1\r\nContent-Type: text/event-stream\r\n", events(a.from, streamLength))
+		{name: "answers without a seal", respond: func(a receivedRequest) bool {
+			return a.sendWhole("200 OK", "Version: 1\r\nContent-Type: text/event-stream\r\n", events(a.from, streamLength))
 		}},
-		{name: "answers another request", play: func(a arrived) bool {
+		{name: "answers another request", respond: func(a receivedRequest) bool {
 			a.id = "r0"
-			return a.whole("200 OK", "Seal: x\r\nVersion: 1\r\nContent-Type: text/event-stream\r\n", events(a.from, streamLength))
+			return a.sendWhole("200 OK", "Seal: x\r\nVersion: 1\r\nContent-Type: text/event-stream\r\n", events(a.from, streamLength))
 		}},
 	}
 }
 
-// plainBreaks are the ways in which an upstream may break a plain reply off, or fail before it.
-func plainBreaks() []trouble {
-	part := func(name, text string, end func(a arrived) bool) trouble {
-		return trouble{name: name, play: func(a arrived) bool {
-			say(a.conn, "HTTP/1.1 200 OK\r\nId: "+a.id+"\r\nSeal: x\r\n"+text)
+// plainFailures are the ways in which an upstream may break a plain reply off, or fail before it.
+func plainFailures() []failureMode {
+	part := func(name, text string, end func(a receivedRequest) bool) failureMode {
+		return failureMode{name: name, respond: func(a receivedRequest) bool {
+			writeString(a.conn, "HTTP/1.1 200 OK\r\nId: "+a.id+"\r\nSeal: x\r\n"+text)
 			return end(a)
 		}}
 	}
-	return []trouble{
+	return []failureMode{
 		part("resets inside its length", "Content-Length: 9\r\n\r\nall", resetEnd),
 		part("closes inside its length", "Content-Length: 9\r\n\r\nall", closedEnd),
 		part("closes without the last chunk", chunksFollow+"\r\n"+chunked("all"), closedEnd),
 		part("resets without framing", "\r\nall", resetEnd),
 		part("falls silent", "Content-Length: 9\r\n\r\nall", silentEnd),
-		{name: "resets before the header", play: resetEnd},
-		answers(http.StatusInternalServerError, "out of memory"),
+		{name: "resets before the header", respond: resetEnd},
+		answersWith(http.StatusInternalServerError, "out of memory"),
 		refusal(),
 	}
 }
 
-// plainOthers are the ways in which an upstream that gets a plain request next may fail, or answer it.
-func plainOthers() []trouble {
-	return []trouble{
-		answers(http.StatusOK, "all of it"), answers(http.StatusNotFound, "no such thing"), answers(http.StatusNoContent, ""),
-		answers(http.StatusCreated, "made"),
-		{name: "answers without a seal", play: func(a arrived) bool { return a.whole("200 OK", "", "all of it") }},
-		{name: "answers another request", play: func(a arrived) bool { a.id = "r0"; return a.whole("200 OK", "Seal: x\r\n", "all of it") }},
+// plainOutcomes are the ways in which an upstream that gets a plain request next may fail, or answer it.
+func plainOutcomes() []failureMode {
+	return []failureMode{
+		answersWith(http.StatusOK, "all of it"), answersWith(http.StatusNotFound, "no such thing"), answersWith(http.StatusNoContent, ""),
+		answersWith(http.StatusCreated, "made"),
+		{name: "answers without a seal", respond: func(a receivedRequest) bool { return a.sendWhole("200 OK", "", "all of it") }},
+		{name: "answers another request", respond: func(a receivedRequest) bool { a.id = "r0"; return a.sendWhole("200 OK", "Seal: x\r\n", "all of it") }},
 	}
 }
 
 // pairTimeout is the timeout of a route on which two upstreams fail.
 const pairTimeout = 2500 * time.Millisecond
 
-// playPair has one request fail at two upstreams in turn, and gives what its caller got and how many upstreams ran it.
-func playPair(t *testing.T, path string, one, two trouble) (a answer, ran int) {
-	var first once
+// requestAtTwoUpstreams has a request fail at two upstreams in turn, and returns the answer and how many ran it.
+func requestAtTwoUpstreams(t *testing.T, path string, one, two failureMode) (a answer, ran int) {
+	var first firstUpstream
 	var us []*upstream
 	for _, name := range []string{"u1", "u2"} {
 		var u *upstream
 		u = newUpstream(t, name, func(n int, id string, conn net.Conn) bool {
-			got := arrived{id: id, conn: conn}
+			got := receivedRequest{id: id, conn: conn}
 			if last, err := strconv.Atoi(u.header(n).Get("Last")); err == nil {
 				got.from = last + 1
 			}
-			if first.is(name) {
-				return one.play(got)
+			if first.claim(name) {
+				return one.respond(got)
 			}
-			return two.play(got)
+			return two.respond(got)
 		})
 		us = append(us, u)
 	}
-	w := newWorld(t, us...)
+	w := newTestEntry(t, us...)
 	w.relayer.Codec = versionedCodec{}
 	for _, r := range w.registrar.View().Table.Routes {
 		r.Timeout = pairTimeout
 	}
-	a = w.ask(t, path, "r1")
+	a = w.request(t, path, "r1")
 	for _, u := range us {
-		came := u.came()
+		came := u.received()
 		must.LessEq(t, 1, len(came))
 		notRun := two.notRun
-		if first.is(u.name) {
+		if first.claim(u.name) {
 			notRun = one.notRun
 		}
 		if len(came) > 0 && !notRun {
@@ -277,8 +277,8 @@
 	return a, ran
 }
 
-// mustBeHonest checks a reply that isn't joined from two: an upstream's whole one, or a status of the entry's own.
-func mustBeHonest(t *testing.T, a answer, ran int, troubles ...trouble) {
+// mustBeUnmixedReply checks that a reply is one upstream's whole one, or a status of the entry's own.
+func mustBeUnmixedReply(t *testing.T, a answer, ran int, troubles ...failureMode) {
 	t.Helper()
 	must.False(t, a.broken)
 	promises := []int{http.StatusRequestTimeout, http.StatusMisdirectedRequest, http.StatusTooManyRequests, http.StatusServiceUnavailable}
@@ -290,15 +290,15 @@
 		must.GreaterEq(t, http.StatusInternalServerError, a.status)
 		return
 	}
-	must.True(t, slices.ContainsFunc(troubles, func(x trouble) bool { return x.status == a.status && x.body == a.body }),
+	must.True(t, slices.ContainsFunc(troubles, func(x failureMode) bool { return x.status == a.status && x.body == a.body }),
 		must.Sprintf("status %d, %q ends as complete and is no upstream's whole reply", a.status, a.body))
 }
 
-// mustBeCompleteOrCut checks a stream: its caller has all events, or can tell that it hasn't.
-func mustBeCompleteOrCut(t *testing.T, a answer, ran int, one, two trouble) {
+// mustBeCompleteOrCut checks a stream: its caller has all events, or can detect that some are missing.
+func mustBeCompleteOrCut(t *testing.T, a answer, ran int, one, two failureMode) {
 	t.Helper()
 	wholes := []string{versionEvents(1, 0, streamLength), versionEvents(2, 0, streamLength)}
-	if two.statesEnd && !one.inside {
+	if two.statesEnd && !one.insideEvent {
 		wholes = append(wholes, events(0, 2))
 	}
 	switch {
@@ -306,19 +306,19 @@
 		must.True(t, slices.ContainsFunc(wholes, func(whole string) bool { return strings.HasPrefix(whole, a.body) }), must.Sprintf("%q", a.body))
 	case a.status == http.StatusOK && slices.Contains(wholes, a.body):
 	default:
-		mustBeHonest(t, a, ran, one, two)
+		mustBeUnmixedReply(t, a, ran, one, two)
 	}
 }
 
-// Guards against a stream that ends as complete without all its events, once each and from one version, after two
-// upstreams have failed at it in turn.
+// Guards against a stream that ends as complete without all its events, once each and from one version, after
+// two upstreams have failed at it in turn.
 func TestStreamThatFailsTwiceIsCompleteOrCut(t *testing.T) {
-	for begun, ones := range map[string][]trouble{"begun": cuts(), "not begun": failures()} {
-		for _, two := range slices.Concat(cuts(), failures(), others()) {
+	for begun, ones := range map[string][]failureMode{"begun": streamCuts(), "not begun": earlyFailures()} {
+		for _, two := range slices.Concat(streamCuts(), earlyFailures(), resumeOutcomes()) {
 			for _, one := range ones {
 				t.Run(begun+", then "+two.name+"/"+one.name, func(t *testing.T) {
 					t.Parallel()
-					a, ran := playPair(t, "/stream/", one, two)
+					a, ran := requestAtTwoUpstreams(t, "/stream/", one, two)
 					mustBeCompleteOrCut(t, a, ran, one, two)
 					if two.name == goesOn {
 						must.False(t, a.broken)
@@ -332,12 +332,12 @@
 
 // Guards against a plain reply that is no upstream's whole one, after two upstreams have failed at it in turn.
 func TestPlainRequestThatFailsTwiceGetsAnHonestAnswer(t *testing.T) {
-	for _, one := range plainBreaks() {
-		for _, two := range slices.Concat(plainBreaks(), plainOthers()) {
+	for _, one := range plainFailures() {
+		for _, two := range slices.Concat(plainFailures(), plainOutcomes()) {
 			t.Run(one.name+", then "+two.name, func(t *testing.T) {
 				t.Parallel()
-				a, ran := playPair(t, "/safe/", one, two)
-				mustBeHonest(t, a, ran, one, two)
+				a, ran := requestAtTwoUpstreams(t, "/safe/", one, two)
+				mustBeUnmixedReply(t, a, ran, one, two)
 				if two.status == http.StatusOK {
 					must.Eq(t, http.StatusOK, a.status)
 				}
--- a/internal/relayer/unread.go
+++ b/internal/relayer/unread.go
@@ -134,7 +134,7 @@
 // unreadError tells a cut of a reply that the caller doesn't read from other errors.
 func (c *call) unreadError(err error) error {
 	var s *SendError
-	if !c.out.unread() || !isCut(err) || !errors.As(err, &s) {
+	if !c.out.unread() || !isConnectionCut(err) || !errors.As(err, &s) {
 		return err
 	}
 	return &SendError{Upstream: s.Upstream, Outcome: s.Outcome, Silence: s.Silence, Err: &UnreadError{Cut: s.Err}}
@@ -162,7 +162,7 @@
 func (c *call) endEarly(x *exchange, timeout, err error) {
 	x.abandon()
 	var cut *bodyreader.CutError
-	fields := []any{"upstream", x.upstream, "status", c.status, "silence", x.silence()}
+	fields := []any{"upstream", x.upstream, "status", c.status, "silence", x.sinceLastRead()}
 	switch {
 	case c.out.unread():
 		c.endUnread(err, fields...)
--- a/internal/relayer/upstream_limit_test.go
+++ b/internal/relayer/upstream_limit_test.go
@@ -52,8 +52,8 @@
 }
 
 // limitedEntries are entries that know each other, before upstreams of one service.
-func limitedEntries(t *testing.T, n int, service *matcher.Service, us ...registrar.Upstream) []*world {
-	route := &matcher.Route{Name: "r", Host: "127.0.0.1", Prefix: "/", Kind: matcher.Idempotent, Timeout: patience, MaxAttempts: 2,
+func limitedEntries(t *testing.T, n int, service *matcher.Service, us ...registrar.Upstream) []*testEntry {
+	route := &matcher.Route{Name: "r", Host: "127.0.0.1", Prefix: "/", Kind: matcher.Idempotent, Timeout: stepTimeout, MaxAttempts: 2,
 		Public: true, Generates: service.Engine != nil, Targets: []matcher.Target{{Service: service.Name, Weight: 1}}}
 	table := &matcher.Table{Version: 1, Routes: []*matcher.Route{route}, Services: map[string]*matcher.Service{service.Name: service}}
 	table.Index()
@@ -75,11 +75,11 @@
 	for i := range n {
 		b.Records = append(b.Records, registrar.Record{Key: fmt.Sprintf("entry-%d", i), Revision: uint64(i) + 100})
 	}
-	var ws []*world
+	var ws []*testEntry
 	for range n {
 		reg := &registrar.Registrar{Clock: clock.RealClock{}, Decode: decode}
 		reg.Apply(b)
-		w := newWorldOf(t, reg, nil)
+		w := newTestEntryWith(t, reg, nil)
 		w.relayer.Codec = platform.Headers{}
 		ws = append(ws, w)
 	}
@@ -87,7 +87,7 @@
 }
 
 // loadEntries sends requests through all entries for a while, and gives how many were served.
-func loadEntries(t *testing.T, ws []*world, each, last time.Duration) (served int) {
+func loadEntries(t *testing.T, ws []*testEntry, each, last time.Duration) (served int) {
 	t.Helper()
 	var mu sync.Mutex
 	var all sync.WaitGroup
--- a/internal/relayer/upstream_rest_test.go
+++ b/internal/relayer/upstream_rest_test.go
@@ -170,13 +170,13 @@
 func atOnce() time.Duration { return 0 }
 
 // ask sends one request through an entry and gives the status and the time to come back.
-func ask(t *testing.T, w *world, id string) (status int, retryAfter, took time.Duration) {
+func ask(t *testing.T, w *testEntry, id string) (status int, retryAfter, took time.Duration) {
 	t.Helper()
 	return askAs(t, w, "0", id)
 }
 
 // askAs is ask through an entry of a name.
-func askAs(t *testing.T, w *world, entry, id string) (status int, retryAfter, took time.Duration) {
+func askAs(t *testing.T, w *testEntry, entry, id string) (status int, retryAfter, took time.Duration) {
 	t.Helper()
 	began := time.Now()
 	r, err := http.NewRequestWithContext(context.Background(), http.MethodPost, w.URL+"/", strings.NewReader(entry))
@@ -191,11 +191,11 @@
 }
 
 // informAll has each entry send requests until an upstream has informed it something.
-func informAll(t *testing.T, ws []*world, u *statingUpstream) {
+func informAll(t *testing.T, ws []*testEntry, u *statingUpstream) {
 	t.Helper()
 	for i, w := range ws {
 		for n, began := 0, time.Now(); !u.isInformed(fmt.Sprint(i)); n++ {
-			must.Less(t, patience, time.Since(began))
+			must.Less(t, stepTimeout, time.Since(began))
 			_, _, _ = askAs(t, w, fmt.Sprint(i), fmt.Sprintf("%d-%d", i, n))
 		}
 	}
--- a/internal/relayer/upstream_restart_test.go
+++ b/internal/relayer/upstream_restart_test.go
@@ -12,10 +12,10 @@
 	"github.com/oriolecroft/oriolecroft/internal/registrar"
 )
 
-// restartableEntry is an entry before one upstream whose record gets another start by each call of
-// restarted; the first is at the time given.
-func restartableEntry(t *testing.T, u *statingUpstream, startedAt time.Time) (w *world, restarted func(at time.Time)) {
-	route := &matcher.Route{Name: "r", Host: "127.0.0.1", Prefix: "/", Kind: matcher.Idempotent, Timeout: patience, MaxAttempts: 2,
+// newRestartableEntry starts an entry with one upstream whose record gets another start by each call of restart;
+// the first is at the time given.
+func newRestartableEntry(t *testing.T, u *statingUpstream, startedAt time.Time) (w *testEntry, restart func(at time.Time)) {
+	route := &matcher.Route{Name: "r", Host: "127.0.0.1", Prefix: "/", Kind: matcher.Idempotent, Timeout: stepTimeout, MaxAttempts: 2,
 		Public: true, Targets: []matcher.Target{{Service: "desk", Weight: 1}}}
 	table := &matcher.Table{Version: 1, Routes: []*matcher.Route{route}, Services: map[string]*matcher.Service{"desk": {Name: "desk"}}}
 	table.Index()
@@ -28,26 +28,26 @@
 		return r, r.StartedAt.UnmarshalText(value)
 	}}
 	revision := uint64(10)
-	restarted = func(at time.Time) {
+	restart = func(at time.Time) {
 		text, err := at.MarshalText()
 		must.NoError(t, err)
 		revision++
 		reg.Apply(registrar.Batch{At: revision, Records: []registrar.Record{{Key: "u", Value: text, Revision: revision}}})
 	}
 	reg.Apply(registrar.Batch{Whole: true, At: revision, Records: []registrar.Record{{Key: "table", Revision: 1}}})
-	restarted(startedAt)
-	return newWorldOf(t, reg, nil), restarted
+	restart(startedAt)
+	return newTestEntryWith(t, reg, nil), restart
 }
 
-// Guards against a start of an upstream that gets nothing, as a former start under its ID had asked for
-// rest or stated that it leaves.
-func TestUpstreamThatStartsAnewIsUsedAtOnce(t *testing.T) {
+// Guards against sending nothing to a restarted upstream because a former start under its ID had asked for a
+// backoff or stated that it leaves.
+func TestRestartedUpstreamIsUsedAtOnce(t *testing.T) {
 	for name, conduct := range map[string]func(u *statingUpstream, w http.ResponseWriter, entry string){
 		"rest": asksForRest(time.Minute), "leaving": statesLeaving,
 	} {
 		t.Run(name, func(t *testing.T) {
 			u := newStatingUpstream(t, conduct)
-			w, restarted := restartableEntry(t, u, time.Now().Add(-time.Minute))
+			w, restart := newRestartableEntry(t, u, time.Now().Add(-time.Minute))
 			w.relayer.Codec = platformCodec
 			_, _, _ = ask(t, w, "first")
 			status, _, _ := ask(t, w, "second")
@@ -56,21 +56,21 @@
 			must.Len(t, 1, u.arrived["0"])
 			u.conduct = func(w http.ResponseWriter, _ *http.Request, _ string) { serveWhole(w) }
 			u.mu.Unlock()
-			restarted(time.Now())
+			restart(time.Now())
 			status, _, _ = ask(t, w, "third")
 			must.Eq(t, http.StatusOK, status)
 		})
 	}
 }
 
-// Guards against a rest that is forgotten when the record of the start that asked for it is heard.
-func TestRestOutlivesTheLateRecordOfItsStart(t *testing.T) {
+// Guards against losing a backoff when the record of the start that asked for it arrives.
+func TestBackoffOutlivesTheLateRecordOfItsStart(t *testing.T) {
 	u := newStatingUpstream(t, asksForRest(time.Minute))
 	startedAt := time.Now().Add(-time.Second)
-	w, restarted := restartableEntry(t, u, startedAt.Add(-time.Minute))
+	w, restart := newRestartableEntry(t, u, startedAt.Add(-time.Minute))
 	w.relayer.Codec = platformCodec
 	_, _, _ = ask(t, w, "first")
-	restarted(startedAt)
+	restart(startedAt)
 	status, retryAfter, _ := ask(t, w, "second")
 	must.Eq(t, http.StatusServiceUnavailable, status)
 	must.GreaterEq(t, 50*time.Second, retryAfter)
--- a/internal/relayer/upstreams_test.go
+++ b/internal/relayer/upstreams_test.go
@@ -15,58 +15,56 @@
 	clocktest "k8s.io/utils/clock/testing"
 )
 
-// An upstream says at its health path that it is well, and fails every request. Requests
-// must end up at the others, and after a few it must get next to nothing, whatever it says
-// of itself.
-func TestUpstreamThatOnlyCallsItselfWellIsLeft(t *testing.T) {
+// Guards against trusting a health path: an upstream reports there that it is healthy, and fails every request.
+// Requests must end up at the others, and after a few it must get next to none.
+func TestFailingUpstreamIsSkippedDespiteItsHealthPath(t *testing.T) {
 	const asked = 200
 	for name, fail := range map[string]func(int, string, net.Conn) bool{
 		"errors": func(_ int, id string, conn net.Conn) bool {
-			say(conn, fmt.Sprintf("HTTP/1.1 500 Internal Server Error\r\nId: %s\r\nSeal: x\r\nContent-Length: 0\r\n\r\n", id))
+			writeString(conn, fmt.Sprintf("HTTP/1.1 500 Internal Server Error\r\nId: %s\r\nSeal: x\r\nContent-Length: 0\r\n\r\n", id))
 			return true
 		},
 		"unsealed": func(_ int, _ string, conn net.Conn) bool {
-			say(conn, "HTTP/1.1 502 Bad Gateway\r\nContent-Length: 0\r\n\r\n")
+			writeString(conn, "HTTP/1.1 502 Bad Gateway\r\nContent-Length: 0\r\n\r\n")
 			return true
 		},
 		"resets": resets,
 	} {
 		t.Run(name, func(t *testing.T) {
-			liar := newUpstream(t, "a", fail)
-			w := newWorld(t, liar, newUpstream(t, "b", serves), newUpstream(t, "c", serves))
+			failing := newUpstream(t, "a", fail)
+			w := newTestEntry(t, failing, newUpstream(t, "b", serves), newUpstream(t, "c", serves))
 			for i := range asked {
-				must.Eq(t, http.StatusOK, w.ask(t, "/safe/1", fmt.Sprint("r", i)).status)
+				must.Eq(t, http.StatusOK, w.request(t, "/safe/1", fmt.Sprint("r", i)).status)
 			}
-			must.LessEq(t, asked/20, len(liar.came()))
+			must.LessEq(t, asked/20, len(failing.received()))
 		})
 	}
 }
 
-// An upstream says at its health path that it is ill, and serves. Nobody asks it there: a
-// question would cost a place, and its answer be believed against what requests show.
-func TestUpstreamThatCallsItselfIllIsUsed(t *testing.T) {
+// Guards against not using an upstream that works but reports at its health path that it is unhealthy. The path
+// isn't polled: that would take a slot, and override what requests show.
+func TestWorkingUpstreamIsUsedDespiteItsHealthPath(t *testing.T) {
 	a, b := newUpstream(t, "a", serves), newUpstream(t, "b", serves)
-	w := newWorld(t, a, b)
+	w := newTestEntry(t, a, b)
 	for i := range 40 {
-		must.Eq(t, http.StatusOK, w.ask(t, "/safe/1", fmt.Sprint("r", i)).status)
+		must.Eq(t, http.StatusOK, w.request(t, "/safe/1", fmt.Sprint("r", i)).status)
 	}
-	must.Eq(t, 40, len(a.came())+len(b.came()))
-	for _, id := range append(a.came(), b.came()...) {
-		must.True(t, strings.HasPrefix(id, "r"), must.Sprint("only what callers sent arrives"))
+	must.Eq(t, 40, len(a.received())+len(b.received()))
+	for _, id := range append(a.received(), b.received()...) {
+		must.True(t, strings.HasPrefix(id, "r"), must.Sprint("only requests of callers may arrive"))
 	}
-	must.Positive(t, len(a.came()))
-	must.Positive(t, len(b.came()))
+	must.Positive(t, len(a.received()))
+	must.Positive(t, len(b.received()))
 }
 
-// An upstream goes down and up by turns. While it is down nobody notices but by a retry, and
-// once it has been up for as long as it may be passed over at the most, it serves again when
-// the other has more to do than it can: a pool whose members flap would otherwise shrink to
-// nothing.
-func TestUpstreamThatFlapsIsUsedAgain(t *testing.T) {
+// Guards against a pool of flapping upstreams that shrinks to nothing. While an upstream is down, callers only
+// cause retries; once it has been up for the longest time for which it may be skipped, it serves again when the
+// other is overloaded.
+func TestFlappingUpstreamIsUsedAgain(t *testing.T) {
 	const (
-		// passedOver is the longest time for which a dead upstream is passed over.
-		passedOver = 4 * time.Second
-		together   = 12
+		// maxSkipTime is the longest time for which a dead upstream is skipped.
+		maxSkipTime = 4 * time.Second
+		together    = 12
 	)
 	var down atomic.Bool
 	busy := make(chan chan struct{}, 1)
@@ -77,7 +75,7 @@
 		<-held
 		return serves(n, id, conn)
 	})
-	w := newWorld(t, a, b)
+	w := newTestEntry(t, a, b)
 	c := clocktest.NewFakeClock(time.Now())
 	w.relayer.Chooser.Clock = c
 	free := make(chan struct{})
@@ -86,20 +84,20 @@
 	for turn := range 4 {
 		down.Store(true)
 		for i := range 10 {
-			must.Eq(t, http.StatusOK, w.ask(t, "/safe/1", fmt.Sprintf("down %d %d", turn, i)).status)
+			must.Eq(t, http.StatusOK, w.request(t, "/safe/1", fmt.Sprintf("down %d %d", turn, i)).status)
 			c.Step(100 * time.Millisecond)
 		}
 		down.Store(false)
-		c.Step(passedOver)
-		before, held := len(a.came()), make(chan struct{})
+		c.Step(maxSkipTime)
+		before, held := len(a.received()), make(chan struct{})
 		<-busy
 		busy <- held
 		var done sync.WaitGroup
 		for i := range together {
-			done.Go(func() { w.ask(t, "/safe/1", fmt.Sprintf("up %d %d", turn, i)) })
+			done.Go(func() { w.request(t, "/safe/1", fmt.Sprintf("up %d %d", turn, i)) })
 		}
-		must.Wait(t, wait.InitialSuccess(wait.BoolFunc(func() bool { return len(a.came()) > before }),
-			wait.Timeout(patience/2), wait.Gap(time.Millisecond)))
+		must.Wait(t, wait.InitialSuccess(wait.BoolFunc(func() bool { return len(a.received()) > before }),
+			wait.Timeout(stepTimeout/2), wait.Gap(time.Millisecond)))
 		close(held)
 		done.Wait()
 		<-busy
@@ -107,8 +105,8 @@
 	}
 }
 
-// One upstream of three turns so slow that it ends nothing. It may hold what it took, but no
-// more than it has slots for, and the others must carry the callers that go on.
+// Guards against losing callers to one upstream of three that gets so slow that it ends nothing. It may hold no
+// more requests than it has slots for, and the others must serve the rest.
 func TestSlowUpstreamHoldsNoMoreThanItsSlots(t *testing.T) {
 	const slots, callers, asked = 6, 12, 120
 	release := make(chan struct{})
@@ -117,33 +115,32 @@
 		return serves(n, id, conn)
 	})
 	b, c := newUpstream(t, "b", serves), newUpstream(t, "c", serves)
-	w := newWorld(t, slow, b, c)
+	w := newTestEntry(t, slow, b, c)
 	var next, ok atomic.Int64
 	var done sync.WaitGroup
 	for range callers {
 		done.Go(func() {
 			for n := next.Add(1); n <= asked; n = next.Add(1) {
-				if w.ask(t, "/once/1", fmt.Sprint("r", n)).status == http.StatusOK {
+				if w.request(t, "/once/1", fmt.Sprint("r", n)).status == http.StatusOK {
 					ok.Add(1)
 				}
 			}
 		})
 	}
-	must.Wait(t, wait.InitialSuccess(wait.BoolFunc(func() bool { return len(b.came())+len(c.came()) >= asked-slots }),
-		wait.Timeout(patience/2), wait.Gap(time.Millisecond)))
-	must.LessEq(t, slots, len(slow.came()))
+	must.Wait(t, wait.InitialSuccess(wait.BoolFunc(func() bool { return len(b.received())+len(c.received()) >= asked-slots }),
+		wait.Timeout(stepTimeout/2), wait.Gap(time.Millisecond)))
+	must.LessEq(t, slots, len(slow.received()))
 	close(release)
 	done.Wait()
 	must.Eq(t, asked, ok.Load())
 }
 
-// An upstream closes connections that rest, at once or only when the next request comes on
-// them. A caller must not notice, and what may run only once must not be sent where it could
-// meet such a connection.
-func TestConnectionsThatRestAndAreGone(t *testing.T) {
+// Guards against errors from upstreams that close idle connections, at once or only when the next request
+// arrives on them. Callers must not notice, and what may run only once must not be sent on such a connection.
+func TestClosedIdleConnectionsCauseNoErrors(t *testing.T) {
 	const asked = 40
 	closes := func(_ int, id string, conn net.Conn) bool {
-		say(conn, sealed(id, "done"))
+		writeString(conn, sealedReply(id, "done"))
 		_ = conn.Close()
 		return true
 	}
@@ -162,12 +159,12 @@
 		for _, path := range []string{"/safe/1", "/once/1"} {
 			t.Run(name+path, func(t *testing.T) {
 				a, b := newUpstream(t, "a", answer), newUpstream(t, "b", answer)
-				w := newWorld(t, a, b)
+				w := newTestEntry(t, a, b)
 				for i := range asked {
-					must.Eq(t, http.StatusOK, w.ask(t, path, fmt.Sprint("r", i)).status)
+					must.Eq(t, http.StatusOK, w.request(t, path, fmt.Sprint("r", i)).status)
 				}
 				if path == "/once/1" {
-					must.Eq(t, asked, len(a.came())+len(b.came()))
+					must.Eq(t, asked, len(a.received())+len(b.received()))
 				}
 			})
 		}
--- a/internal/relayer/wait.go
+++ b/internal/relayer/wait.go
@@ -64,7 +64,7 @@
 			p.endWait(j, w, false, err)
 			return nil, err
 		}
-		if err == nil || ctx.Err() != nil || !w.late && p.late(j) {
+		if err == nil || ctx.Err() != nil || !w.late && p.missesObjective(j) {
 			break
 		}
 	}
@@ -79,7 +79,7 @@
 		return slotWait{pause: heldPause}
 	case j.Again:
 		return slotWait{limit: againHeld, pause: heldPause}
-	case !p.late(j):
+	case !p.missesObjective(j):
 		limit := p.heldLimit(j)
 		if p.Without.Has(ablator.AdmissionWait) {
 			limit = 0
@@ -132,7 +132,7 @@
 		return 0
 	}
 	wait := refused.Opens + openingSlack
-	needs := firstEventTime + scheduler.ReadTime(e, min(j.Prompt, e.UsualPrompt))
+	needs := firstEventOverhead + scheduler.ReadTime(e, min(j.Prompt, e.UsualPrompt))
 	if p.Clock.Since(j.Arrived)+wait+needs > j.Route.Objective {
 		return 0
 	}
@@ -152,7 +152,7 @@
 	case w.late:
 		p.count("lateWaits.missed")
 		p.lateWaits.End(j.Service, false, now)
-	case !placed && left == nil && !p.late(j):
+	case !placed && left == nil && !p.missesObjective(j):
 		p.contention.Refused(j.Service, now)
 	}
 }
--- a/internal/relayer/wait_test.go
+++ b/internal/relayer/wait_test.go
@@ -49,7 +49,7 @@
 			if key == "table" {
 				return registrar.Table{Table: engineTable()}, nil
 			}
-			return registrar.Upstream{ID: key, Service: "engines", Address: host(1), FailureDomain: "a", Slots: 12}, nil
+			return registrar.Upstream{ID: key, Service: "engines", Address: hostAddr(1), FailureDomain: "a", Slots: 12}, nil
 		}}
 		reg.Apply(registrar.Batch{Whole: true, At: 2, Records: []registrar.Record{{Key: "table", Revision: 1}, {Key: "engine", Revision: 2}}})
 		test(t, &relayer.Placer{Registrar: reg, Clock: c, FailureDomain: "a", Region: "r", Regions: map[string]string{"a": "r"},
--- a/internal/relayer/world_test.go
+++ b/internal/relayer/world_test.go
@@ -30,10 +30,10 @@
 	"github.com/oriolecroft/oriolecroft/internal/scheduler"
 )
 
-// codec is a wire of the tests' own.
-type codec struct{}
+// testCodec is the wire format of these tests.
+type testCodec struct{}
 
-func (codec) Request(h http.Header) relayer.Request {
+func (testCodec) ParseRequest(h http.Header) relayer.Request {
 	ms, _ := strconv.Atoi(h.Get("Patience"))
 	r := relayer.Request{ID: h.Get("Id"), Key: h.Get("Key"), LastEvent: h.Get("Last"), Patience: time.Duration(ms) * time.Millisecond}
 	r.MaxAnswer, _ = strconv.Atoi(h.Get("Answer"))
@@ -44,7 +44,7 @@
 	return r
 }
 
-func (codec) Outgoing(h http.Header, s relayer.Send) http.Header {
+func (testCodec) OutgoingHeader(h http.Header, s relayer.OutgoingInfo) http.Header {
 	out := http.Header{"Id": h["Id"], "Upstream": {s.Upstream}, "Workspace": {s.Workspace}}
 	if s.LastEvent != "" {
 		out.Set("Last", s.LastEvent)
@@ -55,35 +55,34 @@
 	return out
 }
 
-func (codec) Reply(_ int, h http.Header) relayer.Reply {
+func (testCodec) ParseReply(_ int, h http.Header) relayer.Reply {
 	version, _ := strconv.ParseUint(h.Get("Version"), 10, 64)
 	return relayer.Reply{ID: h.Get("Id"), NotRun: h.Get("Not-Run") != "", Upstream: h.Get("Upstream"), Sealed: h.Get("Seal") != "", Version: version}
 }
 
-func (codec) EventVersion(event []byte) uint64 {
+func (testCodec) EventVersion(event []byte) uint64 {
 	text, _, _ := strings.Cut(strings.TrimPrefix(string(event), "version: "), "\n")
 	version, _ := strconv.ParseUint(text, 10, 64)
 	return version
 }
 
-func (codec) Returned(h http.Header) http.Header {
+func (testCodec) ReturnedHeader(h http.Header) http.Header {
 	out := h.Clone()
 	out.Del("Content-Length")
 	out.Del("Connection")
 	return out
 }
 
-// upstream is a server whose every answer a test writes byte by byte.
+// upstream is a server whose answers a test writes byte by byte.
 type upstream struct {
 	name     string
 	listener net.Listener
 
 	mu sync.Mutex
-	// requests are the ids that came, in order.
+	// requests are the IDs of the received requests, in order.
 	requests []string
 	headers  []http.Header
-	// answer writes the answer to the nth request that came; when it gives false the
-	// connection is reset.
+	// answer writes the answer to the nth request; if it returns false the connection is reset.
 	answer func(n int, id string, conn net.Conn) bool
 }
 
@@ -132,7 +131,7 @@
 	}
 }
 
-func (u *upstream) came() []string {
+func (u *upstream) received() []string {
 	u.mu.Lock()
 	defer u.mu.Unlock()
 	return append([]string(nil), u.requests...)
@@ -144,11 +143,11 @@
 	return u.headers[n]
 }
 
-// say writes bytes; a caller that is gone already is no fault of the test.
-func say(conn net.Conn, text string) { _, _ = io.WriteString(conn, text) }
+// writeString ignores errors: the caller may have left already.
+func writeString(conn net.Conn, text string) { _, _ = io.WriteString(conn, text) }
 
-// sealed is a whole answer.
-func sealed(id, body string) string {
+// sealedReply is a whole reply with a seal.
+func sealedReply(id, body string) string {
 	return fmt.Sprintf("HTTP/1.1 200 OK\r\nId: %s\r\nSeal: x\r\nContent-Length: %d\r\n\r\n%s", id, len(body), body)
 }
 
@@ -156,13 +155,13 @@
 
 func event(id int) string { return fmt.Sprintf("id: %d\ndata: e%d\n\n", id, id) }
 
-// streamHead begins a stream of events.
+// streamHead starts a stream of events.
 func streamHead(id string) string {
 	return fmt.Sprintf("HTTP/1.1 200 OK\r\nId: %s\r\nSeal: x\r\nContent-Type: text/event-stream\r\nTransfer-Encoding: chunked\r\n\r\n", id)
 }
 
-// world is an entry before some upstreams.
-type world struct {
+// testEntry is an entry with some upstreams.
+type testEntry struct {
 	*httptest.Server
 	relayer   *relayer.Relayer
 	upstreams []*upstream
@@ -170,14 +169,14 @@
 	metrics   metrics.Registry
 }
 
-// newWorld makes an entry with one route for each kind: /safe/, /once/, /stream/ and /draft/ (which may
-// not be resumed), and /brief/ for what has to run out of time. An upstream whose name has a dash is of the
+// newTestEntry starts an entry with one route for each kind: /safe/, /once/, /stream/ and /draft/ (which may not
+// be resumed), and /brief/ for requests that should time out. An upstream whose name has a dash is of the
 // service before it, others are of "desk".
-func newWorld(t *testing.T, upstreams ...*upstream) *world {
+func newTestEntry(t *testing.T, upstreams ...*upstream) *testEntry {
 	c := clock.RealClock{}
 	reg := &registrar.Registrar{Clock: c, Decode: func(key string, _ []byte) (registrar.Fact, error) {
 		if key == "table" {
-			return registrar.Table{Table: table()}, nil
+			return registrar.Table{Table: newTable()}, nil
 		}
 		for _, u := range upstreams {
 			if next, ok := strings.CutSuffix(key, " again"); ok && next == u.name {
@@ -200,38 +199,38 @@
 		b.Records = append(b.Records, registrar.Record{Key: u.name, Revision: uint64(i) + 2})
 	}
 	reg.Apply(b)
-	return newWorldOf(t, reg, upstreams)
+	return newTestEntryWith(t, reg, upstreams)
 }
 
-// startAgain has the record of an upstream's next start come.
-func (w *world) startAgain(i int) {
-	at, _, _ := w.registrar.At()
-	w.registrar.Apply(registrar.Batch{After: at, At: at + 1, Records: []registrar.Record{{Key: w.upstreams[i].name + " again", Revision: at + 1}}})
+// restartUpstream adds the record of an upstream's next start.
+func (w *testEntry) restartUpstream(i int) {
+	revision, _, _ := w.registrar.At()
+	w.registrar.Apply(registrar.Batch{After: revision, At: revision + 1, Records: []registrar.Record{{Key: w.upstreams[i].name + " again", Revision: revision + 1}}})
 }
 
-// newWorldOf makes an entry that believes what a registrar does.
-func newWorldOf(t *testing.T, reg *registrar.Registrar, upstreams []*upstream) *world {
+// newTestEntryWith starts an entry that uses the given registrar.
+func newTestEntryWith(t *testing.T, reg *registrar.Registrar, upstreams []*upstream) *testEntry {
 	c := clock.RealClock{}
 	chooser := &scheduler.Chooser{Clock: c, Random: rand.New(rand.NewPCG(1, 2))}
-	w := &world{upstreams: upstreams, registrar: reg, metrics: metrics.NewRegistry()}
+	w := &testEntry{upstreams: upstreams, registrar: reg, metrics: metrics.NewRegistry()}
 	stated := &observer.Observer{Clock: c}
 	w.relayer = &relayer.Relayer{
-		Registrar: reg, Chooser: chooser, Codec: codec{}, Clock: c, Random: rand.New(rand.NewPCG(3, 4)), Metrics: w.metrics,
+		Registrar: reg, Chooser: chooser, Codec: testCodec{}, Clock: c, Random: rand.New(rand.NewPCG(3, 4)), Metrics: w.metrics,
 		Pool: &relayer.Pool{Clock: c, Opened: func() {}},
 		Budgets: &retrier.Budgets{New: func() *retrier.Budget {
 			return &retrier.Budget{Clock: c, Share: 0.9 * retryRatio, Burst: 0.6 * retrySlack}
 		}},
 		Placer: &relayer.Placer{Registrar: reg, Chooser: chooser, Observer: stated, Clock: c, FailureDomain: "a", Region: "r",
-			Regions: map[string]string{"a": "r"}, Agents: &messenger.Clients{Timeout: patience, Dial: func(a netip.AddrPort) *messenger.Client { return &messenger.Client{Address: a} }}},
+			Regions: map[string]string{"a": "r"}, Agents: &messenger.Clients{Timeout: stepTimeout, Dial: func(a netip.AddrPort) *messenger.Client { return &messenger.Client{Address: a} }}},
 	}
 	w.Server = httptest.NewServer(w.relayer)
 	t.Cleanup(w.Close)
 	return w
 }
 
-// link is the address of a link to a listener; connect is called with both ends of each connection
+// startProxy returns the address of a proxy to a listener; connect is called with both ends of each connection
 // in turn.
-func link(t *testing.T, ip string, to net.Addr, connect func(near, far net.Conn)) string {
+func startProxy(t *testing.T, ip string, to net.Addr, connect func(near, far net.Conn)) string {
 	l, err := net.Listen("tcp", ip+":0")
 	must.NoError(t, err)
 	t.Cleanup(func() { l.Close() })
@@ -252,9 +251,9 @@
 	return l.Addr().String()
 }
 
-// restarted is the registrar of a process that found all records in the store when it started, and
-// so knows no ages.
-func restarted(r *registrar.Registrar) *registrar.Registrar {
+// restartedRegistrar is the registrar of a process that found all records in the store when it started, and so
+// has no ages.
+func restartedRegistrar(r *registrar.Registrar) *registrar.Registrar {
 	found := r.Since(0)
 	// Batches share their records.
 	found.Records = slices.Clone(found.Records)
@@ -266,36 +265,36 @@
 	return started
 }
 
-// restart gives the entry such a registrar.
-func (w *world) restart() {
-	started := restarted(w.registrar)
+// restartRegistrar gives the entry such a registrar.
+func (w *testEntry) restartRegistrar() {
+	started := restartedRegistrar(w.registrar)
 	w.registrar, w.relayer.Registrar, w.relayer.Placer.Registrar = started, started, started
 }
 
-// retryRatio and retrySlack bound the arrivals beyond the first at a service in ten
-// seconds: a share of its requests, and a number besides.
+// retryRatio and retrySlack limit the arrivals beyond the first at a service in ten seconds: a share of its
+// requests, and a number besides.
 const (
 	retryRatio = 0.2
 	retrySlack = 106
 )
 
-// deskConnections is how many connections an upstream of the service "desk" bears.
+// deskConnections is how many connections an upstream of the service "desk" accepts.
 const deskConnections = 40
 
-// patience is for how long a step of a test may take on a machine that is short of
-// processor time, where nothing is to run out of time. It is no promise of the system.
-const patience = 20 * time.Second
+// stepTimeout is for how long a step of a test may take on a machine that is short of processor time, where
+// nothing should time out. The system doesn't promise it.
+const stepTimeout = 20 * time.Second
 
-// brief is a route's timeout where requests are to run into it.
-const brief = 700 * time.Millisecond
+// briefTimeout is a route's timeout where requests should time out.
+const briefTimeout = 700 * time.Millisecond
 
-func table() *matcher.Table {
+func newTable() *matcher.Table {
 	route := func(prefix string, kind matcher.Kind) *matcher.Route {
-		return &matcher.Route{Name: prefix, Host: "127.0.0.1", Prefix: prefix, Kind: kind, Timeout: patience,
+		return &matcher.Route{Name: prefix, Host: "127.0.0.1", Prefix: prefix, Kind: kind, Timeout: stepTimeout,
 			MaxAttempts: 2, Resumable: kind == matcher.Streaming, Targets: []matcher.Target{{Service: "desk", Weight: 1}}}
 	}
 	late := route("/brief/", matcher.NonIdempotent)
-	late.Timeout = brief
+	late.Timeout = briefTimeout
 	draft := route("/draft/", matcher.Streaming)
 	draft.Resumable = false
 	office := route("/office/", matcher.NonIdempotent)
@@ -309,36 +308,38 @@
 	return t
 }
 
-// answer is what a caller got.
+// answer is what a caller received.
 type answer struct {
 	status int
 	header http.Header
 	body   string
-	// broken tells that the answer did not end as it should.
+	// broken reports that the answer did not end as it should.
 	broken bool
 }
 
-func (w *world) ask(t *testing.T, path, id string) answer { return w.askWithin(t, path, id, 0) }
+func (w *testEntry) request(t *testing.T, path, id string) answer {
+	return w.requestWithin(t, path, id, 0)
+}
 
-// askWith asks with a body.
-func (w *world) askWith(t *testing.T, path, id, body string) answer {
+// requestBody sends a request with a body.
+func (w *testEntry) requestBody(t *testing.T, path, id, body string) answer {
 	return w.send(t, path, id, body, 0)
 }
 
-// askWithin asks with a caller's patience; 0 for none told.
-func (w *world) askWithin(t *testing.T, path, id string, limit time.Duration) answer {
+// requestWithin sends a request with a caller's time limit; 0 for none stated.
+func (w *testEntry) requestWithin(t *testing.T, path, id string, limit time.Duration) answer {
 	return w.send(t, path, id, "order", limit)
 }
 
-func (w *world) send(t *testing.T, path, id, body string, limit time.Duration) answer {
+func (w *testEntry) send(t *testing.T, path, id, body string, limit time.Duration) answer {
 	h := http.Header{"Id": {id}, "Key": {"k"}}
 	if limit > 0 {
 		h.Set("Patience", strconv.FormatInt(limit.Milliseconds(), 10))
 	}
-	return w.sendHeader(t, path, body, h)
+	return w.sendWithHeader(t, path, body, h)
 }
 
-func (w *world) sendHeader(t *testing.T, path, body string, h http.Header) answer {
+func (w *testEntry) sendWithHeader(t *testing.T, path, body string, h http.Header) answer {
 	r, err := http.NewRequestWithContext(context.Background(), http.MethodPost, w.URL+path, strings.NewReader(body))
 	must.NoError(t, err)
 	r.Header = h
@@ -351,14 +352,14 @@
 	return answer{status: res.StatusCode, header: res.Header, body: string(got), broken: err != nil}
 }
 
-// once is the first of several upstreams that a request came to.
-type once struct {
+// firstUpstream is the first of several upstreams that received a request.
+type firstUpstream struct {
 	mu   sync.Mutex
 	name string
 }
 
-// is tells whether the named upstream is the first, and makes it so if there is none.
-func (o *once) is(name string) bool {
+// claim reports whether the named upstream is the first, and makes it so if there is none.
+func (o *firstUpstream) claim(name string) bool {
 	o.mu.Lock()
 	defer o.mu.Unlock()
 	if o.name == "" {
--- a/internal/simulator/caller.go
+++ b/internal/simulator/caller.go
@@ -203,7 +203,7 @@
 			h.ask(e.name, c.Length)
 		}
 		c.deliver()
-		e.relayer.EventPassed(j)
+		e.relayer.CountEvent(j)
 		e.relayer.Chooser.Alive(h.id)
 		if got.Last {
 			e.relayer.Chooser.Served(h.id)
--- a/internal/simulator/fatal.go
+++ b/internal/simulator/fatal.go
@@ -125,8 +125,8 @@
 // prober knows at once whether an engine is down.
 type prober struct{ *world }
 
-// Refuses implements relayer.Prober.
-func (p prober) Refuses(a netip.AddrPort, then func(refused bool)) {
+// CheckRefused implements relayer.Prober.
+func (p prober) CheckRefused(a netip.AddrPort, then func(refused bool)) {
 	i := slices.IndexFunc(p.hosts, func(h *host) bool { return h.address == a })
 	then(i >= 0 && p.hosts[i].down)
 }
