--- a/internal/relayer/attempt.go
+++ b/internal/relayer/attempt.go
@@ -42,11 +42,11 @@
 
 // receive gets the start of a reply through the hedge already running at the place or a new attempt.
 func (c *call) receive(ctx context.Context, place *Place) (*receivedReply, error) {
-	stalled := func(conn *connection) bool { return c.readsOn(ctx, place, conn) }
+	keepReading := func(conn *connection) bool { return c.readsOn(ctx, place, conn) }
 	h := c.takeHedge(place)
 	if h == nil {
 		r := c.newReception(place)
-		r.headerWithin, r.stalled = c.headerTimeout(place), stalled
+		r.headerWithin, r.stalled = c.headerTimeout(place), keepReading
 		return r.receive(ctx)
 	}
 	if err := c.await(ctx, h); err != nil {
@@ -57,7 +57,7 @@
 		return nil, err
 	}
 	conn := h.reply.x.conn
-	conn.keepReading = func() bool { return stalled(conn) }
+	conn.keepReading = func() bool { return keepReading(conn) }
 	return h.reply, nil
 }
 
--- a/internal/relayer/crash_test.go
+++ b/internal/relayer/crash_test.go
@@ -206,12 +206,12 @@
 
 // Guards against sending a trial of a blamed part to a second upstream while the first one is unresponsive.
 func TestTrialIsNotHedged(t *testing.T) {
-	silent := func(_ *upstream, id string, conn net.Conn) bool {
+	unresponsive := func(_ *upstream, id string, conn net.Conn) bool {
 		writeString(conn, streamHead(id))
 		time.Sleep(2 * replyPause)
 		return false
 	}
-	w := newCrashEntry(t, silent, silent)
+	w := newCrashEntry(t, unresponsive, unresponsive)
 	w.blamePart("fatal", time.Now().Add(-3*time.Minute), 0)
 	w.requestParts(t, "a", "kind,fatal,own")
 	must.Eq(t, 1, totalRequests(w.upstreams))
--- a/internal/relayer/two_failures_test.go
+++ b/internal/relayer/two_failures_test.go
@@ -313,10 +313,10 @@
 // Guards against a stream that ends as complete without all its events, once each and from one version, after
 // two upstreams have failed at it in turn.
 func TestStreamThatFailsTwiceIsCompleteOrCut(t *testing.T) {
-	for begun, ones := range map[string][]failureMode{"begun": streamCuts(), "not begun": earlyFailures()} {
+	for phase, ones := range map[string][]failureMode{"begun": streamCuts(), "not begun": earlyFailures()} {
 		for _, two := range slices.Concat(streamCuts(), earlyFailures(), resumeOutcomes()) {
 			for _, one := range ones {
-				t.Run(begun+", then "+two.name+"/"+one.name, func(t *testing.T) {
+				t.Run(phase+", then "+two.name+"/"+one.name, func(t *testing.T) {
 					t.Parallel()
 					a, ran := requestAtTwoUpstreams(t, "/stream/", one, two)
 					mustBeCompleteOrCut(t, a, ran, one, two)
--- a/internal/relayer/upstreams_test.go
+++ b/internal/relayer/upstreams_test.go
@@ -18,7 +18,7 @@
 // Guards against trusting a health path: an upstream reports there that it is healthy, and fails every request.
 // Requests must end up at the others, and after a few it must get next to none.
 func TestFailingUpstreamIsSkippedDespiteItsHealthPath(t *testing.T) {
-	const asked = 200
+	const requestCount = 200
 	for name, fail := range map[string]func(int, string, net.Conn) bool{
 		"errors": func(_ int, id string, conn net.Conn) bool {
 			writeString(conn, fmt.Sprintf("HTTP/1.1 500 Internal Server Error\r\nId: %s\r\nSeal: x\r\nContent-Length: 0\r\n\r\n", id))
@@ -33,10 +33,10 @@
 		t.Run(name, func(t *testing.T) {
 			failing := newUpstream(t, "a", fail)
 			w := newTestEntry(t, failing, newUpstream(t, "b", serves), newUpstream(t, "c", serves))
-			for i := range asked {
+			for i := range requestCount {
 				must.Eq(t, http.StatusOK, w.request(t, "/safe/1", fmt.Sprint("r", i)).status)
 			}
-			must.LessEq(t, asked/20, len(failing.received()))
+			must.LessEq(t, requestCount/20, len(failing.received()))
 		})
 	}
 }
@@ -108,7 +108,7 @@
 // Guards against losing callers to one upstream of three that gets so slow that it ends nothing. It may hold no
 // more requests than it has slots for, and the others must serve the rest.
 func TestSlowUpstreamHoldsNoMoreThanItsSlots(t *testing.T) {
-	const slots, callers, asked = 6, 12, 120
+	const slots, callers, requestCount = 6, 12, 120
 	release := make(chan struct{})
 	slow := newUpstream(t, "a", func(n int, id string, conn net.Conn) bool {
 		<-release
@@ -120,25 +120,25 @@
 	var done sync.WaitGroup
 	for range callers {
 		done.Go(func() {
-			for n := next.Add(1); n <= asked; n = next.Add(1) {
+			for n := next.Add(1); n <= requestCount; n = next.Add(1) {
 				if w.request(t, "/once/1", fmt.Sprint("r", n)).status == http.StatusOK {
 					ok.Add(1)
 				}
 			}
 		})
 	}
-	must.Wait(t, wait.InitialSuccess(wait.BoolFunc(func() bool { return len(b.received())+len(c.received()) >= asked-slots }),
+	must.Wait(t, wait.InitialSuccess(wait.BoolFunc(func() bool { return len(b.received())+len(c.received()) >= requestCount-slots }),
 		wait.Timeout(stepTimeout/2), wait.Gap(time.Millisecond)))
 	must.LessEq(t, slots, len(slow.received()))
 	close(release)
 	done.Wait()
-	must.Eq(t, asked, ok.Load())
+	must.Eq(t, requestCount, ok.Load())
 }
 
 // Guards against errors from upstreams that close idle connections, at once or only when the next request
 // arrives on them. Callers must not notice, and what may run only once must not be sent on such a connection.
 func TestClosedIdleConnectionsCauseNoErrors(t *testing.T) {
-	const asked = 40
+	const requestCount = 40
 	closes := func(_ int, id string, conn net.Conn) bool {
 		writeString(conn, sealedReply(id, "done"))
 		_ = conn.Close()
@@ -160,11 +160,11 @@
 			t.Run(name+path, func(t *testing.T) {
 				a, b := newUpstream(t, "a", answer), newUpstream(t, "b", answer)
 				w := newTestEntry(t, a, b)
-				for i := range asked {
+				for i := range requestCount {
 					must.Eq(t, http.StatusOK, w.request(t, path, fmt.Sprint("r", i)).status)
 				}
 				if path == "/once/1" {
-					must.Eq(t, asked, len(a.received())+len(b.received()))
+					must.Eq(t, requestCount, len(a.received())+len(b.received()))
 				}
 			})
 		}
--- a/internal/relayer/world_test.go
+++ b/internal/relayer/world_test.go
@@ -358,7 +358,7 @@
 	name string
 }
 
-// claim reports whether the named upstream is the first, and makes it so if there is none.
+// claim reports whether the upstream with this name is the first, and makes it so if there is none.
 func (o *firstUpstream) claim(name string) bool {
 	o.mu.Lock()
 	defer o.mu.Unlock()
