--- a/internal/relayer/hedge.go
+++ b/internal/relayer/hedge.go
@@ -89,7 +89,7 @@
 	if h.err != nil {
 		return
 	}
-	if err := h.reply.exchange.failure(); err != nil {
+	if err := h.reply.exchange.serverError(); err != nil {
 		h.reply.exchange.abandon()
 		h.reply, h.err = nil, err
 	}
@@ -110,8 +110,8 @@
 // another hedge is made beside it. Errors are *SendError.
 func (c *call) awaitHedge(ctx context.Context, h *hedge) error {
 	var check <-chan time.Time
-	if c.mayRepeat() {
-		check = time.After(time.Until(h.startedAt.Add(c.beginWithin(h.place))))
+	if c.canRetry() {
+		check = time.After(time.Until(h.startedAt.Add(c.hedgeDelay(h.place))))
 	}
 	wakeups := make(chan struct{}, maxSends)
 	for {
--- a/internal/relayer/late_start_test.go
+++ b/internal/relayer/late_start_test.go
@@ -20,7 +20,7 @@
 
 // entryWithOldEngines makes an entry with engines that hold version 1. Their agents grant every
 // slot, as on a wrong prediction. The address function may return a link to the engine.
-func entryWithOldEngines(t *testing.T, c clock.PassiveClock, count int, answer func(int, string, net.Conn) bool, address func(*upstream) string) *world {
+func entryWithOldEngines(t *testing.T, c clock.PassiveClock, count int, answer func(int, string, net.Conn) bool, address func(*upstream) string) *testEntry {
 	t.Helper()
 	ledgers := make([]*scheduler.Ledger, 0, count)
 	for range count {
@@ -30,7 +30,7 @@
 }
 
 // entryWithLedgers is entryWithOldEngines with the given ledgers of agents.
-func entryWithLedgers(t *testing.T, c clock.PassiveClock, ledgers []*scheduler.Ledger, answer func(int, string, net.Conn) bool, address func(*upstream) string) *world {
+func entryWithLedgers(t *testing.T, c clock.PassiveClock, ledgers []*scheduler.Ledger, answer func(int, string, net.Conn) bool, address func(*upstream) string) *testEntry {
 	t.Helper()
 	w := newEngineWorld(t, answer, ledgers...)
 	addresses := map[string]netip.AddrPort{}
@@ -46,7 +46,7 @@
 	}
 	reg.Apply(b)
 	port := w.relayer.Placer.AgentPort
-	w = newWorldOf(t, reg, w.upstreams)
+	w = newTestEntryWith(t, reg, w.upstreams)
 	w.relayer.Placer.AgentPort, w.relayer.Placer.WeightsBound = port, weightsBound
 	return w
 }
@@ -71,16 +71,16 @@
 // waitsForClose is an engine at which a request waits until its connection is closed.
 type waitsForClose struct {
 	arrived, closed chan time.Time
-	stalls          *standstills
+	stalls          *pauseRecorder
 }
 
 func newWaitsForClose(t *testing.T) *waitsForClose {
-	return &waitsForClose{arrived: make(chan time.Time, 10), closed: make(chan time.Time, 10), stalls: watchStandstills(t)}
+	return &waitsForClose{arrived: make(chan time.Time, 10), closed: make(chan time.Time, 10), stalls: recordPauses(t)}
 }
 
 func (w *waitsForClose) answer(_ int, _ string, conn net.Conn) bool {
 	w.arrived <- time.Now()
-	_ = conn.SetReadDeadline(time.Now().Add(patience))
+	_ = conn.SetReadDeadline(time.Now().Add(stepTimeout))
 	_, _ = conn.Read(make([]byte, 1))
 	w.closed <- time.Now()
 	return false
@@ -94,7 +94,7 @@
 func (w *waitsForClose) mustCloseWithin(t *testing.T, announced time.Time, bound time.Duration) {
 	t.Helper()
 	closed := <-w.closed
-	stalled := w.stalls.between(announced.Add(bound-closeMargin), closed)
+	stalled := w.stalls.pausedBetween(announced.Add(bound-closeMargin), closed)
 	if stalled > 0 {
 		t.Logf("closed %v after the announcement, process stalled for %v of that past the time to close", closed.Sub(announced), stalled)
 	}
@@ -103,11 +103,11 @@
 
 // mustCloseAfterAnnouncement announces a version, sends a request, and fails unless it is given up
 // by the bound.
-func (w *waitsForClose) mustCloseAfterAnnouncement(t *testing.T, entry *world) {
+func (w *waitsForClose) mustCloseAfterAnnouncement(t *testing.T, entry *testEntry) {
 	t.Helper()
 	announced := time.Now()
 	announce(entry.registrar, 2)
-	entry.ask(t, "/draft/", "r1")
+	entry.request(t, "/draft/", "r1")
 	w.mustCloseWithin(t, announced, weightsBound)
 }
 
@@ -115,16 +115,16 @@
 // its first engine was suspended during the stream, the stream moved elsewhere before the old
 // weights expired, and waited there for longer than predicted.
 func TestResumedStreamNotStartedInTimeIsGivenUp(t *testing.T) {
-	var first once
+	var first firstUpstream
 	waits := newWaitsForClose(t)
 	started := make(chan struct{}, 1)
 	w := entryWithOldEngines(t, clock.RealClock{}, 2, func(n int, id string, conn net.Conn) bool {
-		if !first.is(conn.LocalAddr().String()) {
+		if !first.claim(conn.LocalAddr().String()) {
 			return waits.answer(n, id, conn)
 		}
-		say(conn, streamHead(id)+chunked(event(1)))
+		writeString(conn, streamHead(id)+chunked(event(1)))
 		started <- struct{}{}
-		time.Sleep(patience)
+		time.Sleep(stepTimeout)
 		return false
 	}, directAddress)
 	var announced time.Time
@@ -137,7 +137,7 @@
 		announced = time.Now()
 		announce(w.registrar, 2)
 	}()
-	w.ask(t, "/draft/", "r1")
+	w.request(t, "/draft/", "r1")
 	<-done
 	must.Eq(t, 1, len(waits.arrived), must.Sprint("the stream continued elsewhere"))
 	waits.mustCloseWithin(t, announced, weightsBound)
@@ -147,7 +147,7 @@
 func TestHeaderAloneIsNoStart(t *testing.T) {
 	waits := newWaitsForClose(t)
 	w := entryWithOldEngines(t, clock.RealClock{}, 1, func(n int, id string, conn net.Conn) bool {
-		say(conn, streamHead(id))
+		writeString(conn, streamHead(id))
 		return waits.answer(n, id, conn)
 	}, directAddress)
 	waits.mustCloseAfterAnnouncement(t, w)
@@ -171,7 +171,7 @@
 		<-waits.arrived
 		announce(w.registrar, 3)
 	}()
-	w.ask(t, "/draft/", "r1")
+	w.request(t, "/draft/", "r1")
 	waits.mustCloseWithin(t, announced, weightsBound)
 }
 
@@ -189,7 +189,7 @@
 		w.registrar.Apply(registrar.Batch{After: at, At: at + 1, Records: []registrar.Record{
 			{Key: "weights", Value: []byte{2}, Revision: at + 1, Age: late}}})
 	}()
-	w.ask(t, "/draft/", "r1")
+	w.request(t, "/draft/", "r1")
 	waits.mustCloseWithin(t, <-announced, weightsBound)
 }
 
@@ -202,8 +202,8 @@
 		w := entryWithOldEngines(t, c, 1, streamsOneEvent, directAddress)
 		announce(w.registrar, 2)
 		w.relayer.Pool.Opened = func() { c.Step(weightsBound + time.Second) }
-		w.ask(t, "/draft/", "r1")
-		must.SliceEmpty(t, w.upstreams[0].came())
+		w.request(t, "/draft/", "r1")
+		must.SliceEmpty(t, w.upstreams[0].received())
 	}
 }
 
@@ -219,7 +219,7 @@
 		c.Step(weightsBound - 200*time.Millisecond)
 		resumed <- time.Now()
 	}()
-	w.ask(t, "/draft/", "r1")
+	w.request(t, "/draft/", "r1")
 	waits.mustCloseWithin(t, <-resumed, 200*time.Millisecond)
 }
 
@@ -241,7 +241,7 @@
 // of connections included.
 func slowLink(t *testing.T, to net.Addr, delay time.Duration) string {
 	ip := netip.MustParseAddrPort(to.String()).Addr().String()
-	return link(t, ip, to, func(near, far net.Conn) {
+	return startProxy(t, ip, to, func(near, far net.Conn) {
 		go func() {
 			_, _ = io.Copy(near, far)
 			near.Close()
@@ -292,8 +292,8 @@
 	ledger.Expiry = func() time.Time { return announced.Add(weightsBound - scheduler.OldWeightsMargin) }
 	w := entryWithLedgers(t, c, []*scheduler.Ledger{ledger}, waits.answer, directAddress)
 	announce(w.registrar, 2)
-	w.restart()
-	w.ask(t, "/draft/", "r1")
+	w.restartRegistrar()
+	w.request(t, "/draft/", "r1")
 	waits.mustCloseWithin(t, announced, weightsBound)
 }
 
@@ -306,9 +306,9 @@
 	announced := time.Now()
 	announce(w.registrar, 2)
 	other := w.registrar
-	w.restart()
+	w.restartRegistrar()
 	w.registrar.Apply(other.Since(0))
-	w.ask(t, "/draft/", "r1")
+	w.request(t, "/draft/", "r1")
 	waits.mustCloseWithin(t, announced, weightsBound)
 }
 
@@ -321,6 +321,6 @@
 	announced := time.Now()
 	time.Sleep(late)
 	announce(w.registrar, 2)
-	w.ask(t, "/draft/", "r1")
+	w.request(t, "/draft/", "r1")
 	waits.mustCloseWithin(t, announced, weightsBound)
 }
--- a/internal/relayer/limits_test.go
+++ b/internal/relayer/limits_test.go
@@ -97,17 +97,17 @@
 // refuses all. Its few requests were sent three times each, beyond the bound of a fifth plus a
 // hundred that applies to each service, and its recovery took longer.
 func TestRetryBudgetsArePerService(t *testing.T) {
-	w := newWorld(t, newUpstream(t, "a", serves), newUpstream(t, "office-a", refuses), newUpstream(t, "office-b", refuses), newUpstream(t, "office-c", refuses))
+	w := newTestEntry(t, newUpstream(t, "a", serves), newUpstream(t, "office-a", refuses), newUpstream(t, "office-b", refuses), newUpstream(t, "office-c", refuses))
 	const few, busy = 120, 12
 	for i := range few {
 		for k := range busy {
-			must.Eq(t, http.StatusOK, w.ask(t, "/safe/1", fmt.Sprintf("s%d-%d", i, k)).status)
+			must.Eq(t, http.StatusOK, w.request(t, "/safe/1", fmt.Sprintf("s%d-%d", i, k)).status)
 		}
-		w.ask(t, "/office/1", fmt.Sprintf("o%d", i))
+		w.request(t, "/office/1", fmt.Sprintf("o%d", i))
 	}
 	sent := 0
 	for _, u := range w.upstreams[1:] {
-		sent += len(u.came())
+		sent += len(u.received())
 	}
 	must.LessEq(t, int(retryRatio*few)+retrySlack, sent-few)
 }
@@ -133,13 +133,13 @@
 			return false
 		}
 		time.Sleep(50 * time.Millisecond)
-		say(conn, sealed(id, "done"))
+		writeString(conn, sealedReply(id, "done"))
 		return true
 	})
-	w := newWorld(t, u)
+	w := newTestEntry(t, u)
 	statuses := make(chan int, 3*deskConnections)
 	for i := range cap(statuses) {
-		go func() { statuses <- w.ask(t, "/once/1", fmt.Sprintf("r%d", i)).status }()
+		go func() { statuses <- w.request(t, "/once/1", fmt.Sprintf("r%d", i)).status }()
 	}
 	counts := map[int]int{}
 	for range cap(statuses) {
--- a/internal/relayer/logs_test.go
+++ b/internal/relayer/logs_test.go
@@ -77,7 +77,7 @@
 }
 
 // newEngineWorld returns an entry before engines, each with an agent that grants by its ledger.
-func newEngineWorld(t *testing.T, answer func(int, string, net.Conn) bool, ledgers ...*scheduler.Ledger) *world {
+func newEngineWorld(t *testing.T, answer func(int, string, net.Conn) bool, ledgers ...*scheduler.Ledger) *testEntry {
 	t.Helper()
 	// The codec of these tests states no model, so that requests ask for any.
 	table := engineTable()
@@ -109,7 +109,7 @@
 		b.Records = append(b.Records, registrar.Record{Key: u.name, Revision: uint64(i) + 2})
 	}
 	reg.Apply(b)
-	w := newWorldOf(t, reg, us)
+	w := newTestEntryWith(t, reg, us)
 	w.relayer.Placer.AgentPort = port
 	logs.drain()
 	return w
@@ -126,7 +126,7 @@
 
 // withInstantClock lets no time pass during placement. On a busy machine a request could use up its time for
 // that, and its log lines would correctly name other engines than those under test.
-func (w *world) withInstantClock() *world {
+func (w *testEntry) withInstantClock() *testEntry {
 	c := instantClock{clocktest.NewFakeClock(time.Now())}
 	w.relayer.Placer.Clock, w.relayer.Chooser.Clock = c, c
 	return w
@@ -145,7 +145,7 @@
 }
 
 func streamsOneEvent(_ int, id string, conn net.Conn) bool {
-	say(conn, streamHead(id)+chunked(event(0))+"0\r\n\r\n")
+	writeString(conn, streamHead(id)+chunked(event(0))+"0\r\n\r\n")
 	return true
 }
 
@@ -154,7 +154,7 @@
 func TestExplainRefusal(t *testing.T) {
 	w := newEngineWorld(t, streamsOneEvent, closedLedger("switching weights"), openLedger(1)).withInstantClock()
 	w.reserveSlot(t, 1)
-	must.Eq(t, http.StatusServiceUnavailable, w.ask(t, "/draft", "r1").status)
+	must.Eq(t, http.StatusServiceUnavailable, w.request(t, "/draft", "r1").status)
 	got := explain(t, "r1")
 	containsInOrder(t, got, "Place asked", "Refused", "reason=all engines full", "returned=false", "outcome: Refused")
 	containsInOrder(t, got, "closed=switching weights")
@@ -162,7 +162,7 @@
 }
 
 // reserveSlot takes a slot at an engine through its agent.
-func (w *world) reserveSlot(t *testing.T, engine int) {
+func (w *testEntry) reserveSlot(t *testing.T, engine int) {
 	t.Helper()
 	u := w.upstreams[engine]
 	a := netip.AddrPortFrom(netip.MustParseAddrPort(u.listener.Addr().String()).Addr(), w.relayer.Placer.AgentPort)
@@ -176,11 +176,11 @@
 // agent logs the request.
 func TestExplainRefusalWithoutReservations(t *testing.T) {
 	w := newEngineWorld(t, streamsOneEvent, closedLedger("switching weights"), closedLedger("old weights")).withInstantClock()
-	must.Eq(t, http.StatusServiceUnavailable, w.ask(t, "/draft", "r1").status)
+	must.Eq(t, http.StatusServiceUnavailable, w.request(t, "/draft", "r1").status)
 	containsInOrder(t, explain(t, "r1"), "Refused", "closed=2", "whyClosed=")
 	w.relayer.Chooser.RecordFull("engine-0", false, time.Minute)
 	w.relayer.Chooser.RecordClosed("engine-1", "old weights", time.Minute, 0)
-	must.Eq(t, http.StatusServiceUnavailable, w.ask(t, "/draft", "r2").status)
+	must.Eq(t, http.StatusServiceUnavailable, w.request(t, "/draft", "r2").status)
 	got := explain(t, "r2")
 	must.StrNotContains(t, got, "Place asked")
 	containsInOrder(t, got, "Refused", "passedOver=2", "whyClosed=old weights")
@@ -190,8 +190,8 @@
 // entry but for the time left, and returned requests are placed behind others.
 func TestExplainRefusalOfAReturnedRequest(t *testing.T) {
 	w := newEngineWorld(t, streamsOneEvent, closedLedger("no weights")).withInstantClock()
-	must.Eq(t, http.StatusServiceUnavailable, w.askWithin(t, "/draft", "r1", 6*time.Second).status)
-	must.Eq(t, http.StatusServiceUnavailable, w.askWithin(t, "/draft", "r2", 3*time.Second).status)
+	must.Eq(t, http.StatusServiceUnavailable, w.requestWithin(t, "/draft", "r1", 6*time.Second).status)
+	must.Eq(t, http.StatusServiceUnavailable, w.requestWithin(t, "/draft", "r2", 3*time.Second).status)
 	containsInOrder(t, explain(t, "r2"), "Refused", "returned=true")
 }
 
@@ -200,25 +200,25 @@
 func TestExplainUnresponsiveAgent(t *testing.T) {
 	w := newEngineWorld(t, streamsOneEvent, openLedger(12)).withInstantClock()
 	w.relayer.Placer.AgentPort = 1
-	must.Eq(t, http.StatusServiceUnavailable, w.ask(t, "/draft", "r1").status)
+	must.Eq(t, http.StatusServiceUnavailable, w.request(t, "/draft", "r1").status)
 	containsInOrder(t, explain(t, "r1"), "Agent silent", "upstream=engine-0", "Refused", "silent=1")
 }
 
 // Guards against an unexplained unknown outcome: a booking's upstream resets the connection.
 func TestExplainUnknownOutcome(t *testing.T) {
-	w := newWorld(t, newUpstream(t, "a", resets))
+	w := newTestEntry(t, newUpstream(t, "a", resets))
 	logs.drain()
-	must.Eq(t, http.StatusBadGateway, w.ask(t, "/once/1", "r1").status)
+	must.Eq(t, http.StatusBadGateway, w.request(t, "/once/1", "r1").status)
 	containsInOrder(t, explain(t, "r1"), "Attempt failed", "err=", "outcome=unknown", "upstream=a", "Failed", "outcome=unknown", "outcome: Failed")
 }
 
 // Guards against an unexplained cut of a stream that can't be resumed.
 func TestExplainCutStream(t *testing.T) {
 	w := newEngineWorld(t, func(_ int, id string, conn net.Conn) bool {
-		say(conn, streamHead(id)+chunked(event(0)))
+		writeString(conn, streamHead(id)+chunked(event(0)))
 		return false
 	}, openLedger(12))
-	must.True(t, w.ask(t, "/draft", "r1").broken)
+	must.True(t, w.request(t, "/draft", "r1").broken)
 	containsInOrder(t, explain(t, "r1"), "Place asked", "granted=true", "Attempt failed", "upstream=engine-0", "Stream cut", "lastEvent=0", "outcome: Stream cut")
 }
 
@@ -229,32 +229,32 @@
 		time.Sleep(700 * time.Millisecond)
 		return streamsOneEvent(n, id, conn)
 	}, openLedger(12))
-	must.Eq(t, http.StatusOK, w.ask(t, "/draft", "r1").status)
+	must.Eq(t, http.StatusOK, w.request(t, "/draft", "r1").status)
 	got := explain(t, "r1")
 	containsInOrder(t, got, "Place asked", "granted=true", "Served", "firstEventMs=", "lateMs=", "upstream=engine-0", "waitPredictedMs=", "outcome: Served", "after the route's objective")
 }
 
 // Guards against an unexplained timeout: an upstream accepts a booking and never answers.
 func TestExplainTimeout(t *testing.T) {
-	w := newWorld(t, newUpstream(t, "a", func(int, string, net.Conn) bool {
+	w := newTestEntry(t, newUpstream(t, "a", func(int, string, net.Conn) bool {
 		time.Sleep(time.Minute)
 		return false
 	}))
 	logs.drain()
-	must.Eq(t, http.StatusGatewayTimeout, w.ask(t, "/brief/1", "r1").status)
+	must.Eq(t, http.StatusGatewayTimeout, w.request(t, "/brief/1", "r1").status)
 	containsInOrder(t, explain(t, "r1"), "Attempt failed", "silenceMs=", "upstream=a", "Timed out", "outcome=unknown", "silenceMs=", "outcome: Timed out")
 }
 
 // panickingCodec panics on reading a reply's header.
-type panickingCodec struct{ codec }
+type panickingCodec struct{ testCodec }
 
-func (panickingCodec) Reply(int, http.Header) relayer.Reply { panic("no such header") }
+func (panickingCodec) ParseReply(int, http.Header) relayer.Reply { panic("no such header") }
 
 // Guards against an unexplained fault of the entry itself.
 func TestExplainPanic(t *testing.T) {
-	w := newWorld(t, newUpstream(t, "a", streamsOneEvent))
+	w := newTestEntry(t, newUpstream(t, "a", streamsOneEvent))
 	w.relayer.Codec = panickingCodec{}
-	w.ask(t, "/once/1", "r1")
+	w.request(t, "/once/1", "r1")
 	containsInOrder(t, explain(t, "r1"), "Handler panicked", "err=", "no such header", "stack=", "tried=", "outcome: Handler panicked")
 }
 
@@ -272,7 +272,7 @@
 	for c := range 40 {
 		callers.Go(func() {
 			for i := range burst / 40 {
-				w.ask(t, "/draft", fmt.Sprintf("r%d-%d", c, i))
+				w.request(t, "/draft", fmt.Sprintf("r%d-%d", c, i))
 			}
 		})
 	}
--- a/internal/relayer/memory.go
+++ b/internal/relayer/memory.go
@@ -164,11 +164,11 @@
 	if !x.account.acquire(bytes) {
 		return false
 	}
-	x.kept.Add(bytes)
+	x.retainedBytes.Add(bytes)
 	return true
 }
 
-func (x *exchange) releaseMemory() { x.account.release(x.kept.Swap(0)) }
+func (x *exchange) releaseMemory() { x.account.release(x.retainedBytes.Swap(0)) }
 
 // readReplyStart reads a plain reply whole, or its start if it is longer than bufferedReply or than
 // the available memory.
@@ -185,14 +185,14 @@
 		case len(start) < cap(start):
 			continue
 		}
-		size := min(2*cap(start), bufferedReply)
+		size := min(2*cap(start), maxBufferedReply)
 		if size == cap(start) || !x.acquire(int64(size)) {
 			return start, false, nil
 		}
 		longer := make([]byte, len(start), size)
 		copy(longer, start)
 		if len(start) > uncountedReply {
-			x.kept.Add(-int64(len(start)))
+			x.retainedBytes.Add(-int64(len(start)))
 			x.account.release(int64(len(start)))
 		}
 		start = longer
--- a/internal/relayer/move_test.go
+++ b/internal/relayer/move_test.go
@@ -20,8 +20,8 @@
 
 // unevenEngines are engines of which the first to get a stream is slow.
 type unevenEngines struct {
-	*world
-	slow once
+	*testEntry
+	slow firstUpstream
 	// abandoned is closed when the slow engine's reply is given up.
 	abandoned chan struct{}
 }
@@ -31,7 +31,7 @@
 
 func newUnevenEngines(t *testing.T) *unevenEngines {
 	u := &unevenEngines{abandoned: make(chan struct{})}
-	u.world = newEngineWorld(t, u.answer, openLedger(12), openLedger(12)).resumable(true)
+	u.testEntry = newEngineWorld(t, u.answer, openLedger(12), openLedger(12)).resumable(true)
 	u.relayer.RecordPace(&relayer.Placement{Upstream: u.registrar.View().Upstreams[0]}, 1)
 	return u
 }
@@ -40,7 +40,7 @@
 // priority, and no upstream has stated a pace.
 func TestStreamsStayWhereNoUpstreamStatesAPace(t *testing.T) {
 	u := &unevenEngines{abandoned: make(chan struct{})}
-	u.world = newEngineWorld(t, u.answer, openLedger(12), openLedger(12)).resumable(true)
+	u.testEntry = newEngineWorld(t, u.answer, openLedger(12), openLedger(12)).resumable(true)
 	must.True(t, u.ask(t).broken)
 	must.Eq(t, 0, u.moves())
 }
@@ -48,13 +48,13 @@
 // answer sends the events after the one that the request names, 60 ms apart at the slow engine.
 func (u *unevenEngines) answer(n int, id string, conn net.Conn) bool {
 	ip := netip.MustParseAddrPort(conn.LocalAddr().String()).Addr()
-	say(conn, streamHead(id))
-	if !u.slow.is(ip.String()) {
+	writeString(conn, streamHead(id))
+	if !u.slow.claim(ip.String()) {
 		last, _ := strconv.Atoi(u.upstreams[ip.As4()[3]-1].header(n).Get("Last"))
 		for i := last + 1; i <= movingEvents; i++ {
-			say(conn, chunked(event(i)))
+			writeString(conn, chunked(event(i)))
 		}
-		say(conn, "0\r\n\r\n")
+		writeString(conn, "0\r\n\r\n")
 		return true
 	}
 	for i := 1; i <= movingEvents; i++ {
@@ -64,14 +64,14 @@
 		}
 		time.Sleep(60 * time.Millisecond)
 	}
-	say(conn, "0\r\n\r\n")
+	writeString(conn, "0\r\n\r\n")
 	return true
 }
 
 // ask requests an answer of movingEvents, which takes twice the caller's time limit at the slow
 // engine.
 func (u *unevenEngines) ask(t *testing.T) answer {
-	return u.sendHeader(t, "/draft/", "order", http.Header{"Id": {"r1"}, "Patience": {"1500"}, "Hint": {"200"}, "Answer": {"400"}})
+	return u.sendWithHeader(t, "/draft/", "order", http.Header{"Id": {"r1"}, "Patience": {"1500"}, "Hint": {"200"}, "Answer": {"400"}})
 }
 
 func (u *unevenEngines) moves() int64 {
@@ -95,7 +95,7 @@
 	<-u.abandoned
 	for i := range 2 {
 		id := fmt.Sprintf("engine-%d", i)
-		must.SliceLen(t, 1, u.upstreams[i].came())
+		must.SliceLen(t, 1, u.upstreams[i].received())
 		must.False(t, u.relayer.Chooser.Avoided(id))
 		must.Eq(t, 0, u.relayer.Chooser.Running(id))
 	}
@@ -120,9 +120,9 @@
 			if name == "length not stated" {
 				h.Del("Hint")
 			}
-			must.True(t, u.sendHeader(t, "/draft/", "order", h).broken)
+			must.True(t, u.sendWithHeader(t, "/draft/", "order", h).broken)
 			must.Eq(t, 0, u.moves())
-			must.Eq(t, 1, len(u.upstreams[0].came())+len(u.upstreams[1].came()))
+			must.Eq(t, 1, len(u.upstreams[0].received())+len(u.upstreams[1].received()))
 			must.Eq(t, 0, u.relayer.Chooser.Running("engine-0")+u.relayer.Chooser.Running("engine-1"))
 		})
 	}
@@ -147,7 +147,7 @@
 		return slowAgent{}
 	}
 	h := http.Header{"Id": {"r1"}, "Patience": {"1500"}, "Hint": {"4000"}, "Answer": {"8000"}}
-	a := u.sendHeader(t, "/draft/", "order", h)
+	a := u.sendWithHeader(t, "/draft/", "order", h)
 	must.Eq(t, http.StatusServiceUnavailable, a.status)
 	must.StrContains(t, a.body, "no engine could end it in time")
 	must.Eq(t, 0, asked)
--- a/internal/relayer/pace.go
+++ b/internal/relayer/pace.go
@@ -31,10 +31,10 @@
 // Expected is 0 if the answer's length is unknown.
 func (j *Job) tokenCounts(e *matcher.Engine) (prompt, answer, expected int) {
 	if !j.predicted {
-		return j.Prompt, j.Answer(), 0
+		return j.Prompt, j.ExpectedAnswer(), 0
 	}
 	delivered := j.delivered * max(1, e.Stride)
-	prompt, answer = j.Prompt+delivered, j.remainingTokens(j.Answer(), delivered)
+	prompt, answer = j.Prompt+delivered, j.remainingTokens(j.ExpectedAnswer(), delivered)
 	if j.Hint > 0 && j.LastEvent == "" {
 		expected = j.remainingTokens(j.expectedAnswer(e), delivered)
 	}
--- a/internal/relayer/place.go
+++ b/internal/relayer/place.go
@@ -211,7 +211,7 @@
 		switch t := p.terms(u); {
 		case t.Leaving:
 		case t.Rest > 0:
-			backoff = least(backoff, t.Rest)
+			backoff = minNonZero(backoff, t.Rest)
 		default:
 			us = append(us, u)
 		}
--- a/internal/relayer/place_test.go
+++ b/internal/relayer/place_test.go
@@ -204,7 +204,7 @@
 	seen, table := newPlacer(c, 0, 1)
 	announce(seen.Registrar, 2)
 	p, _ := newPlacer(c, 0, 1)
-	p.Registrar = restarted(seen.Registrar)
+	p.Registrar = restartedRegistrar(seen.Registrar)
 	serveVerdict(t, p, messenger.Verdict{Granted: true, Version: 1, Slots: 12, BeginWithinMS: 7000})
 	must.True(t, placed(p, c, table))
 }
@@ -278,7 +278,7 @@
 		v := ledger.Reserve(scheduler.Job{ID: "next", Prompt: 1}, nil)
 		ledger.Ended("next")
 		return v.Granted && v.Active == 1
-	}), wait.Timeout(patience), wait.Gap(time.Millisecond)), must.Sprint("the slot is still reserved"))
+	}), wait.Timeout(stepTimeout), wait.Gap(time.Millisecond)), must.Sprint("the slot is still reserved"))
 }
 
 // announce makes a version the one to load.
--- a/internal/relayer/priority.go
+++ b/internal/relayer/priority.go
@@ -89,7 +89,7 @@
 // fullFor is how long an engine isn't asked for a request, as it had no slot for one as urgent or
 // more urgent.
 func (p *Placer) fullFor(id string, j *Job) time.Duration {
-	full := p.Chooser.FullFor(id, p.late(j) || j.mover.placing)
+	full := p.Chooser.FullFor(id, p.missesObjective(j) || j.mover.placing)
 	if j.priority != nil {
 		full = max(full, p.fullMarks.FullFor(id, j.priority.level, p.Clock.Now()))
 	}
@@ -103,7 +103,7 @@
 		return p.Chooser.ClosedReason(id)
 	}
 	// Full marks by priority leave an outdated reason in place.
-	if p.Chooser.FullFor(id, p.late(j)) > 0 {
+	if p.Chooser.FullFor(id, p.missesObjective(j)) > 0 {
 		if why := p.Chooser.ClosedReason(id); why != "" {
 			return why
 		}
@@ -115,11 +115,11 @@
 // markNoSlot marks an engine as full for a request: it had no slot at all, none to spare, or only
 // slots kept for others.
 func (p *Placer) markNoSlot(id string, j *Job, v *messenger.Verdict) {
-	if j.priority == nil || p.Without.Has(ablator.FullBackoff) || p.late(j) && v.Kept == "" {
-		p.noteFull(id, j, v.Free())
+	if j.priority == nil || p.Without.Has(ablator.FullBackoff) || p.missesObjective(j) && v.Kept == "" {
+		p.markFull(id, j, v.Free())
 		return
 	}
-	p.fullMarks.MarkFull(id, j.priority.level, min(v.Free(), fullPause), p.Clock.Now())
+	p.fullMarks.MarkFull(id, j.priority.level, min(v.Free(), fullSkipTime), p.Clock.Now())
 }
 
 // countRefusal counts an engine that had no slot for a request within its whole budget.
--- a/internal/relayer/ramp.go
+++ b/internal/relayer/ramp.go
@@ -46,7 +46,7 @@
 		return
 	}
 	switch {
-	case s.Status >= http.StatusInternalServerError && s.Outcome != retrier.NotRun || isCut(err):
+	case s.Status >= http.StatusInternalServerError && s.Outcome != retrier.NotRun || isConnectionCut(err):
 		place.outcome = attemptFailed
 	case s.Status == http.StatusServiceUnavailable || s.Status == http.StatusTooManyRequests:
 		place.outcome = attemptRefused
@@ -78,7 +78,7 @@
 // moment.
 func (p *Placer) addHeldByRamp(u *registrar.UpstreamView, j *Job, v *messenger.Verdict, held []*registrar.UpstreamView) []*registrar.UpstreamView {
 	if !v.Ramp.Well {
-		p.noteFull(u.ID, j, v.Free())
+		p.markFull(u.ID, j, v.Free())
 		return held
 	}
 	return append(held, u)
@@ -88,7 +88,7 @@
 // nil if none admits it.
 func (p *Placer) reserveBeyondRamp(ctx context.Context, view *registrar.View, us []*registrar.UpstreamView, j *Job, budget time.Duration) *Placement {
 	j.rampOverride = scheduler.OthersFull
-	for _, u := range us[:min(len(us), firstAsked)] {
+	for _, u := range us[:min(len(us), preferredEngines)] {
 		if !p.Chooser.TryBegin(u.ID, p.connectionLimit(u)) {
 			j.refusals.Connections++
 			continue
--- a/internal/relayer/reason.go
+++ b/internal/relayer/reason.go
@@ -34,7 +34,7 @@
 	for ok := true; ok; next, ok = ranking.Next() {
 		id := us[next].ID
 		if p.fullFor(id, j) > 0 {
-			m.passOver(p.whyPassedOver(id, j))
+			m.countPassedOver(p.whyPassedOver(id, j))
 			continue
 		}
 		m.Unasked++
--- a/internal/relayer/reception.go
+++ b/internal/relayer/reception.go
@@ -36,7 +36,7 @@
 type reception struct {
 	call    *call
 	place   *Placement
-	message message
+	message outgoingRequest
 	// hedged receptions run beside another attempt.
 	hedged bool
 	// resuming reports that the reply has to continue a stream of media type mediaType, of which the caller has
@@ -61,7 +61,7 @@
 	// too, also at other upstreams: the last attempt, spent on one, would fail the request although all upstreams
 	// are healthy.
 	r := &reception{call: c, place: place, message: c.message, sequence: c.deliveredSequence(), failed: c.failed, fresh: !c.repeatable() || c.reused}
-	send := Send{Upstream: place.Upstream.ID, Left: c.Deadline.Sub(c.Clock.Now()), Version: place.Version, Priority: c.Priority()}
+	send := OutgoingInfo{Upstream: place.Upstream.ID, Left: c.Deadline.Sub(c.Clock.Now()), Version: place.Version, Priority: c.Priority()}
 	if c.Workspace != nil {
 		send.Workspace = c.Workspace.Name
 	}
@@ -69,7 +69,7 @@
 		r.resuming, r.mediaType = true, c.stream.mediaType
 		send.LastEvent = c.stream.sequence.lastID
 	}
-	r.message.header = c.Codec.Outgoing(c.httpRequest.Header, send)
+	r.message.header = c.Codec.OutgoingHeader(c.httpRequest.Header, send)
 	return r
 }
 
@@ -97,7 +97,7 @@
 // sendAndReceive is receive without panic handling.
 func (r *reception) sendAndReceive(ctx context.Context) (*receivedReply, error) {
 	c, u := r.call, r.place.Upstream
-	o := sendOptions{fresh: r.fresh, headerWithin: r.headerWithin, connections: c.Placer.connectionLimit(u), stalled: r.stalled, opened: r.authorizeSend}
+	o := sendOptions{newConnection: r.fresh, headerTimeout: r.headerWithin, maxConnections: c.Placer.connectionLimit(u), keepReading: r.stalled, onOpen: r.authorizeSend}
 	x, err := c.Pool.send(ctx, c.Codec, u.ID, u.Address, &r.message, c.ID, o)
 	if err != nil {
 		return nil, err
@@ -151,13 +151,13 @@
 // setGap limits the wait for the next bytes, unless a hedge or the attempt beside it decides on that.
 func (r *reception) setGap(x *exchange, d time.Duration) {
 	if !r.hedged && r.call.hedge == nil {
-		x.setGap(d)
+		x.setReadTimeout(d)
 	}
 }
 
 // receivePlain reads a plain reply whole, or a long one up to bufferedReply.
 func (r *reception) receivePlain(ctx context.Context, x *exchange) (*receivedReply, error) {
-	x.begun()
+	x.onStart()
 	r.setGap(x, 0)
 	body := &bodyreader.Reader{Response: x.response}
 	start, ended, err := x.readReplyStart(body)
@@ -169,7 +169,7 @@
 	if !ended {
 		return reply, nil
 	}
-	if err := r.call.checkWhole(ctx, x, r.place); err != nil {
+	if err := r.call.checkComplete(ctx, x, r.place); err != nil {
 		x.abandon()
 		return nil, err
 	}
@@ -200,7 +200,7 @@
 			return nil, &SendError{Upstream: x.upstream, Outcome: retrier.Unknown, Err: err}
 		}
 		if !r.sequence.resuming {
-			x.begun()
+			x.onStart()
 			r.place.ReportStarted()
 			return &receivedReply{exchange: x, place: r.place, events: events, sequence: r.sequence, start: start}, nil
 		}
@@ -244,8 +244,8 @@
 			Err: &UnusableError{Problem: "reply with an encoding nobody asked for"}}
 	}
 	// Whether a hedge's failure matters depends on the attempt beside it.
-	if !r.hedged && r.call.mayRepeat() {
-		if err := x.failure(); err != nil {
+	if !r.hedged && r.call.canRetry() {
+		if err := x.serverError(); err != nil {
 			return err
 		}
 	}
--- a/internal/relayer/relayer.go
+++ b/internal/relayer/relayer.go
@@ -44,7 +44,7 @@
 	Prober Prober
 	// Liveness checks that the upstream outlived a reply that ended only with its connection; nil takes each such
 	// reply for whole.
-	Liveness Liveness
+	Liveness LivenessChecker
 	// Localizer finds and refuses prompts that crash upstreams; nil disables it.
 	Localizer *localizer.Localizer
 	// BlamesSynced reports whether the localizer has the blames of the other entries; nil means always.
@@ -61,7 +61,7 @@
 	// longestTimeLimits holds the longest time limit seen from callers, by route.
 	longestTimeLimits map[string]time.Duration
 
-	cuts      cuts
+	cuts      pendingCuts
 	slowdowns slowdowns
 }
 
@@ -74,7 +74,7 @@
 	writer      *callerWriter
 	account     *account
 	httpRequest *http.Request
-	message     message
+	message     outgoingRequest
 	// status is the status sent to the caller; 0 before the header is sent.
 	status int
 	// stream is set once a stream's header is sent.
@@ -92,7 +92,7 @@
 	defer c.account.close()
 	out.setTimeLimit(defaultTimeout)
 	c.Arrived = l.Clock.Now()
-	c.Request = l.Codec.Request(r.Header)
+	c.Request = l.Codec.ParseRequest(r.Header)
 	c.callerLeft = func() bool { return r.Context().Err() != nil }
 	defer c.recoverPanic()
 	l.count("requests")
@@ -197,7 +197,7 @@
 		c.answer(http.StatusRequestTimeout, "body not read", 0)
 		return false
 	}
-	c.message = message{method: c.httpRequest.Method, target: c.httpRequest.RequestURI, host: c.httpRequest.Host, body: body, account: c.account,
+	c.message = outgoingRequest{method: c.httpRequest.Method, target: c.httpRequest.RequestURI, host: c.httpRequest.Host, body: body, account: c.account,
 		hasBody: c.httpRequest.ContentLength != 0 || len(c.httpRequest.TransferEncoding) > 0}
 	return true
 }
--- a/internal/relayer/shutdown.go
+++ b/internal/relayer/shutdown.go
@@ -112,13 +112,13 @@
 
 // unloadedTime is how long an engine with these figures takes for a job that it runs alone.
 func unloadedTime(e *matcher.Engine, j *Job) time.Duration {
-	return scheduler.ReadTime(e, j.Prompt) + time.Duration(j.Answer())*scheduler.StepTime(e, 1)
+	return scheduler.ReadTime(e, j.Prompt) + time.Duration(j.ExpectedAnswer())*scheduler.StepTime(e, 1)
 }
 
 // longAnswerTokens is the size, in tokens, of an answer that is long for its hint; the longest answer for a
 // request that arrives shortly before the entry cuts it.
 func (j *Job) longAnswerTokens(cutIn time.Duration) int {
-	long := int(hintMargin * float64(j.Answer()))
+	long := int(hintMargin * float64(j.ExpectedAnswer()))
 	switch {
 	case j.MaxAnswer <= 0:
 		return long
--- a/internal/relayer/shutdown_test.go
+++ b/internal/relayer/shutdown_test.go
@@ -30,7 +30,7 @@
 
 // newSlowEngineWorld returns an entry before an engine that takes 3 s for a hundred tokens, over twice as long as
 // its figures say.
-func newSlowEngineWorld(t *testing.T) (*world, *fakeShutdown) {
+func newSlowEngineWorld(t *testing.T) (*testEntry, *fakeShutdown) {
 	t.Helper()
 	l := &scheduler.Ledger{Clock: clock.RealClock{}}
 	l.Open(&matcher.Engine{Slots: 12, ReadPerSecond: 20000, Step: 20 * time.Millisecond, Chunk: 512, Stride: 4})
@@ -41,13 +41,13 @@
 }
 
 // mustRefuseForShutdown checks that an answer is a refusal which states when to retry, and that nothing ran.
-func mustRefuseForShutdown(t *testing.T, w *world, a answer) {
+func mustRefuseForShutdown(t *testing.T, w *testEntry, a answer) {
 	t.Helper()
 	must.Eq(t, http.StatusServiceUnavailable, a.status)
 	retryAfter, err := strconv.ParseFloat(a.header.Get("Retry-After"), 64)
 	must.NoError(t, err)
 	must.Between(t, shutdownRetryAfter.Seconds(), retryAfter, 2*shutdownRetryAfter.Seconds())
-	must.SliceEmpty(t, w.upstreams[0].came())
+	must.SliceEmpty(t, w.upstreams[0].received())
 }
 
 // Guards against streams that an entry accepts during shutdown and cuts at the end of its grace.
@@ -73,7 +73,7 @@
 		t.Run(name, func(t *testing.T) {
 			w, s := newSlowEngineWorld(t)
 			s.left.Store(int64(e.left))
-			a := w.sendHeader(t, "/draft/", "order", http.Header{"Id": {"r1"}, "Answer": {e.answer}, "Hint": {e.hint}, "Patience": {e.patience}})
+			a := w.sendWithHeader(t, "/draft/", "order", http.Header{"Id": {"r1"}, "Answer": {e.answer}, "Hint": {e.hint}, "Patience": {e.patience}})
 			if e.refused {
 				mustRefuseForShutdown(t, w, a)
 				return
@@ -87,18 +87,18 @@
 func TestUnsentStreamIsRefusedWhenItsEntryShutsDown(t *testing.T) {
 	w, s := newSlowEngineWorld(t)
 	w.relayer.Pool.Opened = func() { s.left.Store(int64(3 * time.Second)) }
-	mustRefuseForShutdown(t, w, w.sendHeader(t, "/draft/", "order", http.Header{"Id": {"r1"}, "Answer": {"100"}}))
+	mustRefuseForShutdown(t, w, w.sendWithHeader(t, "/draft/", "order", http.Header{"Id": {"r1"}, "Answer": {"100"}}))
 }
 
 // Guards against plain requests, whose length is unknown, that an entry refuses during shutdown.
 func TestDrainingEntryServesPlainRequests(t *testing.T) {
 	u := newUpstream(t, "desk", func(_ int, id string, conn net.Conn) bool {
-		say(conn, sealed(id, "whole"))
+		writeString(conn, sealedReply(id, "whole"))
 		return true
 	})
-	w := newWorld(t, u)
+	w := newTestEntry(t, u)
 	s := &fakeShutdown{}
 	s.left.Store(int64(time.Millisecond))
 	w.relayer.Placer.Shutdown = s
-	must.Eq(t, "whole", w.ask(t, "/once/", "r1").body)
+	must.Eq(t, "whole", w.request(t, "/once/", "r1").body)
 }
--- a/internal/relayer/stream.go
+++ b/internal/relayer/stream.go
@@ -41,7 +41,7 @@
 		ended := errors.Is(err, io.EOF)
 		switch {
 		case ended:
-			err = c.checkWhole(ctx, x, r.place)
+			err = c.checkComplete(ctx, x, r.place)
 		case err != nil:
 			if c.stream != nil {
 				c.stream.sequence.recordCut(err)
@@ -65,7 +65,7 @@
 			x.abandon()
 			return err
 		}
-		x.setGap(EventGap)
+		x.setReadTimeout(EventGap)
 		event, err = r.next(c.Codec)
 	}
 }
@@ -105,7 +105,7 @@
 	c.stream.recordEvent(r.sequence, c.Clock.Now())
 	// A stream that is resumed elsewhere keeps its version of the weights.
 	c.Version, c.unnumbered = r.sequence.version, r.sequence.unnumbered
-	c.EventPassed(&c.Job)
+	c.CountEvent(&c.Job)
 	c.Chooser.RecordProgress(x.upstream)
 	return nil
 }
@@ -149,6 +149,6 @@
 		}
 	}
 	x.finish()
-	c.served(x, place)
+	c.recordServed(x, place)
 	return nil
 }
--- a/internal/relayer/suspended_test.go
+++ b/internal/relayer/suspended_test.go
@@ -33,7 +33,7 @@
 }
 
 // call connects and sends a request, followed by more bytes.
-func (w *world) call(t *testing.T, path, id, fields, body, more string) *caller {
+func (w *testEntry) call(t *testing.T, path, id, fields, body, more string) *caller {
 	t.Helper()
 	conn, err := net.Dial("tcp", w.Listener.Addr().String())
 	must.NoError(t, err)
@@ -60,7 +60,7 @@
 	for range gap / callerPollInterval {
 		_ = c.SetReadDeadline(time.Now().Add(callerPollInterval))
 		if _, err = c.reader.Peek(1); err == nil {
-			_ = c.SetReadDeadline(time.Now().Add(patience))
+			_ = c.SetReadDeadline(time.Now().Add(stepTimeout))
 			return http.ReadResponse(c.reader, nil)
 		}
 		var waited net.Error
@@ -76,23 +76,23 @@
 
 func beforeHeader(string, net.Conn) {}
 
-func afterHeader(id string, conn net.Conn) { say(conn, streamHead(id)) }
+func afterHeader(id string, conn net.Conn) { writeString(conn, streamHead(id)) }
 
 func afterLateHeader(id string, conn net.Conn) {
 	time.Sleep(1100 * time.Millisecond)
-	say(conn, streamHead(id))
+	writeString(conn, streamHead(id))
 }
 
-func midStream(id string, conn net.Conn) { say(conn, streamHead(id)+chunked(event(1))) }
+func midStream(id string, conn net.Conn) { writeString(conn, streamHead(id)+chunked(event(1))) }
 
 func inPlainBody(id string, conn net.Conn) {
-	say(conn, fmt.Sprintf("HTTP/1.1 200 OK\r\nId: %s\r\nSeal: x\r\nContent-Length: 9\r\n\r\nhalf", id))
+	writeString(conn, fmt.Sprintf("HTTP/1.1 200 OK\r\nId: %s\r\nSeal: x\r\nContent-Length: 9\r\n\r\nhalf", id))
 }
 
 // suspendingUpstreams are upstreams of which the first to get a request is suspended at a stage.
 // They record when the request arrived and when its connection was closed.
 type suspendingUpstreams struct {
-	first       once
+	first       firstUpstream
 	stage       stage
 	arrived     chan time.Time
 	closed      chan time.Time
@@ -105,13 +105,13 @@
 
 func (f *suspendingUpstreams) answer(name string) func(int, string, net.Conn) bool {
 	return func(_ int, id string, conn net.Conn) bool {
-		if !f.first.is(name) && !f.bothSuspend {
-			say(conn, streamHead(id)+chunked(event(1))+chunked(event(2))+"0\r\n\r\n")
+		if !f.first.claim(name) && !f.bothSuspend {
+			writeString(conn, streamHead(id)+chunked(event(1))+chunked(event(2))+"0\r\n\r\n")
 			return true
 		}
 		f.arrived <- time.Now()
 		f.stage(id, conn)
-		_ = conn.SetReadDeadline(time.Now().Add(patience))
+		_ = conn.SetReadDeadline(time.Now().Add(stepTimeout))
 		_, err := conn.Read(make([]byte, 1))
 		if !errors.Is(err, io.EOF) {
 			return false
@@ -122,7 +122,7 @@
 }
 
 // resumable sets whether the world's streams are resumable.
-func (w *world) resumable(yes bool) *world {
+func (w *testEntry) resumable(yes bool) *testEntry {
 	for _, r := range w.registrar.View().Table.Routes {
 		r.Resumable = yes
 	}
@@ -130,7 +130,7 @@
 }
 
 // withEventTimeout lets callers of streams leave after callerGap without an event.
-func (w *world) withEventTimeout() *world {
+func (w *testEntry) withEventTimeout() *testEntry {
 	for _, r := range w.registrar.View().Table.Routes {
 		if r.Kind == matcher.Streaming {
 			r.EventTimeout = callerGap
@@ -139,7 +139,7 @@
 	return w
 }
 
-func (w *world) withoutRetries() *world {
+func (w *testEntry) withoutRetries() *testEntry {
 	w.relayer.Budgets = &retrier.Budgets{New: func() *retrier.Budget {
 		return &retrier.Budget{Clock: clock.RealClock{}, Share: 1e-9, Floor: 1e-9, Burst: 1e-9}
 	}}
@@ -147,40 +147,40 @@
 }
 
 // suspensionCases are the cases in which an upstream's VM is suspended with a stream.
-func suspensionCases() map[string]func(t *testing.T) (*world, *suspendingUpstreams) {
-	two := func(f *suspendingUpstreams) func(t *testing.T) (*world, *suspendingUpstreams) {
-		return func(t *testing.T) (*world, *suspendingUpstreams) {
-			return newWorld(t, newUpstream(t, "u1", f.answer("u1")), newUpstream(t, "u2", f.answer("u2"))), f
+func suspensionCases() map[string]func(t *testing.T) (*testEntry, *suspendingUpstreams) {
+	two := func(f *suspendingUpstreams) func(t *testing.T) (*testEntry, *suspendingUpstreams) {
+		return func(t *testing.T) (*testEntry, *suspendingUpstreams) {
+			return newTestEntry(t, newUpstream(t, "u1", f.answer("u1")), newUpstream(t, "u2", f.answer("u2"))), f
 		}
 	}
-	alone := func(f *suspendingUpstreams) func(t *testing.T) (*world, *suspendingUpstreams) {
-		return func(t *testing.T) (*world, *suspendingUpstreams) {
-			return newWorld(t, newUpstream(t, "u1", f.answer("u1"))), f
+	alone := func(f *suspendingUpstreams) func(t *testing.T) (*testEntry, *suspendingUpstreams) {
+		return func(t *testing.T) (*testEntry, *suspendingUpstreams) {
+			return newTestEntry(t, newUpstream(t, "u1", f.answer("u1"))), f
 		}
 	}
-	noRetries := func(f *suspendingUpstreams) func(t *testing.T) (*world, *suspendingUpstreams) {
-		return func(t *testing.T) (*world, *suspendingUpstreams) {
+	noRetries := func(f *suspendingUpstreams) func(t *testing.T) (*testEntry, *suspendingUpstreams) {
+		return func(t *testing.T) (*testEntry, *suspendingUpstreams) {
 			w, f := two(f)(t)
 			return w.withoutRetries(), f
 		}
 	}
-	notResumable := func(f *suspendingUpstreams) func(t *testing.T) (*world, *suspendingUpstreams) {
-		return func(t *testing.T) (*world, *suspendingUpstreams) {
+	notResumable := func(f *suspendingUpstreams) func(t *testing.T) (*testEntry, *suspendingUpstreams) {
+		return func(t *testing.T) (*testEntry, *suspendingUpstreams) {
 			w, f := two(f)(t)
 			return w.resumable(false), f
 		}
 	}
-	both := func(f *suspendingUpstreams) func(t *testing.T) (*world, *suspendingUpstreams) {
+	both := func(f *suspendingUpstreams) func(t *testing.T) (*testEntry, *suspendingUpstreams) {
 		f.bothSuspend = true
 		return two(f)
 	}
 	// full has engines with agents: the second grants nothing.
-	full := func(f *suspendingUpstreams) func(t *testing.T) (*world, *suspendingUpstreams) {
-		return func(t *testing.T) (*world, *suspendingUpstreams) {
+	full := func(f *suspendingUpstreams) func(t *testing.T) (*testEntry, *suspendingUpstreams) {
+		return func(t *testing.T) (*testEntry, *suspendingUpstreams) {
 			return newEngineWorld(t, f.answer("engine"), openLedger(12), closedLedger("full")).resumable(true), f
 		}
 	}
-	return map[string]func(t *testing.T) (*world, *suspendingUpstreams){
+	return map[string]func(t *testing.T) (*testEntry, *suspendingUpstreams){
 		"before the header, another is free":                 two(suspendAt(beforeHeader)),
 		"before the header, no other":                        alone(suspendAt(beforeHeader)),
 		"before the header, all other engines full":          full(suspendAt(beforeHeader)),
@@ -195,7 +195,7 @@
 	}
 }
 
-func streamPath(w *world) string {
+func streamPath(w *testEntry) string {
 	if w.registrar.View().Table.Services["desk"] == nil {
 		return "/draft"
 	}
@@ -232,7 +232,7 @@
 			t.Run(name+path, func(t *testing.T) {
 				t.Parallel()
 				f := suspendAt(s)
-				w := newWorld(t, newUpstream(t, "u1", f.answer("u1")))
+				w := newTestEntry(t, newUpstream(t, "u1", f.answer("u1")))
 				c := w.call(t, path, "r1", "Patience: 1000\r\n", "order", "")
 				res, err := c.waitAnswer(time.Second)
 				must.NoError(t, err, must.Sprint("the caller got nothing within its time limit"))
--- a/internal/relayer/terms.go
+++ b/internal/relayer/terms.go
@@ -88,7 +88,7 @@
 		if t.Rest == 0 {
 			return 0
 		}
-		shortest = least(shortest, t.Rest)
+		shortest = minNonZero(shortest, t.Rest)
 	}
 	return shortest
 }
--- a/internal/relayer/unread.go
+++ b/internal/relayer/unread.go
@@ -133,7 +133,7 @@
 // wrapUnread marks the cut of a reply that the caller does not read.
 func (c *call) wrapUnread(err error) error {
 	var s *SendError
-	if !c.writer.recentlyUnread() || !isCut(err) || !errors.As(err, &s) {
+	if !c.writer.recentlyUnread() || !isConnectionCut(err) || !errors.As(err, &s) {
 		return err
 	}
 	return &SendError{Upstream: s.Upstream, Outcome: s.Outcome, Silence: s.Silence, Err: &UnreadError{Cut: s.Err}}
@@ -161,7 +161,7 @@
 func (c *call) endPartial(x *exchange, timeout, err error) {
 	x.abandon()
 	var cut *bodyreader.CutError
-	fields := []any{"upstream", x.upstream, "status", c.status, "silence", x.silence()}
+	fields := []any{"upstream", x.upstream, "status", c.status, "silence", x.sinceLastRead()}
 	switch {
 	case c.writer.recentlyUnread():
 		c.endUnread(err, fields...)
--- a/internal/relayer/upstream_backoff_test.go
+++ b/internal/relayer/upstream_backoff_test.go
@@ -170,13 +170,13 @@
 func noDelay() time.Duration { return 0 }
 
 // ask sends one request through an entry and returns the status and the time to come back.
-func ask(t *testing.T, w *world, id string) (status int, retryAfter, took time.Duration) {
+func ask(t *testing.T, w *testEntry, id string) (status int, retryAfter, took time.Duration) {
 	t.Helper()
 	return askAs(t, w, "0", id)
 }
 
 // askAs is ask through the entry of the given name.
-func askAs(t *testing.T, w *world, entry, id string) (status int, retryAfter, took time.Duration) {
+func askAs(t *testing.T, w *testEntry, entry, id string) (status int, retryAfter, took time.Duration) {
 	t.Helper()
 	start := time.Now()
 	r, err := http.NewRequestWithContext(context.Background(), http.MethodPost, w.URL+"/", strings.NewReader(entry))
@@ -191,11 +191,11 @@
 }
 
 // informAll sends requests through each entry until it has received a statement of an upstream.
-func informAll(t *testing.T, ws []*world, u *statingUpstream) {
+func informAll(t *testing.T, ws []*testEntry, u *statingUpstream) {
 	t.Helper()
 	for i, w := range ws {
 		for n, start := 0, time.Now(); !u.isInformed(fmt.Sprint(i)); n++ {
-			must.Less(t, patience, time.Since(start))
+			must.Less(t, stepTimeout, time.Since(start))
 			_, _, _ = askAs(t, w, fmt.Sprint(i), fmt.Sprintf("%d-%d", i, n))
 		}
 	}
--- a/internal/relayer/wait.go
+++ b/internal/relayer/wait.go
@@ -65,7 +65,7 @@
 			p.recordWait(j, w, false, err)
 			return nil, err
 		}
-		if err == nil || ctx.Err() != nil || !w.late && p.late(j) {
+		if err == nil || ctx.Err() != nil || !w.late && p.missesObjective(j) {
 			break
 		}
 	}
@@ -80,7 +80,7 @@
 		return slotWait{pollInterval: slotPollInterval}
 	case j.Again:
 		return slotWait{limit: retrySlotWait, pollInterval: slotPollInterval}
-	case !p.late(j):
+	case !p.missesObjective(j):
 		limit := p.slotWaitLimit(j)
 		if p.Without.Has(ablator.AdmissionWait) {
 			limit = 0
@@ -133,7 +133,7 @@
 		return 0
 	}
 	wait := refused.Opens + openingSlack
-	needs := firstEventTime + scheduler.ReadTime(e, min(j.Prompt, e.UsualPrompt))
+	needs := firstEventOverhead + scheduler.ReadTime(e, min(j.Prompt, e.UsualPrompt))
 	if p.Clock.Since(j.Arrived)+wait+needs > j.Route.Objective {
 		return 0
 	}
@@ -153,7 +153,7 @@
 	case w.late:
 		p.incCounter("lateWaits.missed")
 		p.lateWaits.End(j.Service, false, now)
-	case !placed && left == nil && !p.late(j):
+	case !placed && left == nil && !p.missesObjective(j):
 		p.contention.RecordRefusal(j.Service, now)
 	}
 }
