--- a/internal/registrar/announcement.go
+++ b/internal/registrar/announcement.go
@@ -131,8 +131,8 @@
 	}
 	n.Replaced, n.Since = known, since
 	if n.Learned.IsZero() {
-		// The process that found it has no data from before its own start. As it is newer than the
-		// known version, it was not announced before that time.
+		// The process that found it has no data from before its own start. It is newer than the
+		// known version, which bounds its time all the same.
 		n.Learned = since
 	}
 	return n
--- a/internal/registrar/outage.go
+++ b/internal/registrar/outage.go
@@ -67,8 +67,8 @@
 // since. No process can receive an announcement during an outage; if it counted from before it, the
 // time limit of all stale versions would be over when the store recovers, and callers would be
 // refused until new ones are loaded. A process that was suspended, or waited for unresponsive
-// peers, may have missed it alone. A gap between its calls, or a first one long after the last
-// confirmation, shows that.
+// peers, may have missed one that others received. A gap between its calls, or a first one long
+// after the last confirmation, shows that.
 //
 // Others' failed calls count as well. A process that starts in an outage has its last confirmation
 // from others and no earlier calls of its own; if it counted as suspended, it would make all others
