--- a/internal/explainer/explainer_test.go
+++ b/internal/explainer/explainer_test.go
@@ -17,7 +17,7 @@
 not a line
   3.000 side-1 {"time":"2026-01-01T00:00:03Z","level":"INFO","msg":"Place asked","request":"r1","granted":true}
   3.000 front-1 {"time":"2026-01-01T00:00:03Z","level":"INFO","msg":"Served","request":"r2","upstream":"u1"}
-  9.000 front-1 {"time":"2026-01-01T00:00:09Z","level":"INFO","msg":"Upstream told","upstream":"u1"}
+  9.000 front-1 {"time":"2026-01-01T00:00:09Z","level":"INFO","msg":"Upstream updated","upstream":"u1"}
 {"time":"2026-01-01T00:00:03.2Z","level":"INFO","msg":"Failed","request":"r1","outcome":"unknown"}
 `
 
@@ -35,7 +35,7 @@
 		must.StrContains(t, got[i], word)
 	}
 	must.StrNotContains(t, out.String(), "Served")
-	must.StrNotContains(t, out.String(), "Upstream told", must.Sprint("too long after"))
+	must.StrNotContains(t, out.String(), "Upstream updated", must.Sprint("too long after"))
 }
 
 func TestUnknownRequest(t *testing.T) {
--- a/internal/relayer/ask.go
+++ b/internal/relayer/ask.go
@@ -102,7 +102,7 @@
 // start in the record yet.
 func (p *Placer) handleReplacedEngine(u *registrar.UpstreamView, askedAt time.Time, v *messenger.Verdict) {
 	if v.StartedAt.After(u.StartedAt) || askedAt.Add(-v.Observed()).After(u.Learned) {
-		p.Registrar.Replaced(u.Upstream)
+		p.Registrar.MarkReplaced(u.Upstream)
 	}
 }
 
@@ -113,7 +113,7 @@
 func (p *Placer) isStaleGrant(j *Job, v *messenger.Verdict) bool {
 	bound := p.WeightsBound - scheduler.OldWeightsMargin
 	if v.BeginWithinMS > 0 {
-		return p.Registrar.SurelyOutdated(j.Model, v.Version, bound)
+		return p.Registrar.KnownOutdated(j.Model, v.Version, bound)
 	}
 	return p.Registrar.Outdated(j.Model, v.Version, bound)
 }
@@ -156,7 +156,7 @@
 // other signs of life, as its whole VM is mostly suspended or partitioned: the request would stay
 // unread until its caller has left, and run for nothing after the VM resumes.
 func (p *Placer) placeUngranted(view *registrar.View, u *registrar.UpstreamView, j *Job) *Placement {
-	held := u.Holds(j.Model)
+	held := u.HeldVersion(j.Model)
 	if p.Without.Has(ablator.UngrantedSends) || held == 0 || j.Version != 0 && held != j.Version || p.Registrar.Outdated(j.Model, held, p.WeightsBound/2) {
 		return nil
 	}
--- a/internal/relayer/given_up_test.go
+++ b/internal/relayer/given_up_test.go
@@ -111,7 +111,7 @@
 	w.restartRegistrar()
 	_, known := w.registrar.TimeLeft("", 1, weightsBound)
 	must.False(t, known)
-	w.registrar.Apply(other.Since(0))
+	w.registrar.Apply(other.ChangesSince(0))
 	_, known = w.registrar.TimeLeft("", 1, weightsBound)
 	must.True(t, known)
 }
--- a/internal/relayer/late_start_test.go
+++ b/internal/relayer/late_start_test.go
@@ -184,7 +184,7 @@
 	announced := make(chan time.Time, 1)
 	go func() {
 		<-waits.arrived
-		at, _, _ := w.registrar.At()
+		at, _, _ := w.registrar.Revision()
 		announced <- time.Now().Add(-late)
 		w.registrar.Apply(registrar.Batch{After: at, At: at + 1, Records: []registrar.Record{
 			{Key: "weights", Value: []byte{2}, Revision: at + 1, Age: late}}})
@@ -307,7 +307,7 @@
 	announce(w.registrar, 2)
 	other := w.registrar
 	w.restartRegistrar()
-	w.registrar.Apply(other.Since(0))
+	w.registrar.Apply(other.ChangesSince(0))
 	w.request(t, "/draft/", "r1")
 	waits.mustCloseWithin(t, announced, weightsBound)
 }
--- a/internal/relayer/place_test.go
+++ b/internal/relayer/place_test.go
@@ -91,7 +91,7 @@
 		c, ages := clocktest.NewFakeClock(time.Unix(1000, 0)), clocktest.NewFakeClock(start)
 		p, table := newPlacer(c, 3*time.Second, 1)
 		r := &registrar.Registrar{Clock: ages, Decode: p.Registrar.Decode}
-		r.Apply(p.Registrar.Since(0))
+		r.Apply(p.Registrar.ChangesSince(0))
 		p.Registrar = r
 		must.False(t, placed(p, c, table))
 		ages.Step(3 * time.Second)
@@ -165,13 +165,13 @@
 	p, table := newPlacer(c, 0, 1)
 	announce(p.Registrar, 1)
 	must.True(t, placed(p, c, table))
-	at, _, _ := p.Registrar.At()
+	at, _, _ := p.Registrar.Revision()
 	seen, _ := newPlacer(c, 0, 1)
-	seen.Registrar.Apply(p.Registrar.Since(0))
+	seen.Registrar.Apply(p.Registrar.ChangesSince(0))
 	announce(seen.Registrar, 2)
 	c.Step(9 * time.Second)
 	announce(seen.Registrar, 3)
-	p.Registrar.Apply(seen.Registrar.Since(at))
+	p.Registrar.Apply(seen.Registrar.ChangesSince(at))
 	must.False(t, placed(p, c, table))
 }
 
@@ -283,14 +283,14 @@
 
 // announce makes a version the one to load.
 func announce(r *registrar.Registrar, version byte) {
-	at, _, _ := r.At()
+	at, _, _ := r.Revision()
 	r.Apply(registrar.Batch{After: at, At: at + 1, Records: []registrar.Record{
 		{Key: "weights", Value: []byte{version}, Revision: at + 1}}})
 }
 
 // confirm confirms that the store has no newer records than those received.
 func confirm(r *registrar.Registrar) {
-	at, _, _ := r.At()
+	at, _, _ := r.Revision()
 	r.Apply(registrar.Batch{After: at, At: at})
 }
 
--- a/internal/relayer/silent_upstream_test.go
+++ b/internal/relayer/silent_upstream_test.go
@@ -182,7 +182,7 @@
 
 // changeTable delivers a new route table, and deletes the records of the given keys.
 func (w *testEntry) changeTable(change func(*matcher.Table), gone ...string) {
-	revision, _, _ := w.registrar.At()
+	revision, _, _ := w.registrar.Revision()
 	next := newTable()
 	change(next)
 	next.Version = revision + 1
--- a/internal/relayer/terms.go
+++ b/internal/relayer/terms.go
@@ -35,7 +35,7 @@
 // upstream at its address, or of unproved origin, states nothing.
 func (c *call) recordStatements(u registrar.Upstream, x *exchange) {
 	if x.reply.Upstream != "" && x.reply.Upstream != u.ID {
-		c.Registrar.Replaced(u)
+		c.Registrar.MarkReplaced(u)
 		return
 	}
 	status := x.response.StatusCode
--- a/internal/relayer/world_test.go
+++ b/internal/relayer/world_test.go
@@ -204,7 +204,7 @@
 
 // restartUpstream adds the record of an upstream's next start.
 func (w *testEntry) restartUpstream(i int) {
-	revision, _, _ := w.registrar.At()
+	revision, _, _ := w.registrar.Revision()
 	w.registrar.Apply(registrar.Batch{After: revision, At: revision + 1, Records: []registrar.Record{{Key: w.upstreams[i].name + " again", Revision: revision + 1}}})
 }
 
@@ -254,7 +254,7 @@
 // restartedRegistrar is the registrar of a process that found all records in the store when it started, and so
 // has no ages.
 func restartedRegistrar(r *registrar.Registrar) *registrar.Registrar {
-	found := r.Since(0)
+	found := r.ChangesSince(0)
 	// Batches share their records.
 	found.Records = slices.Clone(found.Records)
 	for i := range found.Records {
