--- a/internal/agent/agent.go
+++ b/internal/agent/agent.go
@@ -206,7 +206,7 @@
 // brief is the account without what the agent holds of weights.
 func (a *Agent) brief() messenger.AgentState {
 	gate, limit, running := a.Gate.State()
-	w := a.State.Word()
+	w := a.State.StatusUpdate()
 	s := messenger.AgentState{
 		ID:            a.ID,
 		Incarnation:   a.Incarnation,
--- a/internal/agent/link.go
+++ b/internal/agent/link.go
@@ -133,11 +133,11 @@
 	if n.Resend {
 		k.told = nil
 	}
-	w := l.agent.State.Word()
+	w := l.agent.State.StatusUpdate()
 	k.behind = n.Word.Revision < w.Revision
 	l.take(n)
 	l.place(n, k.client.Address)
 	// The answer is as fresh as the question: while it was under way, or this
 	// process frozen, a newer bundle may have come into force.
-	l.agent.State.HearWord(n.Word, asked)
+	l.agent.State.ReceiveUpdate(n.Word, asked)
 }
--- a/internal/agent/status.go
+++ b/internal/agent/status.go
@@ -49,8 +49,8 @@
 	gauge := func(name string, value func() int64) {
 		metrics.NewRegisteredFunctionalGauge(name, r, value)
 	}
-	gauge("bundle.revision", func() int64 { return int64(a.State.Word().Revision) })
-	gauge("bundle.ageMs", func() int64 { return a.State.Word().AgeMS })
+	gauge("bundle.revision", func() int64 { return int64(a.State.StatusUpdate().Revision) })
+	gauge("bundle.ageMs", func() int64 { return a.State.StatusUpdate().AgeMS })
 	gauge("bundle.alarms", func() int64 { return int64(len(a.State.Alarms())) })
 	gauge("gate.running", func() int64 { _, _, n := a.Gate.State(); return int64(n) })
 	gauge("gate.limit", func() int64 { _, n, _ := a.Gate.State(); return int64(n) })
--- a/internal/agent/switch_test.go
+++ b/internal/agent/switch_test.go
@@ -90,7 +90,7 @@
 	w.roll("v2")
 	w.until(func() bool { return slices.Contains(w.Gate.Holds(), admitter.Switching) })
 	w.roll("v3")
-	w.until(func() bool { return w.State.Word().Revision == 3 })
+	w.until(func() bool { return w.State.StatusUpdate().Revision == 3 })
 	w.whole(s)
 	w.await("v3")
 	must.Eq(t, []string{"v1", "v3"}, w.orders())
--- a/internal/entry/exchange.go
+++ b/internal/entry/exchange.go
@@ -16,7 +16,7 @@
 	}
 	s, ok := e.agents.take(r, l, e.Clock.Now())
 	if !ok {
-		return messenger.News{Word: e.State.Word(), Resend: true}
+		return messenger.News{Word: e.State.StatusUpdate(), Resend: true}
 	}
 	e.see(s)
 	e.Tracker.Report(s)
@@ -37,7 +37,7 @@
 // news is what an agent should know.
 func (e *Entry) news(s messenger.AgentState) messenger.News {
 	n := messenger.News{
-		Word:    e.State.Word(),
+		Word:    e.State.StatusUpdate(),
 		Leaving: e.agents.isLeaving(s.ID),
 	}
 	b, r := e.State.Current()
@@ -92,7 +92,7 @@
 		return messenger.Exchange{State: e.members.self()}
 	}
 	e.learn(x)
-	e.State.Hear(x.State)
+	e.State.ReceiveUnsolicited(x.State)
 	return e.members.mine(max(1, x.State.Word.Revision))
 }
 
@@ -105,6 +105,6 @@
 		}
 	}
 	e.Limiter.Hear(x.State.ID, x.Asked)
-	e.Router.HearDemand(x.State.ID, x.Demand)
+	e.Router.ReceiveDemand(x.State.ID, x.Demand)
 	e.Tracker.Introduce(x.OriginFetchers)
 }
--- a/internal/entry/members.go
+++ b/internal/entry/members.go
@@ -180,7 +180,7 @@
 		Leaving:        m.leaving || m.listed[e.ID],
 		Refusing:       e.State.MayServe() != nil,
 		StoreReachable: e.State.StoreReachable(),
-		Word:           e.State.Word(),
+		Word:           e.State.StatusUpdate(),
 	}
 }
 
--- a/internal/entry/peer.go
+++ b/internal/entry/peer.go
@@ -70,5 +70,5 @@
 		return
 	}
 	m.entry.learn(x)
-	m.entry.State.HearAnswer(x.State, asked)
+	m.entry.State.ReceiveAnswer(x.State, asked)
 }
--- a/internal/entry/status.go
+++ b/internal/entry/status.go
@@ -101,8 +101,8 @@
 	gauge := func(name string, value func() int64) {
 		metrics.NewRegisteredFunctionalGauge(name, r, value)
 	}
-	gauge("bundle.revision", func() int64 { return int64(e.State.Word().Revision) })
-	gauge("bundle.ageMs", func() int64 { return e.State.Word().AgeMS })
+	gauge("bundle.revision", func() int64 { return int64(e.State.StatusUpdate().Revision) })
+	gauge("bundle.ageMs", func() int64 { return e.State.StatusUpdate().AgeMS })
 	gauge("bundle.alarms", func() int64 { return int64(len(e.State.Alarms())) })
 	gauge("store.deadWatches", e.Watcher.DeadWatches)
 	gauge("entries.alive", func() int64 { return int64(e.members.count()) })
--- a/internal/gossiper/alarms.go
+++ b/internal/gossiper/alarms.go
@@ -41,11 +41,11 @@
 }
 
 // alarm counts the error and gives it back.
-func (s *State) alarm(err error) error {
+func (s *State) raiseAlarm(err error) error {
 	if s.alarms == nil {
 		s.alarms = map[AlarmKind]*Alarm{}
 	}
-	kind := kindOf(err)
+	kind := alarmKindOf(err)
 	a := s.alarms[kind]
 	if a == nil {
 		a = &Alarm{Kind: kind}
@@ -57,7 +57,7 @@
 	return err
 }
 
-func kindOf(err error) AlarmKind {
+func alarmKindOf(err error) AlarmKind {
 	switch err.(type) { //nolint:errorlint // only called with errors made here, never wrapped
 	case *RolledBackError:
 		return AlarmRolledBack
--- a/internal/gossiper/controlcost_test.go
+++ b/internal/gossiper/controlcost_test.go
@@ -34,7 +34,7 @@
 	agents     int
 	workspaces int
 	// every is the time between two changes; 0 means none.
-	every time.Duration
+	changeInterval time.Duration
 	// callers is how many bookings are made at once; 0 means none.
 	callers int
 }
@@ -61,11 +61,11 @@
 		{entries: 9, agents: 9, workspaces: 10},
 		{entries: 9, agents: 108, workspaces: 10},
 		{entries: 9, agents: 36, workspaces: 200},
-		{entries: 9, agents: 36, workspaces: 10, every: time.Second},
-		{entries: 9, agents: 36, workspaces: 200, every: time.Second},
+		{entries: 9, agents: 36, workspaces: 10, changeInterval: time.Second},
+		{entries: 9, agents: 36, workspaces: 200, changeInterval: time.Second},
 		{entries: 9, agents: 36, workspaces: 10, callers: 16},
 	} {
-		b.Run(fmt.Sprintf("entries=%d/agents=%d/workspaces=%d/every=%v/callers=%d", c.entries, c.agents, c.workspaces, c.every, c.callers), func(b *testing.B) {
+		b.Run(fmt.Sprintf("entries=%d/agents=%d/workspaces=%d/every=%v/callers=%d", c.entries, c.agents, c.workspaces, c.changeInterval, c.callers), func(b *testing.B) {
 			for b.Loop() {
 				runCost(b, bin, c)
 			}
@@ -77,36 +77,36 @@
 	d := &deployment{b: b, bin: bin, ports: freePorts(b, 2+3*c.entries+c.agents)}
 	defer d.stop()
 	d.startAll(c)
-	d.roll(c, 1)
-	pause(costWarmUp)
-	d.call(c)
-	began := time.Now()
-	before, runs := d.usages(), d.runs()
+	d.publish(c, 1)
+	sleep(costWarmUp)
+	d.startCallers(c)
+	started := time.Now()
+	before, runsBefore := d.usages(), d.bookingRuns()
 	revision := uint64(1)
-	for time.Since(began) < costSpan {
-		if c.every == 0 {
-			pause(costSpan)
+	for time.Since(started) < costSpan {
+		if c.changeInterval == 0 {
+			sleep(costSpan)
 			break
 		}
 		revision++
-		d.roll(c, revision)
-		pause(c.every - time.Since(began)%c.every)
+		d.publish(c, revision)
+		sleep(c.changeInterval - time.Since(started)%c.changeInterval)
 	}
-	span, after := time.Since(began), d.usages()
-	b.ReportMetric((d.runs()-runs)/span.Seconds(), "bookings/s")
+	span, after := time.Since(started), d.usages()
+	b.ReportMetric((d.bookingRuns()-runsBefore)/span.Seconds(), "bookings/s")
 	d.report("entry", span, before[:c.entries], after[:c.entries])
 	d.report("agent", span, before[c.entries:], after[c.entries:])
 }
 
 // pause waits in real time, which is what is measured here.
-func pause(d time.Duration) { <-time.After(d) }
+func sleep(d time.Duration) { <-time.After(d) }
 
 // deployment is a set of real processes; the daemons come entries first.
 type deployment struct {
 	b       *testing.B
 	bin     string
 	ports   []netip.AddrPort
-	helpers []*exec.Cmd
+	standIns []*exec.Cmd
 	daemons []*exec.Cmd
 }
 
@@ -130,14 +130,14 @@
 func (d *deployment) startAll(c costCase) {
 	store, service := d.ports[0], d.ports[1]
 	keys := strings.Join(keyring().Keys[:1], ",")
-	d.helpers = append(d.helpers,
+	d.standIns = append(d.standIns,
 		d.start("standins", "kv", "--listen", store.String()),
 		d.start("standins", "service", "--listen", service.String()))
 	var seeds []string
 	for i := range c.entries {
 		seeds = append(seeds, d.ports[3+3*i].String())
 	}
-	pause(300 * time.Millisecond)
+	sleep(300 * time.Millisecond)
 	for i := range c.entries {
 		p := d.ports[2+3*i:]
 		d.daemons = append(d.daemons, d.start("oriolecroft", "entry", "--id", fmt.Sprintf("entry-%d", i),
@@ -153,7 +153,7 @@
 }
 
 // call starts callers that go on until the deployment is stopped.
-func (d *deployment) call(c costCase) {
+func (d *deployment) startCallers(c costCase) {
 	if c.callers == 0 {
 		return
 	}
@@ -161,13 +161,13 @@
 	for i := range c.entries {
 		entries = append(entries, d.ports[2+3*i].String())
 	}
-	d.helpers = append(d.helpers, d.start("standins", "caller", "--entries", strings.Join(entries, ","), "--bookings", "1",
+	d.standIns = append(d.standIns, d.start("standins", "caller", "--entries", strings.Join(entries, ","), "--bookings", "1",
 		"--workspace", "workspace-0", "--service", "bookings", "--concurrency", strconv.Itoa(c.callers), "--duration", "1m"))
-	pause(2 * time.Second)
+	sleep(2 * time.Second)
 }
 
 // runs is how many bookings the service has run.
-func (d *deployment) runs() float64 {
+func (d *deployment) bookingRuns() float64 {
 	res, err := http.Get("http://" + d.ports[1].String() + "/admin/counts")
 	must.NoError(d.b, err)
 	defer res.Body.Close()
@@ -178,7 +178,7 @@
 	return counts.Runs
 }
 
-func (d *deployment) roll(c costCase, revision uint64) {
+func (d *deployment) publish(c costCase, revision uint64) {
 	bundle := &bundler.Bundle{
 		Revision:       revision,
 		ChangeID:       fmt.Sprint(revision),
@@ -205,7 +205,7 @@
 }
 
 func (d *deployment) stop() {
-	for _, c := range append(d.daemons, d.helpers...) {
+	for _, c := range append(d.daemons, d.standIns...) {
 		_ = c.Process.Signal(syscall.SIGKILL)
 		_ = c.Wait()
 	}
--- a/internal/gossiper/cutoff_test.go
+++ b/internal/gossiper/cutoff_test.go
@@ -7,18 +7,18 @@
 
 // cutOff is five minutes of trouble in a deployment of today's size: nine
 // entries, three in each of three regions, the store in the first region.
-type cutOff struct {
+type outageScenario struct {
 	name string
 	// storeDown takes the store away from all; cut and lost are the region that
 	// is cut off from the others, or gone; -1 for none.
 	storeDown bool
-	cut, lost int
+	cutRegion, lostRegion int
 	// drain has operators beside the store accept a bundle one minute in.
 	drain bool
 }
 
 // rule is a way to choose between serving and refusing.
-type rule struct {
+type servingPolicy struct {
 	name        string
 	freshFor    time.Duration
 	entries     int
@@ -28,15 +28,15 @@
 // BenchmarkCutOff reports, for each rule, for how many seconds an entry that is
 // alive refuses work on average, and for how many it serves by a superseded
 // bundle, which is work sent into a drained failure domain.
-func BenchmarkCutOff(b *testing.B) {
+func BenchmarkPartition(b *testing.B) {
 	const huon, tamar = 0, 2
-	for _, c := range []cutOff{
+	for _, c := range []outageScenario{
 		{"storeOut", true, -1, -1, false},
 		{"regionCut", false, tamar, -1, true},
 		{"storeRegionCut", false, huon, -1, true},
 		{"storeRegionLost", true, -1, huon, false},
 	} {
-		for _, r := range []rule{
+		for _, r := range []servingPolicy{
 			{"refuse", 0, 1 << 20, ""},
 			{"serveOn", time.Hour, 9, ""},
 			{"majority", 0, 9, ""},
@@ -44,7 +44,7 @@
 		} {
 			b.Run(c.name+"/"+r.name, func(b *testing.B) {
 				for b.Loop() {
-					refused, superseded := c.play(r)
+					refused, superseded := c.simulate(r)
 					b.ReportMetric(refused.Seconds(), "refused-s")
 					b.ReportMetric(superseded.Seconds(), "superseded-s")
 				}
@@ -53,7 +53,7 @@
 	}
 }
 
-func (c cutOff) play(r rule) (refused, superseded time.Duration) {
+func (c outageScenario) simulate(r servingPolicy) (refused, superseded time.Duration) {
 	const tick = 200 * time.Millisecond
 	m := newModel(9, 0, r.storeRegion)
 	m.freshFor = r.freshFor
@@ -67,14 +67,14 @@
 	m.down = c.storeDown
 	alive := 9
 	for i := range m.nodes {
-		if i/3 == c.lost {
+		if i/3 == c.lostRegion {
 			alive--
 		}
 		for j := range m.nodes {
-			m.cut[[2]int{i, j}] = (i/3 == c.cut) != (j/3 == c.cut) || i/3 == c.lost || j/3 == c.lost
+			m.cutLinks[[2]int{i, j}] = (i/3 == c.cutRegion) != (j/3 == c.cutRegion) || i/3 == c.lostRegion || j/3 == c.lostRegion
 		}
 		// The store is in the first region.
-		m.cutStore[i] = c.cut >= 0 && (i/3 == c.cut) != (c.cut == 0)
+		m.cutStore[i] = c.cutRegion >= 0 && (i/3 == c.cutRegion) != (c.cutRegion == 0)
 	}
 	for t := time.Duration(0); t < 5*time.Minute; t += tick {
 		if c.drain && t == time.Minute {
@@ -84,7 +84,7 @@
 		for i, s := range m.nodes {
 			held, _ := s.Current()
 			switch {
-			case i/3 == c.lost:
+			case i/3 == c.lostRegion:
 			case s.MayServe() != nil:
 				refused += tick
 			case int(held.Revision) < len(m.accepted):
--- a/internal/gossiper/exchanger.go
+++ b/internal/gossiper/exchanger.go
@@ -25,7 +25,7 @@
 	// urgency is how much more often entries exchange while no confirmation is
 	// young: they then have to find out from each other whether the store is out
 	// before the last one lapses.
-	urgency = 5
+	urgentFactor = 5
 	// minRelays keeps today's deployments, of three entries a region, independent
 	// of which of them fails.
 	minRelays = 3
@@ -60,38 +60,38 @@
 // Serve runs until the context ends.
 func (e *Exchanger) Serve(ctx context.Context) error {
 	var g sync.WaitGroup
-	g.Go(func() { e.compareLoop(ctx) })
-	g.Go(func() { e.tellLoop(ctx) })
+	g.Go(func() { e.pollLoop(ctx) })
+	g.Go(func() { e.pushLoop(ctx) })
 	g.Wait()
 	return ctx.Err()
 }
 
-func (e *Exchanger) compareLoop(ctx context.Context) {
+func (e *Exchanger) pollLoop(ctx context.Context) {
 	for turn := 0; ctx.Err() == nil; turn++ {
-		e.Compare(ctx, turn)
-		e.sleep(ctx, e.Pause())
+		e.Poll(ctx, turn)
+		e.sleep(ctx, e.NextPause())
 	}
 }
 
-// Compare asks a relay, which has the youngest confirmation. If that one is gone,
+// Poll asks a relay, which has the youngest confirmation. If that one is gone,
 // or in every other turn while no confirmation is young, it asks anyone: the list
 // of VMs lags, and the relays might all be lost or cut off together.
-func (e *Exchanger) Compare(ctx context.Context, turn int) {
-	relays := e.without(e.relays())
-	if e.State.Restless() && turn%2 == 1 {
+func (e *Exchanger) Poll(ctx context.Context, turn int) {
+	relays := e.withoutSelf(e.relays())
+	if e.State.ConfirmationOverdue() && turn%2 == 1 {
 		relays = nil
 	}
-	for _, p := range e.pick(relays, 1) {
-		if e.With(ctx, p) == nil {
+	for _, p := range e.sample(relays, 1) {
+		if e.ExchangeWith(ctx, p) == nil {
 			return
 		}
 	}
-	for _, p := range e.pick(e.Peers(), 1) {
-		_ = e.With(ctx, p)
+	for _, p := range e.sample(e.Peers(), 1) {
+		_ = e.ExchangeWith(ctx, p)
 	}
 }
 
-func (e *Exchanger) tellLoop(ctx context.Context) {
+func (e *Exchanger) pushLoop(ctx context.Context) {
 	for {
 		changed := e.State.Changed()
 		select {
@@ -99,39 +99,39 @@
 			return
 		case <-changed:
 		}
-		e.sleep(ctx, e.Below(orDefault(e.Spread, DefaultSpread)))
-		e.Tell(ctx)
+		e.sleep(ctx, e.RandomBelow(orDefault(e.Spread, DefaultSpread)))
+		e.Push(ctx)
 	}
 }
 
-// Tell compares with a few peers of this region and one elsewhere, or more if the
+// Push compares with a few peers of this region and one elsewhere, or more if the
 // region is small, because of a change: regions share little bandwidth, and the
 // record is long.
-func (e *Exchanger) Tell(ctx context.Context) {
+func (e *Exchanger) Push(ctx context.Context) {
 	region := e.Self().Region
-	var near, far []messenger.EntryState
+	var sameRegion, otherRegions []messenger.EntryState
 	for _, p := range e.Peers() {
 		if p.Region == region {
-			near = append(near, p)
+			sameRegion = append(sameRegion, p)
 		} else {
-			far = append(far, p)
+			otherRegions = append(otherRegions, p)
 		}
 	}
-	near = e.pick(near, e.fanout())
-	far = e.pick(far, e.fanout()+1-len(near))
-	for _, p := range slices.Concat(near, far) {
-		_ = e.With(ctx, p)
+	sameRegion = e.sample(sameRegion, e.fanout())
+	otherRegions = e.sample(otherRegions, e.fanout()+1-len(sameRegion))
+	for _, p := range slices.Concat(sameRegion, otherRegions) {
+		_ = e.ExchangeWith(ctx, p)
 	}
 }
 
-// Pause is how long to wait before the next exchange: half of it is random, so
+// NextPause is how long to wait before the next exchange: half of it is random, so
 // that entries started together do not stay in step.
-func (e *Exchanger) Pause() time.Duration {
+func (e *Exchanger) NextPause() time.Duration {
 	every := orDefault(e.Every, DefaultEvery)
-	if e.State.Restless() {
-		every /= urgency
+	if e.State.ConfirmationOverdue() {
+		every /= urgentFactor
 	}
-	return every/2 + e.Below(every)
+	return every/2 + e.RandomBelow(every)
 }
 
 // IsRelay tells whether this entry is one of those that ask the store on behalf
@@ -147,27 +147,27 @@
 // entry that wrongly believes itself a relay costs some calls, nothing else.
 func (e *Exchanger) relays() []messenger.EntryState {
 	self := e.Self()
-	here := []messenger.EntryState{self}
+	candidates := []messenger.EntryState{self}
 	for _, p := range e.Peers() {
 		if p.Region == self.Region && !p.Leaving {
-			here = append(here, p)
+			candidates = append(candidates, p)
 		}
 	}
-	slices.SortFunc(here, func(a, b messenger.EntryState) int {
+	slices.SortFunc(candidates, func(a, b messenger.EntryState) int {
 		return cmp.Compare(xxhash.Sum64String(a.ID), xxhash.Sum64String(b.ID))
 	})
-	n := max(minRelays, int(math.Ceil(1.5*math.Sqrt(float64(len(here))))))
-	return here[:min(n, len(here))]
+	n := max(minRelays, int(math.Ceil(1.5*math.Sqrt(float64(len(candidates))))))
+	return candidates[:min(n, len(candidates))]
 }
 
 // without leaves this entry itself out.
-func (e *Exchanger) without(ps []messenger.EntryState) []messenger.EntryState {
+func (e *Exchanger) withoutSelf(ps []messenger.EntryState) []messenger.EntryState {
 	self := e.Self().ID
 	return slices.DeleteFunc(ps, func(p messenger.EntryState) bool { return p.ID == self })
 }
 
 // pick chooses up to n different peers at random.
-func (e *Exchanger) pick(from []messenger.EntryState, n int) []messenger.EntryState {
+func (e *Exchanger) sample(from []messenger.EntryState, n int) []messenger.EntryState {
 	ps := slices.Clone(from)
 	e.mu.Lock()
 	defer e.mu.Unlock()
@@ -178,11 +178,11 @@
 	return ps[:min(n, len(ps))]
 }
 
-// With exchanges with one peer. The record goes along only in a second call, once
+// ExchangeWith exchanges with one peer. The record goes along only in a second call, once
 // the peer's answer has shown that it has less: most peers know a change by the
 // time they are told.
-func (e *Exchanger) With(ctx context.Context, p messenger.EntryState) error {
-	answer, err := e.call(ctx, p, messenger.Exchange{State: e.account()})
+func (e *Exchanger) ExchangeWith(ctx context.Context, p messenger.EntryState) error {
+	answer, err := e.call(ctx, p, messenger.Exchange{State: e.ownState()})
 	if err != nil {
 		return err
 	}
@@ -190,19 +190,19 @@
 	if r == nil {
 		return nil
 	}
-	_, err = e.call(ctx, p, messenger.Exchange{State: e.account(), Record: r})
+	_, err = e.call(ctx, p, messenger.Exchange{State: e.ownState(), Record: r})
 	return err
 }
 
 func (e *Exchanger) call(ctx context.Context, p messenger.EntryState, x messenger.Exchange) (messenger.Exchange, error) {
-	asked := e.Clock.Now()
+	askedAt := e.Clock.Now()
 	answer, err := e.Call(ctx, p, x)
 	if err != nil {
 		klog.V(2).InfoS("Peer not heard", "peer", p.ID, "err", err)
 		return answer, err
 	}
-	e.offer(answer)
-	e.State.HearAnswer(answer.State, asked)
+	e.offerRecord(answer)
+	e.State.ReceiveAnswer(answer.State, askedAt)
 	if e.Heard != nil {
 		e.Heard(answer)
 	}
@@ -211,12 +211,12 @@
 
 // Answer is what to say to another entry's exchange.
 func (e *Exchanger) Answer(x messenger.Exchange) messenger.Exchange {
-	e.offer(x)
-	e.State.Hear(x.State)
-	return messenger.Exchange{State: e.account(), Record: e.State.RecordFor(x.State.Word)}
+	e.offerRecord(x)
+	e.State.ReceiveUnsolicited(x.State)
+	return messenger.Exchange{State: e.ownState(), Record: e.State.RecordFor(x.State.Word)}
 }
 
-func (e *Exchanger) offer(x messenger.Exchange) {
+func (e *Exchanger) offerRecord(x messenger.Exchange) {
 	if x.Record == nil {
 		return
 	}
@@ -225,10 +225,10 @@
 	}
 }
 
-func (e *Exchanger) account() messenger.EntryState {
+func (e *Exchanger) ownState() messenger.EntryState {
 	self := e.Self()
 	self.StoreReachable = e.State.StoreReachable()
-	self.Word = e.State.Word()
+	self.Word = e.State.StatusUpdate()
 	return self
 }
 
@@ -248,8 +248,8 @@
 	return DefaultFanout
 }
 
-// Below picks a duration in [0, d) at random.
-func (e *Exchanger) Below(d time.Duration) time.Duration {
+// RandomBelow picks a duration in [0, d) at random.
+func (e *Exchanger) RandomBelow(d time.Duration) time.Duration {
 	e.mu.Lock()
 	defer e.mu.Unlock()
 	return time.Duration(e.intN(int(max(d, 1))))
--- a/internal/gossiper/failure_test.go
+++ b/internal/gossiper/failure_test.go
@@ -23,17 +23,17 @@
 	inFleet(t, 9, func(f *fleet) {
 		f.publish(1)
 		f.startAll()
-		f.inForce(1, 5*time.Second)
-		pass(3 * time.Second)
+		f.awaitRevision(1, 5*time.Second)
+		advance(3 * time.Second)
 		f.faults(`{"down":true}`)
-		f.during(5*time.Minute, f.serves)
+		f.checkDuring(5*time.Minute, f.mustServe)
 		f.faults(`{}`)
-		f.during(10*time.Second, f.serves)
-		f.link.Cut.Store(true)
-		f.during(5*time.Minute, f.serves)
-		f.link.Cut.Store(false)
+		f.checkDuring(10*time.Second, f.mustServe)
+		f.storeLink.Cut.Store(true)
+		f.checkDuring(5*time.Minute, f.mustServe)
+		f.storeLink.Cut.Store(false)
 		f.publish(2)
-		f.inForce(2, 10*time.Second)
+		f.awaitRevision(2, 10*time.Second)
 	})
 }
 
@@ -42,34 +42,34 @@
 // all others by the time its confirmation lapses; if it went on believing the
 // success, it would refuse work for up to a second. A failure from before the
 // success, passed on by a third entry, must still not count in its place.
-func TestSuccessEndsBeforeItsConfirmation(t *testing.T) {
-	must.NoError(t, afterSuccess(t, "b", "c", "d"))
-	must.Error(t, afterSuccess(t, "b", "c"))
+func TestStoreSuccessExpiresBeforeConfirmation(t *testing.T) {
+	must.NoError(t, serveAfterSuccess(t, "b", "c", "d"))
+	must.Error(t, serveAfterSuccess(t, "b", "c"))
 }
 
 // afterSuccess is whether an entry of five serves just after its confirmation
 // lapsed, if b reached the store once more after its last failure that a third
 // entry tells of, beside those of the others in silent.
-func afterSuccess(t *testing.T, silent ...string) error {
+func serveAfterSuccess(t *testing.T, failed ...string) error {
 	c := testclock.NewFakePassiveClock(start)
 	s := &gossiper.State{Keyring: keyring(), Clock: c, Entries: 5, ID: "a"}
 	_, err := s.Observe(signed(1, "c1"), start)
 	must.NoError(t, err)
-	word := s.Word()
-	c.SetTime(start.Add(s.ReachFor()))
-	word.AgeMS = s.ReachFor().Milliseconds()
-	s.HearAnswer(messenger.EntryState{ID: "b", StoreReachable: true, Word: word}, c.Now())
+	update := s.StatusUpdate()
+	c.SetTime(start.Add(s.ReachableFor()))
+	update.AgeMS = s.ReachableFor().Milliseconds()
+	s.ReceiveAnswer(messenger.EntryState{ID: "b", StoreReachable: true, Word: update}, c.Now())
 	c.SetTime(start.Add(gossiper.DefaultFreshFor - 100*time.Millisecond))
-	s.Fail()
-	s.Word() // goes through the votes, and forgets those that lapsed
-	word.AgeMS = c.Now().Sub(start).Milliseconds()
+	s.MarkStoreFailed()
+	s.StatusUpdate() // goes through the votes, and forgets those that lapsed
+	update.AgeMS = c.Now().Sub(start).Milliseconds()
 	var v messenger.Silence
-	for _, name := range silent {
+	for _, name := range failed {
 		v.IDs = append(v.IDs, uint32(xxhash.Sum64String(name)))
 		v.AgesMS = append(v.AgesMS, 1500)
 	}
-	word.Silent = []messenger.Silence{v}
-	s.HearAnswer(messenger.EntryState{ID: "c", Word: word}, c.Now())
+	update.Silent = []messenger.Silence{v}
+	s.ReceiveAnswer(messenger.EntryState{ID: "c", Word: update}, c.Now())
 	c.SetTime(start.Add(gossiper.DefaultFreshFor + 20*time.Millisecond))
 	return s.MayServe()
 }
@@ -81,14 +81,14 @@
 	inFleet(t, 9, func(f *fleet) {
 		f.publish(1)
 		f.startAll()
-		f.inForce(1, 5*time.Second)
-		pass(3 * time.Second)
+		f.awaitRevision(1, 5*time.Second)
+		advance(3 * time.Second)
 		f.faults(`{"delayMs":1500}`)
-		f.during(time.Minute, f.serves)
+		f.checkDuring(time.Minute, f.mustServe)
 		f.publish(2)
-		f.inForce(2, 5*time.Second)
+		f.awaitRevision(2, 5*time.Second)
 		f.faults(`{"delayMs":4000}`)
-		f.during(time.Minute, f.serves)
+		f.checkDuring(time.Minute, f.mustServe)
 	})
 }
 
@@ -99,12 +99,12 @@
 	inFleet(t, 5, func(f *fleet) {
 		f.publish(1)
 		f.startAll()
-		f.inForce(1, 5*time.Second)
+		f.awaitRevision(1, 5*time.Second)
 		f.faults(`{"down":true}`)
 		for i := range f.nodes {
 			f.start(i)
-			pass(10 * time.Second)
-			f.serves(f.nodes[i])
+			advance(10 * time.Second)
+			f.mustServe(f.nodes[i])
 		}
 	})
 }
@@ -117,18 +117,18 @@
 	inFleet(t, 5, func(f *fleet) {
 		f.faults(`{"down":true}`)
 		f.startAll()
-		pass(3 * time.Second)
+		advance(3 * time.Second)
 		report := func(i int, revision uint64) {
 			_, err := f.nodes[i].state.Offer(signed(revision, "c"))
 			must.NoError(f.t, err)
 		}
 		report(0, 1)
-		f.during(2*time.Second, func(n *node) { must.Error(f.t, n.state.MayServe()) })
+		f.checkDuring(2*time.Second, func(n *node) { must.Error(f.t, n.state.MayServe()) })
 		report(3, 2)
-		f.during(10*time.Second, func(n *node) {
+		f.checkDuring(10*time.Second, func(n *node) {
 			must.True(f.t, n.state.MayServe() != nil || holds(n.state, 2))
 		})
-		f.during(time.Second, f.serves)
+		f.checkDuring(time.Second, f.mustServe)
 	})
 }
 
@@ -136,16 +136,16 @@
 // the path drops the connection. The entry would wait in it for a change that
 // came and went, and send work to a drained failure domain for up to half a
 // minute.
-func TestNoticesDeadWatch(t *testing.T) {
+func TestDetectsDeadWatch(t *testing.T) {
 	inFleet(t, 1, func(f *fleet) {
 		f.publish(1)
 		f.faults(`{"deadWatches":true}`)
 		f.startAll()
-		f.inForce(1, 5*time.Second)
-		pass(5 * time.Second)
+		f.awaitRevision(1, 5*time.Second)
+		advance(5 * time.Second)
 		f.publish(2)
-		f.inForce(2, 2*time.Second)
-		pass(2 * time.Second)
+		f.awaitRevision(2, 2*time.Second)
+		advance(2 * time.Second)
 		must.Positive(f.t, f.nodes[0].watcher.DeadWatches())
 	})
 }
@@ -153,28 +153,28 @@
 // A failure domain is drained while one entry is cut off from everything but its
 // callers and its own agents. It would go on sending them work into the drained
 // domain until someone noticed; it has to stop by itself.
-func TestCutOffEntryStopsDuringDrain(t *testing.T) {
+func TestPartitionedEntryStopsDuringDrain(t *testing.T) {
 	inFleet(t, 5, func(f *fleet) {
 		f.publish(1)
 		f.startAll()
-		f.inForce(1, 5*time.Second)
-		pass(3 * time.Second)
+		f.awaitRevision(1, 5*time.Second)
+		advance(3 * time.Second)
 		agent := &gossiper.State{Keyring: keyring(), Clock: clock.RealClock{}}
 		_, err := agent.Offer(signed(1, "c1"))
 		must.NoError(f.t, err)
-		report := func(i int) { agent.HearWord(f.nodes[i].state.Word(), time.Now()) }
-		report(4)
+		reportFrom := func(i int) { agent.ReceiveUpdate(f.nodes[i].state.StatusUpdate(), time.Now()) }
+		reportFrom(4)
 		must.NoError(f.t, agent.MayServe())
-		f.nodes[4].cut.Store(true)
+		f.nodes[4].partitioned.Store(true)
 		f.publish(2)
-		pass(gossiper.DefaultFreshFor + time.Millisecond)
-		f.during(20*time.Second, func(n *node) {
-			report(4)
-			must.Eq(f.t, n.cut.Load(), n.state.MayServe() != nil)
+		advance(gossiper.DefaultFreshFor + time.Millisecond)
+		f.checkDuring(20*time.Second, func(n *node) {
+			reportFrom(4)
+			must.Eq(f.t, n.partitioned.Load(), n.state.MayServe() != nil)
 			must.Error(f.t, agent.MayServe())
 		})
-		f.nodes[4].cut.Store(false)
-		f.inForce(2, 5*time.Second)
+		f.nodes[4].partitioned.Store(false)
+		f.awaitRevision(2, 5*time.Second)
 	})
 }
 
@@ -182,21 +182,21 @@
 // while 2 is in force everywhere. Entries that believed it would bring a drained
 // failure domain back; one that is replaced just then does not know better until
 // it hears a peer. Service goes on, and an operator is told.
-func TestStoreRestoredOlder(t *testing.T) {
+func TestStoreRestoredFromOldCopy(t *testing.T) {
 	inFleet(t, 5, func(f *fleet) {
 		f.publish(1)
 		f.admin("/admin/snapshot", "{}")
 		f.publish(2)
 		f.startAll()
-		f.inForce(2, 5*time.Second)
-		pass(3 * time.Second)
+		f.awaitRevision(2, 5*time.Second)
+		advance(3 * time.Second)
 		f.admin("/admin/restore", "{}")
-		f.during(20*time.Second, func(n *node) { f.serves(n); must.True(f.t, holds(n.state, 2)) })
+		f.checkDuring(20*time.Second, func(n *node) { f.mustServe(n); must.True(f.t, holds(n.state, 2)) })
 		must.Positive(f.t, alarms(f.nodes[0].state, gossiper.AlarmRolledBack))
 		f.start(4)
-		f.during(20*time.Second, func(n *node) {
+		f.checkDuring(20*time.Second, func(n *node) {
 			if n != f.nodes[4] {
-				f.serves(n)
+				f.mustServe(n)
 			}
 		})
 		must.True(f.t, holds(f.nodes[4].state, 2))
@@ -204,8 +204,8 @@
 		p := &publisher.Publisher{Store: f.store(nil), Keyring: keyring()}
 		must.NoError(f.t, p.Restore(f.t.Context(), r))
 		f.publish(3)
-		f.inForce(3, 5*time.Second)
-		f.during(10*time.Second, f.serves)
+		f.awaitRevision(3, 5*time.Second)
+		f.checkDuring(10*time.Second, f.mustServe)
 	})
 }
 
@@ -216,8 +216,8 @@
 	inFleet(t, 3, func(f *fleet) {
 		f.publish(1)
 		f.startAll()
-		f.inForce(1, 5*time.Second)
-		pass(3 * time.Second)
+		f.awaitRevision(1, 5*time.Second)
+		advance(3 * time.Second)
 		i, err := f.store(nil).Get(f.t.Context(), gossiper.BundleKey)
 		must.NoError(f.t, err)
 		forged, err := record(2, "forged", operators[2]).Encode()
@@ -225,7 +225,7 @@
 		for _, value := range [][]byte{forged, []byte("garbage")} {
 			i.Version, err = f.store(nil).Put(f.t.Context(), gossiper.BundleKey, value, i.Version, "")
 			must.NoError(f.t, err)
-			f.during(10*time.Second, func(n *node) { f.serves(n); must.True(f.t, holds(n.state, 1)) })
+			f.checkDuring(10*time.Second, func(n *node) { f.mustServe(n); must.True(f.t, holds(n.state, 1)) })
 		}
 		must.Positive(f.t, alarms(f.nodes[0].state, gossiper.AlarmBadRecord))
 	})
@@ -235,17 +235,17 @@
 // store and the rest together, and operators beside the store drain a failure
 // domain. Counting a majority alone takes that for an outage, and the cut-off
 // part would serve by the old bundle as long as the cut lasts.
-func TestMajorityCutOffFromStore(t *testing.T) {
+func TestMajorityPartitionedFromStore(t *testing.T) {
 	for _, c := range []struct {
 		storeRegion string
 		serves      bool
 	}{{"", true}, {"huon", false}} {
 		m := newModel(5, 0, c.storeRegion)
-		m.settle(t)
+		m.converge(t)
 		m.cutStore = map[int]bool{2: true, 3: true, 4: true}
 		for i := range 2 {
 			for j := range 5 {
-				m.cut[[2]int{i, j}] = true
+				m.cutLinks[[2]int{i, j}] = true
 			}
 		}
 		m.publish()
@@ -259,7 +259,7 @@
 // An entry's VM is frozen while two revisions go by, and wakes up with old words
 // still unread in its sockets. If it took them for new, or went by a monotonic
 // clock that stood still, it would send work by a bundle two revisions old.
-func TestPausedOverTwoRevisions(t *testing.T) {
+func TestSuspendedDuringTwoRevisions(t *testing.T) {
 	c := testclock.NewFakePassiveClock(start)
 	s := &gossiper.State{Keyring: keyring(), Clock: c, Entries: 3, ID: "e0"}
 	_, err := s.Observe(signed(1, "c1"), c.Now())
@@ -267,10 +267,10 @@
 	must.NoError(t, s.MayServe())
 	asked := c.Now()
 	c.SetTime(start.Add(20 * time.Second))
-	word := messenger.Word{Revision: 1, Digest: signed(1, "c1").Digest(), AgeMS: 5}
-	word.Silent = silence("e1", "e2")
-	s.Hear(messenger.EntryState{ID: "e1", Word: word})
-	s.HearAnswer(messenger.EntryState{ID: "e1", Word: word}, asked)
+	update := messenger.Word{Revision: 1, Digest: signed(1, "c1").Digest(), AgeMS: 5}
+	update.Silent = failureReports("e1", "e2")
+	s.ReceiveUnsolicited(messenger.EntryState{ID: "e1", Word: update})
+	s.ReceiveAnswer(messenger.EntryState{ID: "e1", Word: update}, asked)
 	var stale *gossiper.StaleError
 	must.True(t, errors.As(s.MayServe(), &stale))
 	must.Eq(t, 20*time.Second, stale.Age)
@@ -280,7 +280,7 @@
 }
 
 // silence is the word of some entries that the store failed them just now.
-func silence(ids ...string) []messenger.Silence {
+func failureReports(ids ...string) []messenger.Silence {
 	var v messenger.Silence
 	for _, id := range ids {
 		v.IDs = append(v.IDs, uint32(xxhash.Sum64String(id)))
@@ -290,36 +290,36 @@
 }
 
 // outageEntry is one of three entries, holds revision 2 and counts the store out.
-func outageEntry(t *testing.T) (*gossiper.State, *testclock.FakePassiveClock, messenger.Word) {
+func entryDuringOutage(t *testing.T) (*gossiper.State, *testclock.FakePassiveClock, messenger.Word) {
 	c := testclock.NewFakePassiveClock(start)
 	s := &gossiper.State{Keyring: keyring(), Clock: c, Entries: 3, ID: "e0"}
 	_, err := s.Observe(signed(2, "c2"), c.Now())
 	must.NoError(t, err)
 	c.SetTime(start.Add(20 * time.Second))
-	s.Fail()
-	w := messenger.Word{Revision: 2, Digest: signed(2, "c2").Digest(), AgeMS: 20000, Silent: silence("e1")}
-	s.HearAnswer(messenger.EntryState{ID: "e1", Word: w}, c.Now())
+	s.MarkStoreFailed()
+	update := messenger.Word{Revision: 2, Digest: signed(2, "c2").Digest(), AgeMS: 20000, Silent: failureReports("e1")}
+	s.ReceiveAnswer(messenger.EntryState{ID: "e1", Word: update}, c.Now())
 	must.NoError(t, s.MayServe())
-	return s, c, w
+	return s, c, update
 }
 
 // While the store is rolled back an entry is replaced, reads the old revision
 // from it and says that it reaches the store. Were that counted, all the others
 // would refuse work: the store does not confirm what they hold.
 func TestEntryAtRolledBackStoreIsNotCounted(t *testing.T) {
-	s, c, _ := outageEntry(t)
+	s, c, _ := entryDuringOutage(t)
 	replaced := &gossiper.State{Keyring: keyring(), Clock: c, Entries: 3, ID: "e2"}
 	_, err := replaced.Observe(signed(1, "c1"), c.Now())
 	must.NoError(t, err)
-	hear := func() {
+	exchange := func() {
 		c.SetTime(c.Now().Add(time.Millisecond))
-		s.HearAnswer(messenger.EntryState{ID: "e2", StoreReachable: replaced.StoreReachable(), Word: replaced.Word()}, c.Now())
+		s.ReceiveAnswer(messenger.EntryState{ID: "e2", StoreReachable: replaced.StoreReachable(), Word: replaced.StatusUpdate()}, c.Now())
 	}
-	hear()
+	exchange()
 	must.NoError(t, s.MayServe())
 	_, err = replaced.Offer(signed(2, "c2"))
 	must.NoError(t, err)
-	hear()
+	exchange()
 	must.NoError(t, s.MayServe())
 }
 
@@ -327,12 +327,12 @@
 // is out, or rolled back to 2. Whatever the others say, 2 is not the newest, and
 // serving by it would be work sent to where it was taken away.
 func TestKnownHigherRevisionStopsService(t *testing.T) {
-	s, c, w := outageEntry(t)
-	s.Hear(messenger.EntryState{ID: "e2", Word: messenger.Word{Revision: 3, AgeMS: -1}})
+	s, c, update := entryDuringOutage(t)
+	s.ReceiveUnsolicited(messenger.EntryState{ID: "e2", Word: messenger.Word{Revision: 3, AgeMS: -1}})
 	must.Error(t, s.MayServe())
-	must.SliceEmpty(t, s.Word().Silent)
+	must.SliceEmpty(t, s.StatusUpdate().Silent)
 	c.SetTime(c.Now().Add(time.Millisecond))
-	s.Confirm(2, w.Digest, c.Now())
+	s.Confirm(2, update.Digest, c.Now())
 	must.Error(t, s.MayServe())
 	_, err := s.Observe(signed(3, "c3"), c.Now())
 	must.NoError(t, err)
@@ -342,14 +342,14 @@
 // Two revisions with the same number can only come from a store that was rolled
 // back and written again. Processes that changed over by chance would serve by
 // different bundles without anyone knowing.
-func TestForkIsAnAlarm(t *testing.T) {
+func TestForkRaisesAlarm(t *testing.T) {
 	s := &gossiper.State{Keyring: keyring(), Clock: testclock.NewFakePassiveClock(start)}
 	_, err := s.Observe(signed(1, "ours"), start)
 	must.NoError(t, err)
 	_, err = s.Offer(signed(1, "theirs"))
 	var fork *gossiper.ForkError
 	must.True(t, errors.As(err, &fork))
-	s.HearWord(messenger.Word{Revision: 1, Digest: fork.Found}, start)
+	s.ReceiveUpdate(messenger.Word{Revision: 1, Digest: fork.Found}, start)
 	s.Confirm(0, "", start)
 	must.Eq(t, 2, alarms(s, gossiper.AlarmFork))
 	must.Eq(t, 1, alarms(s, gossiper.AlarmEmptyStore))
@@ -361,35 +361,35 @@
 // same instant before a store that takes 2,000 reads a second. If each asked at
 // once and again on each failure, the store would go down under them and a burst
 // of changes would follow late everywhere.
-func TestRestartOfAllStaysWithinStoreRates(t *testing.T) {
+func TestRestartOfAllEntriesStaysWithinStoreRates(t *testing.T) {
 	const reads = 2000
 	inFleet(t, 380, func(f *fleet) {
 		f.publish(1)
 		f.faults(`{"down":true}`)
 		f.startAll()
-		worst := f.worstSecond(6)
+		maxCalls := f.maxCallsPerSecond(6)
 		f.faults(`{}`)
-		before := f.link.Calls.Load()
-		took := f.inForce(1, 5*time.Second)
-		worst = max(worst, f.link.Calls.Load()-before, f.worstSecond(3))
+		before := f.storeLink.Calls.Load()
+		took := f.awaitRevision(1, 5*time.Second)
+		maxCalls = max(maxCalls, f.storeLink.Calls.Load()-before, f.maxCallsPerSecond(3))
 		f.publish(2)
-		worst = max(worst, f.worstSecond(5))
-		calm := f.link.Calls.Load()
-		pass(10 * time.Second)
-		calm = (f.link.Calls.Load() - calm) / 10
-		f.t.Logf("380 entries: at most %d calls in a second, %d a second when calm, in force %v", worst, calm, took)
-		must.Less(f.t, reads/2, worst)
-		must.Less(f.t, reads/10, calm)
+		maxCalls = max(maxCalls, f.maxCallsPerSecond(5))
+		idleCalls := f.storeLink.Calls.Load()
+		advance(10 * time.Second)
+		idleCalls = (f.storeLink.Calls.Load() - idleCalls) / 10
+		f.t.Logf("380 entries: at most %d calls in a second, %d a second when calm, in force %v", maxCalls, idleCalls, took)
+		must.Less(f.t, reads/2, maxCalls)
+		must.Less(f.t, reads/10, idleCalls)
 	})
 }
 
 // worstSecond is the most calls to the store in one of the next n seconds.
-func (f *fleet) worstSecond(n int) int64 {
-	worst := int64(0)
+func (f *fleet) maxCallsPerSecond(n int) int64 {
+	maxCalls := int64(0)
 	for range n {
-		before := f.link.Calls.Load()
-		pass(time.Second)
-		worst = max(worst, f.link.Calls.Load()-before)
+		before := f.storeLink.Calls.Load()
+		advance(time.Second)
+		maxCalls = max(maxCalls, f.storeLink.Calls.Load()-before)
 	}
-	return worst
+	return maxCalls
 }
--- a/internal/gossiper/fleet_test.go
+++ b/internal/gossiper/fleet_test.go
@@ -31,10 +31,10 @@
 type fleet struct {
 	t      *testing.T
 	kv     http.Handler
-	link   *storertest.Transport // everyone's link to the store
+	storeLink   *storertest.Transport // everyone's link to the store
 	mu     sync.Mutex
 	nodes  []*node
-	names  []messenger.EntryState
+	states  []messenger.EntryState
 	random *rand.Rand
 }
 
@@ -42,7 +42,7 @@
 	state     *gossiper.State
 	watcher   *gossiper.Watcher
 	exchanger *gossiper.Exchanger
-	cut       atomic.Bool // from the store and the other entries
+	partitioned       atomic.Bool // from the store and the other entries
 	stop      context.CancelFunc
 }
 
@@ -52,14 +52,14 @@
 		k := &imitator.KV{Clock: clock.RealClock{}, Seed: 1}
 		fl := &fleet{t: t, kv: k.Handler(), random: rand.New(rand.NewPCG(1, 2)), nodes: make([]*node, n)}
 		for i := range n {
-			fl.names = append(fl.names, messenger.EntryState{ID: fmt.Sprintf("e%03d", i), Region: fmt.Sprintf("r%d", i%5)})
+			fl.states = append(fl.states, messenger.EntryState{ID: fmt.Sprintf("e%03d", i), Region: fmt.Sprintf("r%d", i%5)})
 		}
-		fl.link = &storertest.Transport{Handler: fl.kv}
+		fl.storeLink = &storertest.Transport{Handler: fl.kv}
 		defer func() {
 			for i := range fl.nodes {
 				fl.kill(i)
 			}
-			pass(time.Minute)
+			advance(time.Minute)
 		}()
 		f(fl)
 	})
@@ -70,7 +70,7 @@
 		if cut != nil && cut.Load() {
 			return nil, errors.New("no route")
 		}
-		return f.link.RoundTrip(r)
+		return f.storeLink.RoundTrip(r)
 	})
 	return &storer.HTTP{Address: netip.MustParseAddrPort("127.0.0.1:1"), Client: &http.Client{Transport: t}}
 }
@@ -84,18 +84,18 @@
 	f.kill(i)
 	n := &node{}
 	random := rand.New(rand.NewPCG(f.random.Uint64(), uint64(i)))
-	id := f.names[i].ID
+	id := f.states[i].ID
 	n.state = &gossiper.State{Keyring: keyring(), Clock: clock.RealClock{}, Entries: len(f.nodes), ID: id}
-	n.watcher = &gossiper.Watcher{Store: f.store(&n.cut), State: n.state, Clock: clock.RealClock{}}
+	n.watcher = &gossiper.Watcher{Store: f.store(&n.partitioned), State: n.state, Clock: clock.RealClock{}}
 	n.exchanger = &gossiper.Exchanger{State: n.state, Clock: clock.RealClock{}, Random: random}
-	n.watcher.Jitter = n.exchanger.Below
+	n.watcher.Jitter = n.exchanger.RandomBelow
 	n.watcher.Relay = n.exchanger.IsRelay
-	n.exchanger.Self = func() messenger.EntryState { return f.names[i] }
+	n.exchanger.Self = func() messenger.EntryState { return f.states[i] }
 	n.exchanger.Peers = func() []messenger.EntryState { return f.peers(i) }
 	n.exchanger.Call = func(_ context.Context, p messenger.EntryState, x messenger.Exchange) (messenger.Exchange, error) {
 		return f.call(n, p, x)
 	}
-	f.put(i, n)
+	f.setNode(i, n)
 	var ctx context.Context
 	ctx, n.stop = context.WithCancel(f.t.Context())
 	go func() { _ = n.watcher.Serve(ctx) }()
@@ -112,10 +112,10 @@
 	if f.nodes[i] != nil {
 		f.nodes[i].stop()
 	}
-	f.put(i, nil)
+	f.setNode(i, nil)
 }
 
-func (f *fleet) put(i int, n *node) {
+func (f *fleet) setNode(i int, n *node) {
 	f.mu.Lock()
 	defer f.mu.Unlock()
 	f.nodes[i] = n
@@ -133,7 +133,7 @@
 	var ps []messenger.EntryState
 	for j, n := range f.nodes {
 		if n != nil && j != i {
-			ps = append(ps, f.names[j])
+			ps = append(ps, f.states[j])
 		}
 	}
 	return ps
@@ -143,21 +143,21 @@
 	var j int
 	_, _ = fmt.Sscanf(p.ID, "e%d", &j)
 	to := f.node(j)
-	if to == nil || to.cut.Load() || from.cut.Load() {
+	if to == nil || to.partitioned.Load() || from.partitioned.Load() {
 		return messenger.Exchange{}, errors.New("no route")
 	}
-	pass(2 * time.Millisecond)
+	advance(2 * time.Millisecond)
 	a := to.exchanger.Answer(x)
-	pass(2 * time.Millisecond)
+	advance(2 * time.Millisecond)
 	return a, nil
 }
 
 // pass lets virtual time go by.
-func pass(d time.Duration) { <-time.After(d) }
+func advance(d time.Duration) { <-time.After(d) }
 
 // during checks every 20 ms of d.
-func (f *fleet) during(d time.Duration, check func(n *node)) {
-	for end := time.Now().Add(d); time.Now().Before(end); pass(20 * time.Millisecond) {
+func (f *fleet) checkDuring(d time.Duration, check func(n *node)) {
+	for end := time.Now().Add(d); time.Now().Before(end); advance(20 * time.Millisecond) {
 		for _, n := range f.nodes {
 			if n != nil {
 				check(n)
@@ -166,20 +166,20 @@
 	}
 }
 
-func (f *fleet) serves(n *node) { must.NoError(f.t, n.state.MayServe()) }
+func (f *fleet) mustServe(n *node) { must.NoError(f.t, n.state.MayServe()) }
 
 // inForce tells how long it takes until all that are not cut off hold revision.
-func (f *fleet) inForce(revision uint64, limit time.Duration) time.Duration {
-	begin := time.Now()
-	for ; time.Since(begin) < limit; pass(5 * time.Millisecond) {
+func (f *fleet) awaitRevision(revision uint64, limit time.Duration) time.Duration {
+	started := time.Now()
+	for ; time.Since(started) < limit; advance(5 * time.Millisecond) {
 		behind := 0
 		for _, n := range f.nodes {
-			if n != nil && !n.cut.Load() && !holds(n.state, revision) {
+			if n != nil && !n.partitioned.Load() && !holds(n.state, revision) {
 				behind++
 			}
 		}
 		if behind == 0 {
-			return time.Since(begin)
+			return time.Since(started)
 		}
 	}
 	f.t.Fatalf("revision %d is not in force everywhere after %v", revision, limit)
--- a/internal/gossiper/model_test.go
+++ b/internal/gossiper/model_test.go
@@ -77,37 +77,37 @@
 	keys     bundler.Keyring
 	entries  int
 	nodes    []*gossiper.State // the entries, then the agents
-	lives    []int             // how often each was restarted
-	top      []uint64          // the highest revision of each one's present life
+	incarnations    []int             // how often each was restarted
+	highest      []uint64          // the highest revision of each one's present life
 	accepted []*bundler.Record // accepted[i] is revision i+1
-	since    []time.Time       // since[i] is when revision i+1 was accepted
-	present  int               // the revision in the store
+	acceptedAt    []time.Time       // since[i] is when revision i+1 was accepted
+	storeRevision  int               // the revision in the store
 	down     bool
 	cutStore map[int]bool
-	cut      map[[2]int]bool
+	cutLinks      map[[2]int]bool
 	messages []message
 	// misled is when a rolled-back store was last asked, by the revision it gave.
-	misled map[uint64]time.Time
+	rolledBackRead map[uint64]time.Time
 	// naive are nodes that get the same messages, take whatever bundle comes last
 	// and serve by it for ever. Their faults are counted.
 	naive                  []*bundler.Bundle
-	naiveBack, naiveServes int
+	naiveReverts, naiveStale int
 	// carried is when a node's confirmation came from a rolled-back store while it
 	// held a lower revision than now.
-	carried []time.Time
+	carriedAt []time.Time
 	// behind is since when a node, in its present life, has known of a higher
 	// revision than it holds.
-	behind []time.Time
+	behindSince []time.Time
 	// lastDown is when the store was last out, spread since when more than half
 	// of the entries have held the newest revision.
-	lastDown, spread time.Time
+	lastDown, spreadSince time.Time
 	storeRegion      string
 	freshFor         time.Duration
 }
 
 // message is an answer under way to a node in the life in which it asked.
 type message struct {
-	to, life int
+	to, incarnation int
 	deliver  func(s *gossiper.State)
 	// record is what the message carries, for the naive node.
 	record *bundler.Record
@@ -119,14 +119,14 @@
 		keys:        keyring(),
 		entries:     entries,
 		nodes:       make([]*gossiper.State, entries+agents),
-		lives:       make([]int, entries+agents),
-		top:         make([]uint64, entries+agents),
+		incarnations:       make([]int, entries+agents),
+		highest:         make([]uint64, entries+agents),
 		cutStore:    map[int]bool{},
-		cut:         map[[2]int]bool{},
+		cutLinks:         map[[2]int]bool{},
 		naive:       make([]*bundler.Bundle, entries+agents),
-		misled:      map[uint64]time.Time{},
-		carried:     make([]time.Time, entries+agents),
-		behind:      make([]time.Time, entries+agents),
+		rolledBackRead:      map[uint64]time.Time{},
+		carriedAt:     make([]time.Time, entries+agents),
+		behindSince:      make([]time.Time, entries+agents),
 		storeRegion: storeRegion,
 	}
 	for i := range m.nodes {
@@ -152,37 +152,37 @@
 		s.Entries = m.entries
 	}
 	m.nodes[i] = s
-	m.lives[i]++
-	m.top[i], m.naive[i] = 0, nil
-	m.behind[i], m.carried[i] = time.Time{}, time.Time{}
+	m.incarnations[i]++
+	m.highest[i], m.naive[i] = 0, nil
+	m.behindSince[i], m.carriedAt[i] = time.Time{}, time.Time{}
 }
 
 func (m *model) publish() {
-	if m.down || m.present != len(m.accepted) {
+	if m.down || m.storeRevision != len(m.accepted) {
 		return
 	}
 	n := len(m.accepted) + 1
 	m.accepted = append(m.accepted, signed(uint64(n), fmt.Sprintf("c%d", n)))
-	m.since = append(m.since, m.clock.Now())
-	m.present = n
+	m.acceptedAt = append(m.acceptedAt, m.clock.Now())
+	m.storeRevision = n
 }
 
 func (m *model) send(to int, r *bundler.Record, deliver func(s *gossiper.State)) {
-	m.messages = append(m.messages, message{to: to, life: m.lives[to], record: r, deliver: deliver})
+	m.messages = append(m.messages, message{to: to, incarnation: m.incarnations[to], record: r, deliver: deliver})
 }
 
 // deliver hands over one message, unless its receiver was replaced.
 func (m *model) deliver(k int) {
 	x := m.messages[k]
 	m.messages = append(m.messages[:k:k], m.messages[k+1:]...)
-	if m.lives[x.to] != x.life {
+	if m.incarnations[x.to] != x.incarnation {
 		return
 	}
 	m.deliverNaive(x)
 	before, _ := m.nodes[x.to].Current()
 	x.deliver(m.nodes[x.to])
 	if now, _ := m.nodes[x.to].Current(); before != nil && now != before {
-		m.carried[x.to] = m.misled[before.Revision]
+		m.carriedAt[x.to] = m.rolledBackRead[before.Revision]
 	}
 }
 
@@ -192,7 +192,7 @@
 	}
 	b, _ := bundler.Parse(x.record.Payload)
 	if old := m.naive[x.to]; old != nil && old.Revision > b.Revision {
-		m.naiveBack++
+		m.naiveReverts++
 	}
 	m.naive[x.to] = b
 }
@@ -201,50 +201,50 @@
 // than FreshFor.
 func (m *model) checkNaive() {
 	for _, b := range m.naive {
-		if b != nil && int(b.Revision) < len(m.accepted) && m.clock.Now().Sub(m.since[b.Revision]) > freshFor {
-			m.naiveServes++
+		if b != nil && int(b.Revision) < len(m.accepted) && m.clock.Now().Sub(m.acceptedAt[b.Revision]) > freshFor {
+			m.naiveStale++
 		}
 	}
 }
 
 // ask puts an entry's question to the store; the answer is under way.
-func (m *model) ask(i int) {
-	asked := m.clock.Now()
+func (m *model) askStore(i int) {
+	askedAt := m.clock.Now()
 	if m.down || m.cutStore[i] {
-		m.nodes[i].Fail()
+		m.nodes[i].MarkStoreFailed()
 		return
 	}
-	if m.present < len(m.accepted) {
-		m.misled[uint64(m.present)] = asked
+	if m.storeRevision < len(m.accepted) {
+		m.rolledBackRead[uint64(m.storeRevision)] = askedAt
 	}
-	r := m.accepted[m.present-1]
-	m.send(i, r, func(s *gossiper.State) { _, _ = s.Observe(r, asked) })
+	r := m.accepted[m.storeRevision-1]
+	m.send(i, r, func(s *gossiper.State) { _, _ = s.Observe(r, askedAt) })
 }
 
 // exchange lets node i ask entry j, as Exchanger and the agents' reports do.
 func (m *model) exchange(i, j int) {
-	if i == j || m.cut[[2]int{min(i, j), max(i, j)}] {
+	if i == j || m.cutLinks[[2]int{min(i, j), max(i, j)}] {
 		return
 	}
-	asked := m.clock.Now()
-	mine, other := m.nodes[i].Word(), m.nodes[j]
-	if r := m.nodes[i].RecordFor(other.Word()); r != nil {
+	askedAt := m.clock.Now()
+	mine, other := m.nodes[i].StatusUpdate(), m.nodes[j]
+	if r := m.nodes[i].RecordFor(other.StatusUpdate()); r != nil {
 		m.send(j, r, func(s *gossiper.State) { _, _ = s.Offer(r) })
 	}
-	other.Hear(messenger.EntryState{ID: m.name(i), Word: mine})
-	answer := messenger.EntryState{ID: m.name(j), Region: m.region(j), StoreReachable: other.StoreReachable(), Word: other.Word()}
+	other.ReceiveUnsolicited(messenger.EntryState{ID: m.name(i), Word: mine})
+	answer := messenger.EntryState{ID: m.name(j), Region: m.region(j), StoreReachable: other.StoreReachable(), Word: other.StatusUpdate()}
 	r := other.RecordFor(mine)
 	m.send(i, r, func(s *gossiper.State) {
 		if r != nil {
 			_, _ = s.Offer(r)
 		}
-		s.HearAnswer(answer, asked)
+		s.ReceiveAnswer(answer, askedAt)
 	})
 }
 
 // check is the oracle.
-func (m *model) check(t *rapid.T) {
-	m.noteSpread()
+func (m *model) checkInvariants(t *rapid.T) {
+	m.updateSpread()
 	m.checkNaive()
 	for i, s := range m.nodes {
 		b, r := s.Current()
@@ -254,25 +254,25 @@
 			}
 			continue
 		}
-		if b.Revision < m.top[i] {
-			t.Fatalf("%s went down from %d to %d", m.name(i), m.top[i], b.Revision)
+		if b.Revision < m.highest[i] {
+			t.Fatalf("%s went down from %d to %d", m.name(i), m.highest[i], b.Revision)
 		}
-		m.top[i] = b.Revision
+		m.highest[i] = b.Revision
 		if int(b.Revision) > len(m.accepted) || m.accepted[b.Revision-1].Digest() != r.Digest() {
 			t.Fatalf("%s holds a revision %d that was never accepted", m.name(i), b.Revision)
 		}
-		m.noteBehind(i, s.Known() > b.Revision)
-		if int(b.Revision) == len(m.accepted) || s.MayServe() != nil || m.wasMisled(i, b.Revision) || m.wasUnheard() {
+		m.updateBehind(i, s.KnownRevision() > b.Revision)
+		if int(b.Revision) == len(m.accepted) || s.MayServe() != nil || m.confirmedByRollback(i, b.Revision) || m.successorUnknown() {
 			continue
 		}
-		if late := m.clock.Now().Sub(m.since[b.Revision]); late > freshFor {
+		if late := m.clock.Now().Sub(m.acceptedAt[b.Revision]); late > freshFor {
 			t.Fatalf("%s serves by revision %d, %v after %d was accepted", m.name(i), b.Revision, late, b.Revision+1)
 		}
 	}
 }
 
-func (m *model) noteSpread() {
-	if m.down || m.present < len(m.accepted) {
+func (m *model) updateSpread() {
+	if m.down || m.storeRevision < len(m.accepted) {
 		m.lastDown = m.clock.Now()
 	}
 	n := 0
@@ -283,9 +283,9 @@
 	}
 	switch {
 	case 2*n <= m.entries:
-		m.spread = time.Time{}
-	case m.spread.IsZero():
-		m.spread = m.clock.Now()
+		m.spreadSince = time.Time{}
+	case m.spreadSince.IsZero():
+		m.spreadSince = m.clock.Now()
 	}
 }
 
@@ -293,20 +293,20 @@
 // successor was accepted so shortly before that it had not come to more than half
 // of the entries: the others, which are more than half, cannot know of it. (Trace:
 // publish 2, outage before anyone asks, all ask in vain, n0 counts them.)
-func (m *model) wasUnheard() bool {
+func (m *model) successorUnknown() bool {
 	now := m.clock.Now()
 	if m.lastDown.IsZero() || now.Sub(m.lastDown) > freshFor {
 		return false
 	}
-	return m.spread.IsZero() || now.Sub(m.spread) <= freshFor
+	return m.spreadSince.IsZero() || now.Sub(m.spreadSince) <= freshFor
 }
 
-func (m *model) noteBehind(i int, behind bool) {
+func (m *model) updateBehind(i int, behind bool) {
 	switch {
 	case !behind:
-		m.behind[i] = time.Time{}
-	case m.behind[i].IsZero():
-		m.behind[i] = m.clock.Now()
+		m.behindSince[i] = time.Time{}
+	case m.behindSince[i].IsZero():
+		m.behindSince[i] = m.clock.Now()
 	}
 }
 
@@ -316,15 +316,15 @@
 // the store back to 1, n0 asks for the first time.) A step up keeps that
 // confirmation for what is left of FreshFor. (Trace: n0 asks, 3 is published, the
 // store rolled back to 1, n0 asks again, the answers cross.)
-func (m *model) wasMisled(i int, revision uint64) bool {
+func (m *model) confirmedByRollback(i int, revision uint64) bool {
 	now := m.clock.Now()
-	if now.Sub(m.carried[i]) <= freshFor {
+	if now.Sub(m.carriedAt[i]) <= freshFor {
 		return true
 	}
-	if now.Sub(m.misled[revision]) > freshFor {
+	if now.Sub(m.rolledBackRead[revision]) > freshFor {
 		return false
 	}
-	return m.behind[i].IsZero() || now.Sub(m.behind[i]) <= freshFor
+	return m.behindSince[i].IsZero() || now.Sub(m.behindSince[i]) <= freshFor
 }
 
 // fataler is what *testing.T and *rapid.T share here.
@@ -337,7 +337,7 @@
 	m.clock.SetTime(m.clock.Now().Add(d))
 	for i := range m.nodes {
 		if i < m.entries {
-			m.ask(i)
+			m.askStore(i)
 		}
 		for k := range m.entries {
 			m.exchange(i, k)
@@ -349,9 +349,9 @@
 }
 
 // settle connects everything and lets all talk; then all must agree.
-func (m *model) settle(t fataler) {
-	m.down, m.cutStore, m.cut, m.messages = false, map[int]bool{}, map[[2]int]bool{}, nil
-	m.present = len(m.accepted)
+func (m *model) converge(t fataler) {
+	m.down, m.cutStore, m.cutLinks, m.messages = false, map[int]bool{}, map[[2]int]bool{}, nil
+	m.storeRevision = len(m.accepted)
 	for range 3 {
 		m.step(time.Millisecond)
 	}
@@ -366,15 +366,15 @@
 	entry := rapid.IntRange(0, m.entries-1)
 	node := rapid.IntRange(0, len(m.nodes)-1)
 	return map[string]func(*rapid.T){
-		"": m.check,
+		"": m.checkInvariants,
 		"advance": func(t *rapid.T) {
 			d := rapid.SampledFrom([]int{50, 300, 700, 1100, 2400, 6000}).Draw(t, "ms")
 			m.clock.SetTime(m.clock.Now().Add(time.Duration(d) * time.Millisecond))
 		},
-		"ask": func(t *rapid.T) { m.ask(entry.Draw(t, "entry")) },
+		"ask": func(t *rapid.T) { m.askStore(entry.Draw(t, "entry")) },
 		"askAll": func(*rapid.T) {
 			for i := range m.entries {
-				m.ask(i)
+				m.askStore(i)
 			}
 		},
 		"exchange": func(t *rapid.T) { m.exchange(node.Draw(t, "from"), entry.Draw(t, "to")) },
@@ -402,8 +402,8 @@
 		},
 		"publish":  func(*rapid.T) { m.publish() },
 		"outage":   func(*rapid.T) { m.down = !m.down },
-		"rollBack": func(t *rapid.T) { m.present = rapid.IntRange(1, len(m.accepted)).Draw(t, "revision") },
-		"repair":   func(*rapid.T) { m.present = len(m.accepted) },
+		"rollBack": func(t *rapid.T) { m.storeRevision = rapid.IntRange(1, len(m.accepted)).Draw(t, "revision") },
+		"repair":   func(*rapid.T) { m.storeRevision = len(m.accepted) },
 		"restart":  func(t *rapid.T) { m.restart(node.Draw(t, "node")) },
 		"cutStore": func(t *rapid.T) {
 			// The entries beside the store are never cut off from it: that is what
@@ -414,7 +414,7 @@
 		},
 		"cutLink": func(t *rapid.T) {
 			i, j := node.Draw(t, "from"), entry.Draw(t, "to")
-			m.cut[[2]int{min(i, j), max(i, j)}] = !m.cut[[2]int{min(i, j), max(i, j)}]
+			m.cutLinks[[2]int{min(i, j), max(i, j)}] = !m.cutLinks[[2]int{min(i, j), max(i, j)}]
 		},
 		"forge": func(t *rapid.T) {
 			n := uint64(len(m.accepted) + 1)
@@ -433,16 +433,16 @@
 //
 // The same messages go to a naive version, last writer wins and no freshness; it
 // has to fail, or the runs would prove nothing.
-func TestSpreadAgainstOracle(t *testing.T) {
-	back, serves := 0, 0
+func TestPropagationAgainstOracle(t *testing.T) {
+	reverts, stale := 0, 0
 	rapid.Check(t, func(t *rapid.T) {
 		m := newModel(5, 3, "huon")
 		t.Repeat(m.actions())
-		m.settle(t)
-		back += m.naiveBack
-		serves += m.naiveServes
+		m.converge(t)
+		reverts += m.naiveReverts
+		stale += m.naiveStale
 	})
-	t.Logf("naive version: %d steps back, %d times serving by a superseded bundle", back, serves)
-	must.Positive(t, back)
-	must.Positive(t, serves)
+	t.Logf("naive version: %d steps back, %d times serving by a superseded bundle", reverts, stale)
+	must.Positive(t, reverts)
+	must.Positive(t, stale)
 }
--- a/internal/gossiper/propagation_test.go
+++ b/internal/gossiper/propagation_test.go
@@ -26,7 +26,7 @@
 // event is something that happens at a moment of virtual time.
 type event struct {
 	at  time.Time
-	act func()
+	action func()
 }
 
 type events []event
@@ -42,62 +42,62 @@
 }
 
 // stillClock is a virtual clock whose timers never fire: calls take no time here.
-type stillClock struct {
+type timerlessClock struct {
 	clock.WithDelayedExecution
 	passive *testclock.FakePassiveClock
 }
 
-func (c stillClock) Now() time.Time                                  { return c.passive.Now() }
-func (c stillClock) AfterFunc(_ time.Duration, _ func()) clock.Timer { return stillTimer{} }
+func (c timerlessClock) Now() time.Time                                  { return c.passive.Now() }
+func (c timerlessClock) AfterFunc(_ time.Duration, _ func()) clock.Timer { return inertTimer{} }
 
-type stillTimer struct{ clock.Timer }
+type inertTimer struct{ clock.Timer }
 
-func (stillTimer) Stop() bool { return true }
+func (inertTimer) Stop() bool { return true }
 
 const (
 	agentsPerEntry = 32
 	entriesOfAgent = 2
 	heartbeat      = time.Second // of an agent to each of its entries
-	hop            = 3 * time.Millisecond
-	loss           = 0.01 // share of calls and pushes that come to nothing
-	rounds         = 10
+	hopLatency            = 3 * time.Millisecond
+	lossRate           = 0.01 // share of calls and pushes that come to nothing
+	changesPerRun         = 10
 )
 
 // propagation is a deployment in virtual time over the real states, watchers and
 // exchangers; only their loops are played by events. It is the store, too.
-type propagation struct {
+type propagationSim struct {
 	storer.Store
 	queue   events
-	clock   stillClock
+	clock   timerlessClock
 	random  *rand.Rand
-	entries []*member
-	names   []messenger.EntryState
+	entries []*simulatedEntry
+	states   []messenger.EntryState
 	agents  []*gossiper.State
 	current *bundler.Record
 	// revision is that of current, which was accepted at since.
 	revision uint64
-	since    time.Time
+	acceptedAt    time.Time
 	down     bool
 	calls    int
-	swaps    int
+	exchanges    int
 	// records counts records read from the store, far those that entries sent
 	// each other from one region to another.
-	records, far int
-	took         []time.Duration
+	records, crossRegionRecords int
+	delays         []time.Duration
 }
 
-type member struct {
+type simulatedEntry struct {
 	state     *gossiper.State
 	watcher   *gossiper.Watcher
 	exchanger *gossiper.Exchanger
 	agents    []int
-	held      uint64
-	rearmed   time.Time
+	heldRevision      uint64
+	rearmedAt   time.Time
 }
 
-func newPropagation(entries int) *propagation {
-	p := &propagation{
-		clock:    stillClock{passive: testclock.NewFakePassiveClock(start)},
+func newPropagationSim(entries int) *propagationSim {
+	p := &propagationSim{
+		clock:    timerlessClock{passive: testclock.NewFakePassiveClock(start)},
 		random:   rand.New(rand.NewPCG(uint64(entries), 1)),
 		current:  signed(1, "c1"),
 		revision: 1,
@@ -107,56 +107,56 @@
 		regions = 5
 	}
 	for i := range entries {
-		p.names = append(p.names, messenger.EntryState{ID: fmt.Sprint(i), Region: fmt.Sprintf("r%d", i%regions)})
+		p.states = append(p.states, messenger.EntryState{ID: fmt.Sprint(i), Region: fmt.Sprintf("r%d", i%regions)})
 	}
 	for i := range entries {
-		p.entries = append(p.entries, p.member(i))
+		p.entries = append(p.entries, p.newEntry(i))
 	}
 	for i := range entries * agentsPerEntry {
 		p.agents = append(p.agents, &gossiper.State{Keyring: keyring(), Clock: p.clock})
 		for k := range entriesOfAgent {
 			e := p.entries[(i+k*(1+i/entries))%entries]
 			e.agents = append(e.agents, i)
-			p.after(p.below(heartbeat), func() { p.report(i, e) })
+			p.schedule(p.randomBelow(heartbeat), func() { p.report(i, e) })
 		}
 	}
 	return p
 }
 
-func (p *propagation) member(i int) *member {
-	m := &member{}
-	m.state = &gossiper.State{Keyring: keyring(), Clock: p.clock, Entries: len(p.names), ID: p.names[i].ID, Region: p.names[i].Region}
-	others := slices.Concat(p.names[:i], p.names[i+1:])
+func (p *propagationSim) newEntry(i int) *simulatedEntry {
+	m := &simulatedEntry{}
+	m.state = &gossiper.State{Keyring: keyring(), Clock: p.clock, Entries: len(p.states), ID: p.states[i].ID, Region: p.states[i].Region}
+	others := slices.Concat(p.states[:i], p.states[i+1:])
 	m.exchanger = &gossiper.Exchanger{
 		State:  m.state,
 		Clock:  p.clock,
 		Random: p.random,
-		Self:   func() messenger.EntryState { return p.names[i] },
+		Self:   func() messenger.EntryState { return p.states[i] },
 		Peers:  func() []messenger.EntryState { return others },
 		Call:   p.call,
 	}
-	m.watcher = &gossiper.Watcher{Store: p, State: m.state, Clock: p.clock, Jitter: p.below, Relay: m.exchanger.IsRelay}
-	p.after(p.below(time.Second), func() { p.probe(m) })
-	p.after(p.below(time.Second), func() { p.compare(m, 0) })
+	m.watcher = &gossiper.Watcher{Store: p, State: m.state, Clock: p.clock, Jitter: p.randomBelow, Relay: m.exchanger.IsRelay}
+	p.schedule(p.randomBelow(time.Second), func() { p.probe(m) })
+	p.schedule(p.randomBelow(time.Second), func() { p.poll(m, 0) })
 	return m
 }
 
-func (p *propagation) call(_ context.Context, to messenger.EntryState, x messenger.Exchange) (messenger.Exchange, error) {
-	p.swaps++
-	if p.random.Float64() < loss {
+func (p *propagationSim) call(_ context.Context, to messenger.EntryState, x messenger.Exchange) (messenger.Exchange, error) {
+	p.exchanges++
+	if p.random.Float64() < lossRate {
 		return x, errors.New("lost")
 	}
 	i, _ := strconv.Atoi(to.ID)
 	a := p.entries[i].exchanger.Answer(x)
 	if to.Region != x.State.Region && (a.Record != nil || x.Record != nil) {
-		p.far++
+		p.crossRegionRecords++
 	}
-	p.moved(p.entries[i])
+	p.spreadChange(p.entries[i])
 	return a, nil
 }
 
 // Get is the store's.
-func (p *propagation) Get(_ context.Context, key string) (storer.Item, error) {
+func (p *propagationSim) Get(_ context.Context, key string) (storer.Item, error) {
 	p.calls++
 	if p.down {
 		return storer.Item{}, errors.New("down")
@@ -170,94 +170,94 @@
 	return storer.Item{Value: value, Version: 1}, err
 }
 
-func (p *propagation) after(d time.Duration, act func()) {
-	heap.Push(&p.queue, event{at: p.clock.Now().Add(d), act: act})
+func (p *propagationSim) schedule(d time.Duration, action func()) {
+	heap.Push(&p.queue, event{at: p.clock.Now().Add(d), action: action})
 }
 
-func (p *propagation) below(d time.Duration) time.Duration {
+func (p *propagationSim) randomBelow(d time.Duration) time.Duration {
 	return time.Duration(p.random.Int64N(int64(d)))
 }
 
 // run plays events until the end or until done.
-func (p *propagation) run(d time.Duration, done func() bool) {
+func (p *propagationSim) run(d time.Duration, done func() bool) {
 	end := p.clock.Now().Add(d)
 	for p.queue[0].at.Before(end) && !done() {
 		e := heap.Pop(&p.queue).(event)
 		p.clock.passive.SetTime(e.at)
-		e.act()
+		e.action()
 	}
 }
 
-func (p *propagation) probe(m *member) {
+func (p *propagationSim) probe(m *simulatedEntry) {
 	wait := m.watcher.UntilProbe()
 	if wait == 0 {
 		_ = m.watcher.Probe(context.Background())
-		p.moved(m)
-		wait = 250*time.Millisecond + p.below(500*time.Millisecond)
+		p.spreadChange(m)
+		wait = 250*time.Millisecond + p.randomBelow(500*time.Millisecond)
 	}
-	p.after(wait, func() { p.probe(m) })
+	p.schedule(wait, func() { p.probe(m) })
 }
 
 // watched is the answer to a long poll.
-func (p *propagation) watched(m *member) {
+func (p *propagationSim) answerWatch(m *simulatedEntry) {
 	if p.down {
 		return
 	}
 	_ = m.watcher.Probe(context.Background())
-	m.rearmed = p.clock.Now().Add(p.below(gossiper.DefaultRearm))
-	p.moved(m)
+	m.rearmedAt = p.clock.Now().Add(p.randomBelow(gossiper.DefaultRearm))
+	p.spreadChange(m)
 }
 
-func (p *propagation) compare(m *member, turn int) {
-	m.exchanger.Compare(context.Background(), turn)
-	p.moved(m)
-	p.after(m.exchanger.Pause(), func() { p.compare(m, turn+1) })
+func (p *propagationSim) poll(m *simulatedEntry, turn int) {
+	m.exchanger.Poll(context.Background(), turn)
+	p.spreadChange(m)
+	p.schedule(m.exchanger.NextPause(), func() { p.poll(m, turn+1) })
 }
 
 // moved follows up a change: peers are told, and agents.
-func (p *propagation) moved(m *member) {
+func (p *propagationSim) spreadChange(m *simulatedEntry) {
 	b, r := m.state.Current()
-	if b == nil || b.Revision == m.held {
+	if b == nil || b.Revision == m.heldRevision {
 		return
 	}
-	m.held = b.Revision
-	p.took = append(p.took, p.clock.Now().Sub(p.since))
-	p.after(hop+p.below(gossiper.DefaultSpread), func() { m.exchanger.Tell(context.Background()); p.moved(m) })
+	m.heldRevision = b.Revision
+	p.delays = append(p.delays, p.clock.Now().Sub(p.acceptedAt))
+	p.schedule(hopLatency+p.randomBelow(gossiper.DefaultSpread), func() { m.exchanger.Push(context.Background()); p.spreadChange(m) })
 	for _, a := range m.agents {
-		if p.random.Float64() >= loss {
-			p.after(hop+p.below(gossiper.DefaultSpread), func() { p.offer(a, r) })
+		if p.random.Float64() >= lossRate {
+			p.schedule(hopLatency+p.randomBelow(gossiper.DefaultSpread), func() { p.offer(a, r) })
 		}
 	}
 }
 
-func (p *propagation) report(a int, m *member) {
-	if p.random.Float64() >= loss {
-		p.offer(a, m.state.RecordFor(p.agents[a].Word()))
-		p.agents[a].HearWord(m.state.AgentWord(), p.clock.Now().Add(-hop))
+func (p *propagationSim) report(a int, m *simulatedEntry) {
+	if p.random.Float64() >= lossRate {
+		p.offer(a, m.state.RecordFor(p.agents[a].StatusUpdate()))
+		p.agents[a].ReceiveUpdate(m.state.AgentUpdate(), p.clock.Now().Add(-hopLatency))
 	}
-	p.after(heartbeat, func() { p.report(a, m) })
+	p.schedule(heartbeat, func() { p.report(a, m) })
 }
 
-func (p *propagation) offer(a int, r *bundler.Record) {
+func (p *propagationSim) offer(a int, r *bundler.Record) {
 	if r == nil {
 		return
 	}
 	if changed, _ := p.agents[a].Offer(r); changed {
-		p.took = append(p.took, p.clock.Now().Sub(p.since))
+		p.delays = append(p.delays, p.clock.Now().Sub(p.acceptedAt))
 	}
 }
 
 // change has the next revision accepted and tells how many processes took it.
 // Without the store it goes down as soon as one entry has read it.
-func (p *propagation) change(revision uint64, store bool) {
-	p.current, p.revision, p.since = signed(revision, fmt.Sprint(revision)), revision, p.clock.Now()
+func (p *propagationSim) acceptRevision(revision uint64, store bool) {
+	p.current, p.revision, p.acceptedAt = signed(revision, fmt.Sprint(revision)), revision, p.clock.Now()
 	for i, m := range p.entries {
 		if i == 0 || store && m.exchanger.IsRelay() {
-			p.after(max(hop, m.rearmed.Sub(p.since)), func() { p.watched(m) })
+			p.schedule(max(hopLatency, m.rearmedAt.Sub(p.acceptedAt)), func() { p.answerWatch(m) })
 		}
 	}
 	if !store {
-		p.run(2*hop, func() bool { return p.entries[0].held == revision })
+		p.run(2*hopLatency, func() bool { return p.entries[0].heldRevision == revision })
 		p.down = true
 	}
 }
@@ -270,45 +270,45 @@
 		for _, store := range []bool{true, false} {
 			b.Run(fmt.Sprintf("entries=%d/store=%t", n, store), func(b *testing.B) {
 				for b.Loop() {
-					propagate(b, n, store)
+					measurePropagation(b, n, store)
 				}
 			})
 		}
 	}
 }
 
-func propagate(b *testing.B, n int, store bool) {
-	p := newPropagation(n)
+func measurePropagation(b *testing.B, n int, store bool) {
+	p := newPropagationSim(n)
 	all := n * (1 + agentsPerEntry)
 	never := func() bool { return false }
 	p.run(10*time.Second, never)
-	p.calls, p.swaps, p.records, p.far = 0, 0, 0, 0
-	var took []time.Duration
-	for r := range uint64(rounds) {
-		p.took = nil
-		p.change(r+2, store)
-		p.run(20*time.Second, func() bool { return len(p.took) == all })
-		if len(p.took) != all {
-			b.Fatalf("revision %d came to %d of %d processes", r+2, len(p.took), all)
+	p.calls, p.exchanges, p.records, p.crossRegionRecords = 0, 0, 0, 0
+	var delays []time.Duration
+	for r := range uint64(changesPerRun) {
+		p.delays = nil
+		p.acceptRevision(r+2, store)
+		p.run(20*time.Second, func() bool { return len(p.delays) == all })
+		if len(p.delays) != all {
+			b.Fatalf("revision %d came to %d of %d processes", r+2, len(p.delays), all)
 		}
-		took = append(took, p.took...)
+		delays = append(delays, p.delays...)
 		p.down = false
-		p.run(p.since.Add(12*time.Second).Sub(p.clock.Now()), never)
+		p.run(p.acceptedAt.Add(12*time.Second).Sub(p.clock.Now()), never)
 	}
-	slices.Sort(took)
-	seconds := float64(rounds * 12)
-	b.ReportMetric(took[len(took)*99/100].Seconds(), "p99-s")
-	b.ReportMetric(took[len(took)-1].Seconds(), "worst-s")
+	slices.Sort(delays)
+	seconds := float64(changesPerRun * 12)
+	b.ReportMetric(delays[len(delays)*99/100].Seconds(), "p99-s")
+	b.ReportMetric(delays[len(delays)-1].Seconds(), "worst-s")
 	b.ReportMetric(float64(p.calls)/seconds, "storeCalls/s")
-	x := messenger.Exchange{State: p.names[0]}
+	x := messenger.Exchange{State: p.states[0]}
 	x.State.Callers, x.State.Peers = netip.MustParseAddrPort("10.20.30.40:7001"), netip.MustParseAddrPort("10.20.30.40:7002")
-	x.State.Incarnation, x.State.Word = "8c1f7a52-6a8e-4b7e-9d55-0f6a3c0f8c11", p.entries[0].state.Word()
+	x.State.Incarnation, x.State.Word = "8c1f7a52-6a8e-4b7e-9d55-0f6a3c0f8c11", p.entries[0].state.StatusUpdate()
 	data, err := json.Marshal(x)
 	must.NoError(b, err)
 	b.ReportMetric(float64(len(data)), "exchangeBytes")
-	b.ReportMetric(float64(p.records)/rounds, "storeRecords/change")
-	b.ReportMetric(float64(p.far)/rounds, "farRecords/change")
-	b.ReportMetric(float64(p.swaps)/seconds/float64(n), "exchanges/entry/s")
+	b.ReportMetric(float64(p.records)/changesPerRun, "storeRecords/change")
+	b.ReportMetric(float64(p.crossRegionRecords)/changesPerRun, "farRecords/change")
+	b.ReportMetric(float64(p.exchanges)/seconds/float64(n), "exchanges/entry/s")
 }
 
 // BenchmarkLongOutage takes the store away for half a minute and reports how
@@ -318,18 +318,18 @@
 	for _, n := range []int{9, 30, 100, 380} {
 		b.Run(fmt.Sprintf("entries=%d", n), func(b *testing.B) {
 			for b.Loop() {
-				outage(b, n)
+				measureOutage(b, n)
 			}
 		})
 	}
 }
 
-func outage(b *testing.B, n int) {
+func measureOutage(b *testing.B, n int) {
 	const span, sample = 30 * time.Second, 100 * time.Millisecond
-	p := newPropagation(n)
+	p := newPropagationSim(n)
 	p.run(10*time.Second, func() bool { return false })
-	p.down, p.calls, p.swaps = true, 0, 0
-	refused, all := 0, 0
+	p.down, p.calls, p.exchanges = true, 0, 0
+	refused, total := 0, 0
 	for range span / sample {
 		p.run(sample, func() bool { return false })
 		states := slices.Clone(p.agents)
@@ -337,16 +337,16 @@
 			states = append(states, m.state)
 		}
 		for _, s := range states {
-			all++
+			total++
 			if s.MayServe() != nil {
 				refused++
 			}
 		}
 	}
-	word, err := json.Marshal(p.entries[0].state.Word())
+	update, err := json.Marshal(p.entries[0].state.StatusUpdate())
 	must.NoError(b, err)
-	b.ReportMetric(100*float64(refused)/float64(all), "refused-%")
+	b.ReportMetric(100*float64(refused)/float64(total), "refused-%")
 	b.ReportMetric(float64(p.calls)/span.Seconds(), "storeCalls/s")
-	b.ReportMetric(float64(p.swaps)/span.Seconds()/float64(n), "exchanges/entry/s")
-	b.ReportMetric(float64(len(word)), "wordBytes")
+	b.ReportMetric(float64(p.exchanges)/span.Seconds()/float64(n), "exchanges/entry/s")
+	b.ReportMetric(float64(len(update)), "wordBytes")
 }
--- a/internal/gossiper/state.go
+++ b/internal/gossiper/state.go
@@ -47,31 +47,31 @@
 	confirmed time.Time
 	// known is the highest revision heard of, held or not; knownSince is when it
 	// went above the held one.
-	known      uint64
-	knownSince time.Time
+	knownRevision      uint64
+	behindSince time.Time
 	// ahead is the confirmation of a revision whose record is yet to come.
-	ahead ahead
+	pending pendingConfirmation
 	// reached is when this process itself last asked the store with success.
-	reached time.Time
+	lastReached time.Time
 	// failed is when the store last left a question of this process unanswered.
-	failed time.Time
+	lastFailed time.Time
 	// outage is when entries saw the store out with the held revision highest.
-	outage  time.Time
-	peers   map[uint32]peer
+	outageConfirmed  time.Time
+	reports   map[uint32]storeReport
 	alarms  map[AlarmKind]*Alarm
 	changed chan struct{}
 }
 
-type ahead struct {
+type pendingConfirmation struct {
 	revision  uint64
 	digest    string
 	confirmed time.Time
 }
 
 // peer is the last word of another entry about its reach of the store.
-type peer struct {
-	at    time.Time
-	reach reach
+type storeReport struct {
+	asOf    time.Time
+	result storeResult
 	// revision is the one that the entry held, if it reached the store.
 	revision uint64
 	region   string
@@ -79,11 +79,11 @@
 
 // reach is how an entry fared with the store. One that has not asked lately, as
 // it heard from others, has none.
-type reach int
+type storeResult int
 
 const (
-	reachFailed reach = iota
-	reachSucceeded
+	storeFailed storeResult = iota
+	storeReached
 )
 
 // Offer hands the state a record from anywhere. The sign-offs are checked here,
@@ -97,34 +97,34 @@
 	}
 	b, err := r.Open(s.Keyring)
 	if err != nil {
-		return false, s.alarm(&BadRecordError{Digest: r.Digest(), Err: err})
+		return false, s.raiseAlarm(&BadRecordError{Digest: r.Digest(), Err: err})
 	}
 	if b.Revision < s.revision() {
 		return false, nil
 	}
 	if b.Revision == s.revision() {
-		return false, s.alarm(&ForkError{Revision: b.Revision, Held: s.digest, Found: r.Digest()})
+		return false, s.raiseAlarm(&ForkError{Revision: b.Revision, Held: s.digest, Found: r.Digest()})
 	}
-	s.hold(b, r)
+	s.install(b, r)
 	return true, nil
 }
 
 // hold moves up to a new revision. The old revision's confirmation stays good:
 // at that time nothing newer than the old one existed, hence nothing newer than
 // the new one either.
-func (s *State) hold(b *bundler.Bundle, r *bundler.Record) {
+func (s *State) install(b *bundler.Bundle, r *bundler.Record) {
 	s.bundle, s.record, s.digest = b, r, r.Digest()
 	s.heldSince = s.Clock.Now()
 	if s.firstHeld.IsZero() {
 		s.firstHeld = s.heldSince
 	}
-	s.know(b.Revision)
-	if s.known == b.Revision {
-		s.knownSince = time.Time{}
+	s.learnRevision(b.Revision)
+	if s.knownRevision == b.Revision {
+		s.behindSince = time.Time{}
 	}
-	s.outage = time.Time{}
-	if s.ahead.revision == b.Revision && s.ahead.digest == s.digest {
-		s.refresh(s.ahead.confirmed)
+	s.outageConfirmed = time.Time{}
+	if s.pending.revision == b.Revision && s.pending.digest == s.digest {
+		s.renewConfirmation(s.pending.confirmed)
 	}
 	if s.changed != nil {
 		close(s.changed)
@@ -141,26 +141,26 @@
 	defer s.mu.Unlock()
 	switch held := s.revision(); {
 	case revision < held:
-		s.lower(revision, askedAt)
+		s.handleLowerRevision(revision, askedAt)
 	case revision == 0:
 		return
 	case revision > held:
-		s.reached = later(s.reached, askedAt)
-		s.learn(revision, digest, askedAt)
+		s.lastReached = later(s.lastReached, askedAt)
+		s.learnConfirmation(revision, digest, askedAt)
 	case digest != s.digest:
-		_ = s.alarm(&ForkError{Revision: revision, Held: s.digest, Found: digest})
+		_ = s.raiseAlarm(&ForkError{Revision: revision, Held: s.digest, Found: digest})
 	default:
-		s.reached = later(s.reached, askedAt)
-		s.refresh(askedAt)
+		s.lastReached = later(s.lastReached, askedAt)
+		s.renewConfirmation(askedAt)
 	}
 }
 
-// Fail says that the store has left a question of this process unanswered, or
+// MarkStoreFailed says that the store has left a question of this process unanswered, or
 // has not answered it in ReachFor/4 so far.
-func (s *State) Fail() {
+func (s *State) MarkStoreFailed() {
 	s.mu.Lock()
 	defer s.mu.Unlock()
-	s.failed = s.Clock.Now()
+	s.lastFailed = s.Clock.Now()
 }
 
 // lower handles a store that names a lower revision than the held one. If the
@@ -168,22 +168,22 @@
 // Otherwise the store was restored from an old copy or wiped. That must not
 // bring an old bundle back into force, so it is counted for the operators and
 // otherwise taken as a failure of the store.
-func (s *State) lower(revision uint64, askedAt time.Time) {
+func (s *State) handleLowerRevision(revision uint64, askedAt time.Time) {
 	if askedAt.Before(s.heldSince) {
 		return
 	}
-	s.failed = s.Clock.Now()
+	s.lastFailed = s.Clock.Now()
 	if revision == 0 {
-		_ = s.alarm(&EmptyStoreError{Held: s.revision()})
+		_ = s.raiseAlarm(&EmptyStoreError{Held: s.revision()})
 		return
 	}
-	_ = s.alarm(&RolledBackError{Held: s.revision(), Found: revision})
+	_ = s.raiseAlarm(&RolledBackError{Held: s.revision(), Found: revision})
 }
 
 // Observe takes a record that the store itself gave as the newest, in answer to
 // a question sent at askedAt: it is Offer and Confirm in one.
 func (s *State) Observe(r *bundler.Record, askedAt time.Time) (changed bool, err error) {
-	if held, ok := s.holds(r.Digest()); ok {
+	if held, ok := s.holdsDigest(r.Digest()); ok {
 		s.Confirm(held, r.Digest(), askedAt)
 		return false, nil
 	}
@@ -201,7 +201,7 @@
 
 // holds tells whether a payload is the one in force, which needs no second check
 // of its sign-offs.
-func (s *State) holds(digest string) (revision uint64, ok bool) {
+func (s *State) holdsDigest(digest string) (revision uint64, ok bool) {
 	s.mu.Lock()
 	defer s.mu.Unlock()
 	return s.revision(), s.bundle != nil && digest == s.digest
@@ -211,115 +211,115 @@
 func (s *State) Reject(err error) error {
 	s.mu.Lock()
 	defer s.mu.Unlock()
-	return s.alarm(&BadRecordError{Err: err})
+	return s.raiseAlarm(&BadRecordError{Err: err})
 }
 
-// Hear takes another entry's word that came unasked. How long it was under way
+// ReceiveUnsolicited takes another entry's word that came unasked. How long it was under way
 // is unknown: a connection that stalled, or a process that was paused, delivers
 // it as if it were new. So it can tell of a higher revision but refreshes
 // nothing.
-func (s *State) Hear(e messenger.EntryState) {
+func (s *State) ReceiveUnsolicited(e messenger.EntryState) {
 	s.mu.Lock()
 	defer s.mu.Unlock()
-	s.know(e.Word.Revision)
+	s.learnRevision(e.Word.Revision)
 }
 
-// HearAnswer takes another entry's word given in answer to a question sent at
+// ReceiveAnswer takes another entry's word given in answer to a question sent at
 // askedAt. All ages in it count from then, so the time under way is included.
-func (s *State) HearAnswer(e messenger.EntryState, askedAt time.Time) {
+func (s *State) ReceiveAnswer(e messenger.EntryState, askedAt time.Time) {
 	s.mu.Lock()
 	defer s.mu.Unlock()
-	s.hearWord(e.Word, askedAt)
+	s.applyUpdate(e.Word, askedAt)
 	if e.StoreReachable {
-		s.vote(voter(e.ID), peer{at: askedAt, reach: reachSucceeded, revision: e.Word.Revision, region: e.Region})
+		s.addReport(entryHash(e.ID), storeReport{asOf: askedAt, result: storeReached, revision: e.Word.Revision, region: e.Region})
 	}
 }
 
-// HearWord is HearAnswer for what carries only a word, such as an entry's news
+// ReceiveUpdate is HearAnswer for what carries only a word, such as an entry's news
 // to an agent.
-func (s *State) HearWord(w messenger.Word, askedAt time.Time) {
+func (s *State) ReceiveUpdate(w messenger.Word, askedAt time.Time) {
 	s.mu.Lock()
 	defer s.mu.Unlock()
-	s.hearWord(w, askedAt)
+	s.applyUpdate(w, askedAt)
 }
 
-func (s *State) hearWord(w messenger.Word, askedAt time.Time) {
-	s.know(w.Revision)
+func (s *State) applyUpdate(w messenger.Word, askedAt time.Time) {
+	s.learnRevision(w.Revision)
 	if w.Revision > 0 && w.Revision == s.revision() && w.Digest != s.digest {
-		_ = s.alarm(&ForkError{Revision: w.Revision, Held: s.digest, Found: w.Digest})
+		_ = s.raiseAlarm(&ForkError{Revision: w.Revision, Held: s.digest, Found: w.Digest})
 	}
 	if w.AgeMS >= 0 {
-		s.learn(w.Revision, w.Digest, askedAt.Add(-w.Age()))
+		s.learnConfirmation(w.Revision, w.Digest, askedAt.Add(-w.Age()))
 	}
 	if w.Outage && w.Revision == s.revision() && w.Digest == s.digest {
-		s.outage = later(s.outage, askedAt.Add(-w.OutageAge()))
+		s.outageConfirmed = later(s.outageConfirmed, askedAt.Add(-w.OutageAge()))
 	}
 	for _, v := range w.Silent {
-		s.hearSilence(v, askedAt)
+		s.addFailures(v, askedAt)
 	}
 }
 
 // learn keeps a confirmation if it is of the held revision, or if it is of a
 // higher one whose record has yet to come.
-func (s *State) learn(revision uint64, digest string, confirmed time.Time) {
-	s.know(revision)
+func (s *State) learnConfirmation(revision uint64, digest string, confirmed time.Time) {
+	s.learnRevision(revision)
 	switch held := s.revision(); {
 	case revision == held && digest == s.digest:
-		s.refresh(confirmed)
-	case revision > held && revision >= s.ahead.revision:
-		if revision == s.ahead.revision && digest == s.ahead.digest {
-			confirmed = later(confirmed, s.ahead.confirmed)
+		s.renewConfirmation(confirmed)
+	case revision > held && revision >= s.pending.revision:
+		if revision == s.pending.revision && digest == s.pending.digest {
+			confirmed = later(confirmed, s.pending.confirmed)
 		}
-		s.ahead = ahead{revision: revision, digest: digest, confirmed: confirmed}
+		s.pending = pendingConfirmation{revision: revision, digest: digest, confirmed: confirmed}
 	}
 }
 
 // know notes that a revision exists.
-func (s *State) know(revision uint64) {
-	s.known = max(s.known, revision)
-	if s.known > s.revision() && s.knownSince.IsZero() {
-		s.knownSince = s.Clock.Now()
+func (s *State) learnRevision(revision uint64) {
+	s.knownRevision = max(s.knownRevision, revision)
+	if s.knownRevision > s.revision() && s.behindSince.IsZero() {
+		s.behindSince = s.Clock.Now()
 	}
 }
 
 // refresh notes a confirmation of the held revision, unless a higher one was
 // heard of before: then the store that confirms was rolled back, and a process
 // that believed it would serve by an old bundle for as long as that lasts.
-func (s *State) refresh(at time.Time) {
-	if !s.knownSince.IsZero() && at.After(s.knownSince) {
+func (s *State) renewConfirmation(confirmed time.Time) {
+	if !s.behindSince.IsZero() && confirmed.After(s.behindSince) {
 		return
 	}
-	s.confirmed = later(s.confirmed, at)
+	s.confirmed = later(s.confirmed, confirmed)
 }
 
-// Word is what an entry tells another about its bundle.
-func (s *State) Word() messenger.Word {
+// StatusUpdate is what an entry tells another about its bundle.
+func (s *State) StatusUpdate() messenger.Word {
 	s.mu.Lock()
 	defer s.mu.Unlock()
 	now := s.Clock.Now()
-	w := s.word(now)
-	w.Silent = s.silent(now)
+	w := s.update(now)
+	w.Silent = s.failedEntries(now)
 	return w
 }
 
-// AgentWord is what an entry tells an agent: the same without the votes, which
+// AgentUpdate is what an entry tells an agent: the same without the votes, which
 // agents do not count.
-func (s *State) AgentWord() messenger.Word {
+func (s *State) AgentUpdate() messenger.Word {
 	s.mu.Lock()
 	defer s.mu.Unlock()
-	return s.word(s.Clock.Now())
+	return s.update(s.Clock.Now())
 }
 
-func (s *State) word(now time.Time) messenger.Word {
+func (s *State) update(now time.Time) messenger.Word {
 	w := messenger.Word{Revision: s.revision(), Digest: s.digest, AgeMS: -1}
 	if s.bundle == nil {
 		return w
 	}
 	if !s.confirmed.IsZero() {
-		w.AgeMS = milliseconds(age(now, s.confirmed))
+		w.AgeMS = milliseconds(elapsed(now, s.confirmed))
 	}
-	if at, ok := s.outageSeen(now); ok {
-		w.Outage, w.OutageAgeMS = true, milliseconds(age(now, at))
+	if since, ok := s.outageSince(now); ok {
+		w.Outage, w.OutageAgeMS = true, milliseconds(elapsed(now, since))
 	}
 	return w
 }
@@ -367,33 +367,33 @@
 	if s.fresh(now, s.confirmed) {
 		return nil
 	}
-	if at, ok := s.outageSeen(now); ok && s.fresh(now, at) {
+	if since, ok := s.outageSince(now); ok && s.fresh(now, since) {
 		return nil
 	}
-	e := &StaleError{Revision: s.revision(), Age: -1, Limit: s.freshFor(), Known: s.known}
+	e := &StaleError{Revision: s.revision(), Age: -1, Limit: s.freshFor(), Known: s.knownRevision}
 	if !s.confirmed.IsZero() {
-		e.Age = age(now, s.confirmed)
+		e.Age = elapsed(now, s.confirmed)
 	}
 	return e
 }
 
-// Age is how long ago the store confirmed the held revision as the newest;
+// ConfirmationAge is how long ago the store confirmed the held revision as the newest;
 // negative when that was never heard.
-func (s *State) Age() time.Duration {
+func (s *State) ConfirmationAge() time.Duration {
 	s.mu.Lock()
 	defer s.mu.Unlock()
 	if s.bundle == nil || s.confirmed.IsZero() {
 		return -1
 	}
-	return age(s.Clock.Now(), s.confirmed)
+	return elapsed(s.Clock.Now(), s.confirmed)
 }
 
-// Known is the highest revision heard of; above the held one while its record
+// KnownRevision is the highest revision heard of; above the held one while its record
 // has yet to come.
-func (s *State) Known() uint64 {
+func (s *State) KnownRevision() uint64 {
 	s.mu.Lock()
 	defer s.mu.Unlock()
-	return s.known
+	return s.knownRevision
 }
 
 func (s *State) revision() uint64 {
@@ -411,14 +411,14 @@
 }
 
 func (s *State) fresh(now, at time.Time) bool {
-	return !at.IsZero() && age(now, at) <= s.freshFor()
+	return !at.IsZero() && elapsed(now, at) <= s.freshFor()
 }
 
 // age is the time passed since at by whichever clock went further. The monotonic
 // clock stands still while a VM is suspended, and the wall clock can be set back
 // while the process runs; either alone would make old news look fresh.
-func age(now, at time.Time) time.Duration {
-	return max(now.Sub(at), now.Round(0).Sub(at.Round(0)), 0)
+func elapsed(now, since time.Time) time.Duration {
+	return max(now.Sub(since), now.Round(0).Sub(since.Round(0)), 0)
 }
 
 func later(a, b time.Time) time.Time {
--- a/internal/gossiper/watcher.go
+++ b/internal/gossiper/watcher.go
@@ -65,14 +65,14 @@
 	Jitter func(d time.Duration) time.Duration
 
 	version atomic.Uint64
-	dead    atomic.Int64
+	deadWatches    atomic.Int64
 	mu      sync.Mutex
-	rearm   context.CancelFunc
-	armed   armed
+	cancelPoll   context.CancelFunc
+	poll   longPoll
 }
 
 // armed is the long poll under way.
-type armed struct {
+type longPoll struct {
 	after uint64
 	since time.Time
 }
@@ -90,7 +90,7 @@
 func (w *Watcher) StoreReachable() bool { return w.State.StoreReachable() }
 
 // DeadWatches counts the long polls that missed a change.
-func (w *Watcher) DeadWatches() int64 { return w.dead.Load() }
+func (w *Watcher) DeadWatches() int64 { return w.deadWatches.Load() }
 
 // probeLoop asks the store whenever the last confirmation grows old. The first
 // question waits a moment too: after a restart of all entries most of them then
@@ -112,31 +112,31 @@
 // UntilProbe is how long not to ask the store, as the last confirmation, wherever
 // it came from, is young enough.
 func (w *Watcher) UntilProbe() time.Duration {
-	a := w.State.Age()
-	due := w.probeAge()
+	age := w.State.ConfirmationAge()
+	maxAge := w.probeAge()
 	if w.Relay != nil && !w.Relay() {
-		due = w.State.freshFor() / 2
+		maxAge = w.State.freshFor() / 2
 	}
-	if a < 0 || a >= due {
+	if age < 0 || age >= maxAge {
 		return 0
 	}
-	return due - a + w.jitter(w.probeAge()/2)
+	return maxAge - age + w.jitter(w.probeAge()/2)
 }
 
 // Probe asks the store once for the bundle. A long poll alone would not do: one
 // that died without an error looks just like one that waits for a change.
 func (w *Watcher) Probe(ctx context.Context) error {
-	defer w.failEvery(w.State.ReachFor() / 4)()
+	defer w.markFailedEvery(w.State.ReachableFor() / 4)()
 	if done, err := w.probeHead(ctx); done {
 		return err
 	}
-	asked := w.Clock.Now()
-	i, err := w.Store.Get(ctx, w.key())
-	if err := w.observe(i, err, asked); err != nil {
-		w.State.Fail()
+	askedAt := w.Clock.Now()
+	item, err := w.Store.Get(ctx, w.key())
+	if err := w.observe(item, err, askedAt); err != nil {
+		w.State.MarkStoreFailed()
 		return err
 	}
-	w.checkWatch(i.Version, asked)
+	w.endOutdatedWatch(item.Version, askedAt)
 	return nil
 }
 
@@ -147,38 +147,38 @@
 	if r == nil {
 		return false, nil
 	}
-	asked := w.Clock.Now()
-	i, err := w.Store.Get(ctx, HeadKey)
+	askedAt := w.Clock.Now()
+	item, err := w.Store.Get(ctx, HeadKey)
 	var missing *storer.NotFoundError
 	if errors.As(err, &missing) {
 		return false, nil
 	}
 	if err != nil {
-		w.State.Fail()
+		w.State.MarkStoreFailed()
 		return true, err
 	}
 	var h Head
-	if json.Unmarshal(i.Value, &h) != nil || h.Digest != r.Digest() {
+	if json.Unmarshal(item.Value, &h) != nil || h.Digest != r.Digest() {
 		return false, nil
 	}
-	w.State.Confirm(h.Revision, h.Digest, asked)
+	w.State.Confirm(h.Revision, h.Digest, askedAt)
 	return true, nil
 }
 
 // failEvery counts the store as failed while it is still being waited for, until
 // stopped. A store that swallows calls would otherwise be noticed only by the
 // timeout, when the last confirmation has lapsed and all refuse work already.
-func (w *Watcher) failEvery(d time.Duration) (stop func()) {
+func (w *Watcher) markFailedEvery(d time.Duration) (stop func()) {
 	var stopped atomic.Bool
-	var fail func()
-	fail = func() {
+	var markFailed func()
+	markFailed = func() {
 		if stopped.Load() {
 			return
 		}
-		w.State.Fail()
-		w.Clock.AfterFunc(d, fail)
+		w.State.MarkStoreFailed()
+		w.Clock.AfterFunc(d, markFailed)
 	}
-	t := w.Clock.AfterFunc(d, fail)
+	t := w.Clock.AfterFunc(d, markFailed)
 	return func() {
 		stopped.Store(true)
 		t.Stop()
@@ -186,22 +186,22 @@
 }
 
 // observe hands what the store answered to the state.
-func (w *Watcher) observe(i storer.Item, err error, asked time.Time) error {
+func (w *Watcher) observe(item storer.Item, err error, askedAt time.Time) error {
 	var missing *storer.NotFoundError
 	if errors.As(err, &missing) {
 		w.version.Store(0)
-		w.State.Confirm(0, "", asked)
+		w.State.Confirm(0, "", askedAt)
 		return nil
 	}
 	if err != nil {
 		return err
 	}
-	w.version.Store(i.Version)
-	r, err := bundler.DecodeRecord(i.Value)
+	w.version.Store(item.Version)
+	r, err := bundler.DecodeRecord(item.Value)
 	if err != nil {
 		return w.State.Reject(err)
 	}
-	changed, err := w.State.Observe(r, asked)
+	changed, err := w.State.Observe(r, askedAt)
 	if changed {
 		b, _ := w.State.Current()
 		klog.InfoS("Bundle from the store", "revision", b.Revision, "changeId", b.ChangeID)
@@ -212,21 +212,21 @@
 // checkWatch ends a long poll that has missed a change, or that waits for
 // versions which a restored store will only reach again much later. Without this
 // the process would hear of changes only as often as it probes.
-func (w *Watcher) checkWatch(version uint64, asked time.Time) {
+func (w *Watcher) endOutdatedWatch(version uint64, askedAt time.Time) {
 	w.mu.Lock()
 	defer w.mu.Unlock()
-	if w.rearm == nil || version == w.armed.after || asked.Before(w.armed.since.Add(w.probeAge())) {
+	if w.cancelPoll == nil || version == w.poll.after || askedAt.Before(w.poll.since.Add(w.probeAge())) {
 		return
 	}
-	w.dead.Add(1)
-	klog.InfoS("Watch missed a change", "after", w.armed.after, "version", version)
-	w.rearm()
+	w.deadWatches.Add(1)
+	klog.InfoS("Watch missed a change", "after", w.poll.after, "version", version)
+	w.cancelPoll()
 }
 
 func (w *Watcher) watchLoop(ctx context.Context) {
 	failures := 0
 	for ctx.Err() == nil {
-		if !w.ready() {
+		if !w.mayWatch() {
 			w.sleep(ctx, w.probeAge()/2+w.jitter(w.probeAge()))
 			continue
 		}
@@ -246,41 +246,41 @@
 // ready tells whether to put up a watch: only relays do, since each watch brings
 // the whole record over the link between regions, and only if this process
 // lately reached the store or heard of it.
-func (w *Watcher) ready() bool {
+func (w *Watcher) mayWatch() bool {
 	if w.Relay != nil && !w.Relay() {
 		return false
 	}
 	if w.State.StoreReachable() {
 		return true
 	}
-	a := w.State.Age()
-	return w.version.Load() > 0 && a >= 0 && a <= w.State.ReachFor()
+	age := w.State.ConfirmationAge()
+	return w.version.Load() > 0 && age >= 0 && age <= w.State.ReachableFor()
 }
 
 // watchOnce is one long poll.
 func (w *Watcher) watchOnce(ctx context.Context) error {
 	ctx, cancel := context.WithCancel(ctx)
 	defer cancel()
-	asked := w.Clock.Now()
+	askedAt := w.Clock.Now()
 	after := w.version.Load()
-	w.arm(cancel, armed{after: after, since: asked})
-	defer w.arm(nil, armed{})
-	i, err := w.Store.Watch(ctx, w.key(), after, orDefault(w.Wait, DefaultWait))
-	return w.observe(i, err, asked)
+	w.setPoll(cancel, longPoll{after: after, since: askedAt})
+	defer w.setPoll(nil, longPoll{})
+	item, err := w.Store.Watch(ctx, w.key(), after, orDefault(w.Wait, DefaultWait))
+	return w.observe(item, err, askedAt)
 }
 
-func (w *Watcher) arm(cancel context.CancelFunc, a armed) {
+func (w *Watcher) setPoll(cancel context.CancelFunc, poll longPoll) {
 	w.mu.Lock()
 	defer w.mu.Unlock()
-	w.rearm, w.armed = cancel, a
+	w.cancelPoll, w.poll = cancel, poll
 }
 
 // backoff doubles with each failure up to a bound; half of it is random.
 func (w *Watcher) backoff(failures int) time.Duration {
-	most := orDefault(w.Backoff, DefaultBackoff)
+	maxBackoff := orDefault(w.Backoff, DefaultBackoff)
 	d := w.probeAge()
 	for range failures {
-		d = min(2*d, most)
+		d = min(2*d, maxBackoff)
 	}
 	return d/2 + w.jitter(d/2)
 }
@@ -315,9 +315,9 @@
 	return errors.As(err, &unchanged)
 }
 
-func orDefault(d, otherwise time.Duration) time.Duration {
+func orDefault(d, fallback time.Duration) time.Duration {
 	if d > 0 {
 		return d
 	}
-	return otherwise
+	return fallback
 }
--- a/internal/router/bench_drain_test.go
+++ b/internal/router/bench_drain_test.go
@@ -16,8 +16,8 @@
 
 // drainLoad is 0.92 of what two domains bear; while the third is cold, 0.95 of
 // the two and its cold places, so that these are needed.
-func drainLoad(at time.Duration) float64 {
-	if at >= returnAt+2*time.Second && at < returnAt+coldFor {
+func offeredRate(elapsed time.Duration) float64 {
+	if elapsed >= returnAt+2*time.Second && elapsed < returnAt+coldFor {
 		return 0.95 * (8*8 + 4*2)
 	}
 	return 0.92 * 8 * 8
@@ -28,8 +28,8 @@
 const drainSeeds = 20
 
 // drain takes south out under load and lets it return cold.
-func drain(gated bool, seed uint64, t *tally) {
-	w := newWorld(gated, seed, t)
+func simulateDrain(gated bool, seed uint64, t *tally) {
+	w := newSimulation(gated, seed, t)
 	b := bundleWith(1, "")
 	servers := w.servers(b)
 	roll := func(b *bundler.Bundle, drained bool) {
@@ -41,27 +41,27 @@
 	w.after(drainAt, func() { roll(bundleWith(2, "south"), true) })
 	w.after(returnAt, func() { roll(bundleWith(3, ""), false) })
 	w.after(time.Second, func() {
-		w.arrivals(drainLoad, drainEnd, func() {
-			servers[w.random.IntN(len(servers))].ask(w.newCall(b.Workspaces[w.random.IntN(10)].Name))
+		w.arrivals(offeredRate, drainEnd, func() {
+			servers[w.random.IntN(len(servers))].submit(w.newCall(b.Workspaces[w.random.IntN(10)].Name))
 		})
 	})
 	w.run(returnAt - time.Second)
-	t.lastInDomain = max(t.lastInDomain, w.last("south").Sub(epoch.Add(drainAt)))
+	t.lastInDomain = max(t.lastInDomain, w.lastWorkIn("south").Sub(epoch.Add(drainAt)))
 	w.run(drainEnd + 10*time.Second)
 }
 
-func (w *world) servers(b *bundler.Bundle) []server {
+func (w *simulation) servers(b *bundler.Bundle) []simulatedEntry {
 	if w.gated {
 		return w.newEntries(9, b)
 	}
-	var servers []server
+	var servers []simulatedEntry
 	for i := range 9 {
-		servers = append(servers, &naive{world: w, bundle: b, turn: i})
+		servers = append(servers, &naiveEntry{sim: w, bundle: b, turn: i})
 	}
 	return servers
 }
 
-func (w *world) last(domain string) time.Time {
+func (w *simulation) lastWorkIn(domain string) time.Time {
 	var last time.Time
 	for _, u := range w.upstreams {
 		if u.state.FailureDomain == domain && u.lastWork.After(last) {
@@ -76,15 +76,15 @@
 // metrics reports a tally under a prefix.
 func (t *tally) metrics(b *testing.B, prefix string) {
 	slices.Sort(t.latency)
-	at := func(q float64) float64 { return t.latency[int(q*float64(len(t.latency)-1))].Seconds() }
+	quantile := func(q float64) float64 { return t.latency[int(q*float64(len(t.latency)-1))].Seconds() }
 	b.ReportMetric(float64(t.served)/float64(t.served+t.refused+t.lost), prefix+"served/offered")
-	b.ReportMetric(at(0.5), prefix+"p50-s")
-	b.ReportMetric(at(0.99), prefix+"p99-s")
+	b.ReportMetric(quantile(0.5), prefix+"p50-s")
+	b.ReportMetric(quantile(0.99), prefix+"p99-s")
 	b.ReportMetric(float64(t.refused), prefix+"refused")
 	b.ReportMetric(float64(t.lost), prefix+"lost")
 	b.ReportMetric(float64(t.attempts)/float64(t.served), prefix+"attempts/served")
 	b.ReportMetric(float64(t.worstCold), prefix+"worst-cold")
-	b.ReportMetric(float64(t.fell), prefix+"fell")
+	b.ReportMetric(float64(t.crashes), prefix+"fell")
 }
 
 // BenchmarkServiceDuringDrain reports, in virtual time, the service while a
@@ -94,7 +94,7 @@
 		for gated, prefix := range map[bool]string{true: "", false: "naive-"} {
 			t := newTally()
 			for seed := range uint64(drainSeeds) {
-				drain(gated, seed, t)
+				simulateDrain(gated, seed, t)
 			}
 			t.metrics(b, prefix)
 			b.ReportMetric(t.lastInDomain.Seconds(), prefix+"last-work-s")
--- a/internal/router/bench_route_test.go
+++ b/internal/router/bench_route_test.go
@@ -17,7 +17,7 @@
 			s.Running = 2
 			r.Report(s)
 		}
-		q := ask
+		q := modelRequest
 		q.Prompt = "a prompt with a prefix that is shared by many"
 		b.Run(fmt.Sprintf("pick/%d", n), func(b *testing.B) {
 			b.ReportAllocs()
--- a/internal/router/bench_rush_test.go
+++ b/internal/router/bench_rush_test.go
@@ -17,18 +17,18 @@
 // rush offers load times the capacity: two large workspaces with 0.4 of it each,
 // eight small ones with the rest. Refused callers come back twice when told to.
 // It gives the number served by the end of the rush.
-func rush(gated bool, load float64, seed uint64, t *tally) int {
+func simulateRush(gated bool, load float64, seed uint64, t *tally) int {
 	before := t.served
-	w := newWorld(gated, seed, t)
+	w := newSimulation(gated, seed, t)
 	servers := w.servers(bundleWith(1, ""))
 	w.retry = func(c *call, after time.Duration) bool {
 		if c.returns == 2 {
 			return false
 		}
 		w.after(after, func() {
-			again := w.newCall(c.workspace)
-			again.returns = c.returns + 1
-			servers[w.random.IntN(len(servers))].ask(again)
+			returned := w.newCall(c.workspace)
+			returned.returns = c.returns + 1
+			servers[w.random.IntN(len(servers))].submit(returned)
 		})
 		return true
 	}
@@ -41,7 +41,7 @@
 			}
 			c := w.newCall(fmt.Sprintf("w%d", n))
 			t.askedOf[c.workspace]++
-			servers[w.random.IntN(len(servers))].ask(c)
+			servers[w.random.IntN(len(servers))].submit(c)
 		})
 	})
 	w.run(rushEnd)
@@ -68,15 +68,15 @@
 	for b.Loop() {
 		for gated, prefix := range map[bool]string{true: "", false: "naive-"} {
 			once, thrice := newTally(), newTally()
-			atOnce, atThrice := 0, 0
+			goodputOnce, goodputThrice := 0, 0
 			for seed := range uint64(rushSeeds) {
-				atOnce += rush(gated, 1, seed, once)
-				atThrice += rush(gated, 3, seed, thrice)
+				goodputOnce += simulateRush(gated, 1, seed, once)
+				goodputThrice += simulateRush(gated, 3, seed, thrice)
 			}
 			small, large := thrice.fairness()
 			seconds := rushSeeds * (rushEnd - time.Second).Seconds()
-			b.ReportMetric(float64(atThrice)/float64(atOnce), prefix+"goodput-3x/1x")
-			b.ReportMetric(float64(atOnce)/seconds/rushCapacity, prefix+"goodput-1x/capacity")
+			b.ReportMetric(float64(goodputThrice)/float64(goodputOnce), prefix+"goodput-3x/1x")
+			b.ReportMetric(float64(goodputOnce)/seconds/rushCapacity, prefix+"goodput-1x/capacity")
 			b.ReportMetric(small, prefix+"small-share")
 			b.ReportMetric(large, prefix+"large-ratio")
 			b.ReportMetric(float64(thrice.wasted)/float64(thrice.served+thrice.wasted), prefix+"wasted-runs")
--- a/internal/router/booking_test.go
+++ b/internal/router/booking_test.go
@@ -22,21 +22,21 @@
 // bookings is two entries before three agents of a service whose calls may not
 // be repeated. Messages arrive in any order or not at all, agents are replaced,
 // domains are drained. The oracle counts how often each booking truly ran.
-type bookings struct {
+type bookingModel struct {
 	clock    *clocktesting.FakePassiveClock
 	random   *rand.Rand
 	naive    bool
 	bundle   *bundler.Bundle
-	counters [2]*counter
+	entries [2]*bookingEntry
 	agents   []*agent
 	messages []func()
-	all      []*booking
+	booked      []*booking
 
-	worstCold, inDrained int
+	worstCold, runsInDrained int
 }
 
 // counter is what an entry decides with.
-type counter struct {
+type bookingEntry struct {
 	*router.Router
 	*retrier.Policy
 	limiter *limiter.Limiter
@@ -52,25 +52,25 @@
 }
 
 type booking struct {
-	counter, attempts, asked, runs, told int
+	entry, attempts, callerRetries, runs, answers int
 	key                                  *deduplicator.Key
-	doubtful                             bool
+	uncertain                             bool
 	avoid                                []string
-	word                                 retrier.Outcome
+	answer                                 retrier.Outcome
 	ticket                               *limiter.Ticket
 }
 
-func newBookings(naive bool) *bookings {
-	f := &bookings{clock: clocktesting.NewFakePassiveClock(epoch), random: rand.New(rand.NewPCG(5, 5)), naive: naive, bundle: threeDomains()}
+func newBookingModel(naive bool) *bookingModel {
+	f := &bookingModel{clock: clocktesting.NewFakePassiveClock(epoch), random: rand.New(rand.NewPCG(5, 5)), naive: naive, bundle: threeDomains()}
 	f.bundle.Workspaces[0].Limits.Concurrent = 40
-	for i := range f.counters {
-		f.counters[i] = &counter{
+	for i := range f.entries {
+		f.entries[i] = &bookingEntry{
 			Router:  &router.Router{FailureDomain: "north", Region: "one", Clock: f.clock, Random: f.random},
 			Policy:  &retrier.Policy{Budget: &retrier.Budget{Clock: f.clock, Floor: 20}, Random: f.random},
 			limiter: &limiter.Limiter{Clock: f.clock, Entries: func() int { return 2 }, Random: f.random},
 		}
-		f.counters[i].SetBundle(f.bundle)
-		f.counters[i].limiter.SetBundle(f.bundle)
+		f.entries[i].SetBundle(f.bundle)
+		f.entries[i].limiter.SetBundle(f.bundle)
 	}
 	for i, d := range []string{"north", "south", "east"} {
 		a := &agent{AgentState: engine(i, d)}
@@ -81,9 +81,9 @@
 	return f
 }
 
-func (f *bookings) send(m func()) { f.messages = append(f.messages, m) }
+func (f *bookingModel) send(m func()) { f.messages = append(f.messages, m) }
 
-func (f *bookings) restart(a *agent) {
+func (f *bookingModel) restart(a *agent) {
 	a.Incarnation = fmt.Sprint(f.random.Uint64())
 	a.Sequence, a.running, a.warm = 0, 0, false
 	a.gate = &admitter.Gate{Clock: f.clock, Limit: 4}
@@ -94,30 +94,30 @@
 }
 
 // probe finds the upstream of a restarted agent cold, and warm from the next time.
-func (f *bookings) probe(a *agent) {
+func (f *bookingModel) probe(a *agent) {
 	a.warm = a.warm || f.random.IntN(4) == 0
 	a.gate.Probe(admitter.Probe{Mark: a.gate.Mark(), StartID: a.Incarnation, Cold: !a.warm})
 	a.gate.Open(admitter.Booting)
 }
 
-func (f *bookings) report(a *agent) {
+func (f *bookingModel) report(a *agent) {
 	a.Gate, a.Limit, a.Running = a.gate.State()
 	a.Sequence++
 	s := a.AgentState
-	for _, c := range f.counters {
+	for _, c := range f.entries {
 		f.send(func() { c.Report(s) })
 	}
 }
 
-func (f *bookings) roll() {
+func (f *bookingModel) changeBundle() {
 	b := threeDomains()
 	b.Revision = f.bundle.Revision + 1
-	at := f.random.IntN(4)
-	if at < 3 {
-		b.FailureDomains[at].Drained = true
+	domain := f.random.IntN(4)
+	if domain < 3 {
+		b.FailureDomains[domain].Drained = true
 	}
 	f.bundle = b
-	for _, c := range f.counters {
+	for _, c := range f.entries {
 		f.send(func() { c.SetBundle(b) })
 	}
 	for _, a := range f.agents {
@@ -131,7 +131,7 @@
 	}
 }
 
-func (f *bookings) step() {
+func (f *bookingModel) step() {
 	a := f.agents[f.random.IntN(3)]
 	switch f.random.IntN(24) {
 	case 0:
@@ -148,14 +148,14 @@
 		}
 	case 7:
 		if f.random.IntN(10) == 0 {
-			f.roll()
+			f.changeBundle()
 		}
 	default:
 		f.deliver()
 	}
 }
 
-func (f *bookings) deliver() {
+func (f *bookingModel) deliver() {
 	if len(f.messages) == 0 {
 		return
 	}
@@ -165,25 +165,25 @@
 	m()
 }
 
-func (f *bookings) book() {
-	b := &booking{counter: f.random.IntN(2)}
-	t, err := f.counters[b.counter].limiter.Admit("farm", 0, 0)
+func (f *bookingModel) book() {
+	b := &booking{entry: f.random.IntN(2)}
+	t, err := f.entries[b.entry].limiter.Admit("farm", 0, 0)
 	if err != nil {
 		return
 	}
 	b.ticket = t
-	f.all = append(f.all, b)
-	f.attempt(b)
+	f.booked = append(f.booked, b)
+	f.sendAttempt(b)
 }
 
-func (f *bookings) attempt(b *booking) {
+func (f *bookingModel) sendAttempt(b *booking) {
 	q := router.Request{Workspace: "farm", Service: "bookings", Avoid: b.avoid}
 	if b.key != nil {
 		q.Owner, q.Avoid = b.key.Owner, nil
 	}
-	c, err := f.counters[b.counter].Pick(q)
+	c, err := f.entries[b.entry].Pick(q)
 	if err != nil {
-		f.end(b, retrier.NotRun)
+		f.answerCaller(b, retrier.NotRun)
 		return
 	}
 	b.attempts++
@@ -197,20 +197,20 @@
 	k := *b.key
 	f.send(func() {
 		if f.random.IntN(12) == 0 {
-			f.ended(b, c, retrier.NotRun, true)
+			f.attemptEnded(b, c, retrier.NotRun, true)
 			return
 		}
-		f.arrive(a, b, k, func(o retrier.Outcome) {
+		f.handleAttempt(a, b, k, func(o retrier.Outcome) {
 			if f.random.IntN(12) == 0 {
 				o = retrier.Unknown
 			}
-			f.send(func() { f.ended(b, c, o, false) })
+			f.send(func() { f.attemptEnded(b, c, o, false) })
 		})
 	})
 }
 
 // arrive is the agent: ledger first, then gate, then the service.
-func (f *bookings) arrive(a *agent, b *booking, k deduplicator.Key, reply func(retrier.Outcome)) {
+func (f *bookingModel) handleAttempt(a *agent, b *booking, k deduplicator.Key, reply func(retrier.Outcome)) {
 	switch v := a.ledger.Begin(k).(type) {
 	case deduplicator.Run:
 	case deduplicator.Replay:
@@ -234,7 +234,7 @@
 	b.runs++
 	a.running++
 	if a.drained {
-		f.inDrained++
+		f.runsInDrained++
 	}
 	if !a.warm {
 		f.worstCold = max(f.worstCold, a.running)
@@ -259,78 +259,78 @@
 	})
 }
 
-func (f *bookings) ended(b *booking, c *router.Choice, o retrier.Outcome, gone bool) {
+func (f *bookingModel) attemptEnded(b *booking, c *router.Choice, o retrier.Outcome, lost bool) {
 	c.Done(o)
 	earlier := retrier.NotRun
-	if b.doubtful {
+	if b.uncertain {
 		earlier = retrier.Unknown
 	}
-	d := f.counters[b.counter].Decide(retrier.Attempt{Outcome: o, Earlier: earlier, Number: b.attempts, Idempotent: true, Now: f.clock.Now()})
-	b.doubtful = o == retrier.Unknown || b.doubtful && gone
-	if f.naive || o == retrier.NotRun && !b.doubtful {
-		b.key, b.doubtful, b.avoid = nil, false, append(b.avoid, c.AgentID)
+	d := f.entries[b.entry].Decide(retrier.Attempt{Outcome: o, Earlier: earlier, Number: b.attempts, Idempotent: true, Now: f.clock.Now()})
+	b.uncertain = o == retrier.Unknown || b.uncertain && lost
+	if f.naive || o == retrier.NotRun && !b.uncertain {
+		b.key, b.uncertain, b.avoid = nil, false, append(b.avoid, c.AgentID)
 	}
 	if d.Retry {
-		f.send(func() { f.attempt(b) })
+		f.send(func() { f.sendAttempt(b) })
 		return
 	}
-	f.end(b, o)
+	f.answerCaller(b, o)
 }
 
 // end tells the caller, who asks again through the other entry when in doubt.
-func (f *bookings) end(b *booking, o retrier.Outcome) {
-	if b.doubtful && o == retrier.NotRun {
+func (f *bookingModel) answerCaller(b *booking, o retrier.Outcome) {
+	if b.uncertain && o == retrier.NotRun {
 		o = retrier.Unknown
 	}
-	if o == retrier.Unknown && b.asked < 2 {
-		b.asked, b.attempts, b.counter = b.asked+1, 0, 1-b.counter
-		f.send(func() { f.attempt(b) })
+	if o == retrier.Unknown && b.callerRetries < 2 {
+		b.callerRetries, b.attempts, b.entry = b.callerRetries+1, 0, 1-b.entry
+		f.send(func() { f.sendAttempt(b) })
 		return
 	}
-	b.word = o
-	b.told++
+	b.answer = o
+	b.answers++
 	b.ticket.Done()
 }
 
 // count gives how many bookings ran twice, how many were wrongly told to have run
 // or not, and how many ran once.
-func (f *bookings) count(steps int) (twice, lies, once int) {
+func (f *bookingModel) countRuns(steps int) (twice, wrong, once int) {
 	for range steps {
 		f.step()
 	}
 	for len(f.messages) > 0 {
 		f.deliver()
 	}
-	for _, b := range f.all {
+	for _, b := range f.booked {
 		switch {
 		case b.runs > 1:
 			twice++
 		case b.runs == 1:
 			once++
 		}
-		if b.told != 1 || b.word == retrier.NotRun && b.runs > 0 || b.word == retrier.Ran && b.runs == 0 {
-			lies++
+		if b.answers != 1 || b.answer == retrier.NotRun && b.runs > 0 || b.answer == retrier.Ran && b.runs == 0 {
+			wrong++
 		}
 	}
-	return twice, lies, once
+	return twice, wrong, once
 }
 
 // Bookings meet lost answers, replaced agents, late reports and drained domains,
 // and callers ask again through another entry. A user notices a fault as two
 // bookings of one slot, or as one that was said not to have run.
 func TestBookingsAgainstOracle(t *testing.T) {
-	ours, naive := newBookings(false), newBookings(true)
-	twice, lies, once := ours.count(100_000)
+	ours, naive := newBookingModel(false), newBookingModel(true)
+	twice, wrong, once := ours.countRuns(100_000)
 	t.Logf("ours: %d bookings, %d ran once, %d twice, %d lies, worst cold load %d, %d in drained domains",
-		len(ours.all), once, twice, lies, ours.worstCold, ours.inDrained)
+		len(ours.booked), once, twice, wrong, ours.worstCold, ours.runsInDrained)
 	must.EqOp(t, 0, twice)
-	must.EqOp(t, 0, lies)
-	must.EqOp(t, 0, ours.inDrained)
+	must.EqOp(t, 0, wrong)
+	must.EqOp(t, 0, ours.runsInDrained)
 	must.LessEq(t, 1, ours.worstCold)
-	must.Greater(t, len(ours.all)/2, once)
-	twice, lies, once = naive.count(100_000)
+	must.Greater(t, len(ours.booked)/2, once)
+	twice, wrong, once = naive.countRuns(100_000)
 	t.Logf("naive: %d bookings, %d ran once, %d twice, %d lies, worst cold load %d, %d in drained domains",
-		len(naive.all), once, twice, lies, naive.worstCold, naive.inDrained)
+		len(naive.booked), once, twice, wrong, naive.worstCold, naive.runsInDrained)
 	must.Positive(t, twice)
-	must.Positive(t, lies)
+	must.Positive(t, wrong)
 }
--- a/internal/router/bound.go
+++ b/internal/router/bound.go
@@ -10,8 +10,8 @@
 
 // pickBound finds the one replica that may have the request.
 func (r *Router) pickBound(k poolKey, q *Request, now time.Time) (*Choice, error) {
-	p := r.owner(q)
-	if p == nil || keyOf(p.state) != k || !p.serves(q) {
+	p := r.boundReplica(q)
+	if p == nil || poolKeyOf(p.state) != k || !p.serves(q) {
 		return nil, &NoReplicaError{Name: k.name}
 	}
 	l := r.pool(k)
@@ -20,23 +20,23 @@
 		// full or leaving does not matter: refused here, every stream in a domain
 		// that is drained would end in the middle at the first connection that
 		// breaks.
-		return r.count(l, p, reasonResume, now), nil
+		return r.assign(l, p, reasonResume, now), nil
 	}
 	switch {
 	case p.tier == nil:
 		return nil, &NoReplicaError{Name: k.name}
-	case p.room() <= 0:
+	case p.freeSlots() <= 0:
 		return nil, &FullError{Name: k.name, RetryAfter: l.retryAfter(now, r.Random)}
 	}
-	return r.count(l, p, reasonOwner, now), nil
+	return r.assign(l, p, reasonOwner, now), nil
 }
 
 // owner is the live replica that the request names; nil without.
-func (r *Router) owner(q *Request) *replica {
+func (r *Router) boundReplica(q *Request) *replica {
 	if q.Owner != "" {
 		return r.liveReplica(q.Owner)
 	}
-	for p := r.live.first; p != nil; p = p.after {
+	for p := r.live.first; p != nil; p = p.next {
 		if p.state.EngineStart == q.EngineStart {
 			return p
 		}
@@ -54,7 +54,7 @@
 
 func (r *Router) liveReplica(id string) *replica {
 	p := r.replicas[id]
-	if p == nil || p.list != &r.live {
+	if p == nil || p.contacts != &r.live {
 		return nil
 	}
 	return p
--- a/internal/router/choice.go
+++ b/internal/router/choice.go
@@ -23,7 +23,7 @@
 	replica *replica
 	pool    *pool
 	picked  time.Time
-	place   int
+	index   int
 	done    bool
 }
 
@@ -36,8 +36,8 @@
 		return
 	}
 	now := c.router.Clock.Now()
-	c.giveBack(o != retrier.NotRun)
-	c.router.judge(c.replica, o, now)
+	c.finish(o != retrier.NotRun)
+	c.router.recordOutcome(c.replica, o, now)
 	if o == retrier.Ran {
 		c.pool.rate.Add(now)
 	}
@@ -49,48 +49,48 @@
 	c.router.mu.Lock()
 	defer c.router.mu.Unlock()
 	if !c.done {
-		c.giveBack(true)
+		c.finish(true)
 	}
 }
 
 // giveBack takes the choice out of the replica's own requests; ran tells whether
 // the last report can have counted it as running.
-func (c *Choice) giveBack(ran bool) {
+func (c *Choice) finish(ran bool) {
 	c.done = true
 	c.pool.inflight--
 	p := c.replica
 	last := len(p.inflight) - 1
-	p.inflight[c.place] = p.inflight[last]
-	p.inflight[c.place].place = c.place
+	p.inflight[c.index] = p.inflight[last]
+	p.inflight[c.index].index = c.index
 	p.inflight[last] = nil
 	p.inflight = p.inflight[:last]
 	switch {
-	case c.picked.After(p.covered):
-		p.fresh--
+	case c.picked.After(p.coveredUntil):
+		p.uncovered--
 	case ran:
-		p.settled++
+		p.coveredDone++
 	}
-	p.update()
+	p.updateTier()
 }
 
 // judge sets how long a replica is passed over after an attempt. Without it the
 // emptiest replica, which may be empty because it fails at once, would draw
 // every request: seen as one VM taking most attempts and answering none. The
 // spread keeps entries from returning to it together.
-func (r *Router) judge(p *replica, o retrier.Outcome, now time.Time) {
+func (r *Router) recordOutcome(p *replica, o retrier.Outcome, now time.Time) {
 	switch o {
 	case retrier.Ran:
 		p.failures = 0
 		p.refusedUntil, p.failedUntil = time.Time{}, time.Time{}
 	case retrier.NotRun:
-		p.refusedUntil = r.until(now, orDuration(r.RefusedFor, DefaultRefusedFor))
+		p.refusedUntil = r.backoffUntil(now, orDuration(r.RefusedFor, DefaultRefusedFor))
 	default:
 		d := orDuration(r.FailedFor, DefaultFailedFor) << min(p.failures, 2)
 		p.failures++
-		p.failedUntil = r.until(now, d)
+		p.failedUntil = r.backoffUntil(now, d)
 	}
 }
 
-func (r *Router) until(now time.Time, d time.Duration) time.Time {
+func (r *Router) backoffUntil(now time.Time, d time.Duration) time.Time {
 	return now.Add(d + retrier.Spread(d, r.Random))
 }
--- a/internal/router/failure_test.go
+++ b/internal/router/failure_test.go
@@ -18,7 +18,7 @@
 	r, _ := newRouter(threeDomains())
 	s := engine(1, "north")
 	r.Report(s)
-	c, err := r.Pick(ask)
+	c, err := r.Pick(modelRequest)
 	must.NoError(t, err)
 	c.Done(retrier.Unknown)
 	b := threeDomains()
@@ -28,9 +28,9 @@
 	s.Sequence, s.Gate, s.Leaving = 2, messenger.GateClosed, true
 	r.Report(s)
 
-	_, err = r.Pick(ask)
+	_, err = r.Pick(modelRequest)
 	must.NotNil(t, wantError[*router.NoReplicaError](t, err))
-	resume := ask
+	resume := modelRequest
 	resume.Owner, resume.Version, resume.EngineStart = c.AgentID, c.Version, c.EngineStart
 	c, err = r.Pick(resume)
 	must.NoError(t, err)
@@ -43,7 +43,7 @@
 // A booking's key is bound to one agent, and an attempt there ended in doubt. A
 // user who asks again with the key notices a refusal, though only that agent can
 // tell what became of the booking.
-func TestOwnerThatFailedIsAskedAgain(t *testing.T) {
+func TestFailedOwnerIsPickedAgain(t *testing.T) {
 	r, _ := newRouter(threeDomains())
 	s := engine(1, "south")
 	s.Kind, s.Service = messenger.KindService, "bookings"
@@ -61,24 +61,24 @@
 
 // A place comes free on a replica that refused one of our requests a moment ago.
 // Users wait in line and time out while the replica runs below its limit.
-func TestOwnFreedPlaceEndsPassingOver(t *testing.T) {
+func TestOwnFreedSlotEndsBackoff(t *testing.T) {
 	r, _ := newRouter(threeDomains())
 	r.Report(engine(1, "north"))
-	first, err := r.Pick(ask)
+	first, err := r.Pick(modelRequest)
 	must.NoError(t, err)
-	second, err := r.Pick(ask)
+	second, err := r.Pick(modelRequest)
 	must.NoError(t, err)
 	second.Done(retrier.NotRun)
-	_, err = r.Pick(ask)
+	_, err = r.Pick(modelRequest)
 	must.NotNil(t, wantError[*router.FullError](t, err))
 	first.Done(retrier.Ran)
-	_, err = r.Pick(ask)
+	_, err = r.Pick(modelRequest)
 	must.NoError(t, err)
 }
 
 // Two entries share a cold replica with one place. Without a division both take
 // it at once, and one of two users waits for a second attempt.
-func TestColdPlacesAreDividedAmongEntries(t *testing.T) {
+func TestColdSlotsAreDividedAmongEntries(t *testing.T) {
 	s := engine(1, "north")
 	s.Gate, s.Limit = messenger.GateCold, 1
 	warm := engine(2, "east")
@@ -89,7 +89,7 @@
 		r.SetEntries(self, []string{"e2", "e1"})
 		r.Report(s)
 		r.Report(warm)
-		c, err := r.Pick(ask)
+		c, err := r.Pick(modelRequest)
 		must.NoError(t, err)
 		if c.AgentID == s.ID {
 			picked++
@@ -101,37 +101,37 @@
 // A rush fills all replicas through one entry, and callers come to another. As
 // only the first learns of places that come free, users of the second time out
 // while those of the first wait for nothing.
-func TestNearlyFullPoolIsLeftToEntriesWithLess(t *testing.T) {
+func TestNearlyFullPoolRefusesEntryAboveItsShare(t *testing.T) {
 	r, c := newRouter(threeDomains())
 	r.SetEntries("e1", []string{"e1", "e2"})
 	s := engine(1, "north")
 	s.Limit = 20
 	r.Report(s)
 	for range 11 {
-		_, err := r.Pick(ask)
+		_, err := r.Pick(modelRequest)
 		must.NoError(t, err)
 	}
 	c.SetTime(c.Now().Add(time.Second))
 	s.Sequence, s.Running = 2, 19
 	r.Report(s)
-	_, err := r.Pick(ask)
+	_, err := r.Pick(modelRequest)
 	must.NotNil(t, wantError[*router.FullError](t, err))
 	s.Sequence, s.Running = 3, 18
 	r.Report(s)
-	_, err = r.Pick(ask)
+	_, err = r.Pick(modelRequest)
 	must.NoError(t, err)
 }
 
 // Callers crowd at one entry while the other has none. Held to an even part of a
 // full pool, the first lets its users wait and time out beside idle places.
-func TestLongLineGetsMoreOfFullPool(t *testing.T) {
+func TestLongQueueGetsMoreOfFullPool(t *testing.T) {
 	r, c := newRouter(threeDomains())
 	r.SetEntries("e1", []string{"e1", "e2"})
 	s := engine(1, "north")
 	s.Limit = 20
 	r.Report(s)
 	for range 11 {
-		_, err := r.Pick(ask)
+		_, err := r.Pick(modelRequest)
 		must.NoError(t, err)
 	}
 	c.SetTime(c.Now().Add(time.Second))
@@ -139,23 +139,23 @@
 	r.Report(s)
 	r.SetWaiting("rota", "", 30)
 	must.MapEq(t, map[string]int{"engine rota": 41}, r.Demand())
-	r.HearDemand("e2", map[string]int{"engine rota": 8})
-	_, err := r.Pick(ask)
+	r.ReceiveDemand("e2", map[string]int{"engine rota": 8})
+	_, err := r.Pick(modelRequest)
 	must.NoError(t, err)
 	c.SetTime(c.Now().Add(time.Second))
 	s.Sequence = 3
 	r.Report(s)
-	r.HearDemand("e2", map[string]int{"engine rota": 80})
-	_, err = r.Pick(ask)
+	r.ReceiveDemand("e2", map[string]int{"engine rota": 80})
+	_, err = r.Pick(modelRequest)
 	must.NotNil(t, wantError[*router.FullError](t, err))
-	r.HearDemand("e2", nil)
-	_, err = r.Pick(ask)
+	r.ReceiveDemand("e2", nil)
+	_, err = r.Pick(modelRequest)
 	must.NoError(t, err)
 }
 
 // Eight entries are alive, of which two know a cold replica. Divided among all
 // eight, its two places would nearly always be nobody's, and users wait beside it.
-func TestColdPlacesAreDividedAmongThoseWhoKnow(t *testing.T) {
+func TestColdSlotsAreDividedAmongSharingEntries(t *testing.T) {
 	r, _ := newRouter(threeDomains())
 	r.Sharing = 2
 	r.SetEntries("e1", []string{"e1", "e2", "e3", "e4", "e5", "e6", "e7", "e8"})
@@ -165,7 +165,7 @@
 	for range 8 {
 		s.Sequence++
 		must.True(t, r.Report(s))
-		c, err := r.Pick(ask)
+		c, err := r.Pick(modelRequest)
 		must.NoError(t, err)
 		must.EqOp(t, "vm-1", c.AgentID)
 		c.Done(retrier.Ran)
--- a/internal/router/fuzz_test.go
+++ b/internal/router/fuzz_test.go
@@ -33,19 +33,19 @@
 // known is what the oracle knows of an agent: the last report that counts, when
 // it came, what has been picked since and still runs, and what was picked before
 // and has ended since.
-type known struct {
+type agentModel struct {
 	state        messenger.AgentState
-	heard        time.Time
+	lastContact        time.Time
 	reports      int
-	since, ended int
-	failed       time.Time
-	gone         []string
+	startedSince, endedSince int
+	avoidedUntil       time.Time
+	earlierIncarnations         []string
 }
 
 // pending is a choice that is not done.
 type pending struct {
 	*router.Choice
-	agent   *known
+	agent   *agentModel
 	reports int
 }
 
@@ -54,13 +54,13 @@
 	router  *router.Router
 	clock   *clocktesting.FakePassiveClock
 	bundle  *bundler.Bundle
-	agents  map[string]*known
+	agents  map[string]*agentModel
 	pending []pending
 	// sequence makes most reports newer than the last, and some older.
 	sequence uint64
 }
 
-func (m *machine) report(t *rapid.T) {
+func (m *machine) reportAgent(t *rapid.T) {
 	n := rapid.IntRange(0, 2).Draw(t, "agent")
 	s := engine(n, []string{"north", "south", "east"}[n])
 	s.Incarnation = rapid.SampledFrom([]string{"a", "a", "a", "a", "a", "a", "a", "a", "b", "c"}).Draw(t, "incarnation")
@@ -72,25 +72,25 @@
 	s.Leaving = rapid.IntRange(0, 9).Draw(t, "leaving") == 9
 	s.Version = rapid.SampledFrom([]string{"v1", "v2"}).Draw(t, "version")
 	m.router.Report(s)
-	maps.DeleteFunc(m.agents, func(_ string, k *known) bool { return m.clock.Since(k.heard) > 20*router.DefaultStaleAfter })
+	maps.DeleteFunc(m.agents, func(_ string, k *agentModel) bool { return m.clock.Since(k.lastContact) > 20*router.DefaultStaleAfter })
 	k := m.agents[s.ID]
 	switch {
 	case k == nil:
-		k = new(known)
+		k = new(agentModel)
 		m.agents[s.ID] = k
 	case k.state.Incarnation == s.Incarnation && k.state.Sequence >= s.Sequence:
 		return
-	case slices.Contains(k.gone, s.Incarnation):
+	case slices.Contains(k.earlierIncarnations, s.Incarnation):
 		return
 	case k.state.Incarnation != s.Incarnation:
-		k.gone = append(k.gone, k.state.Incarnation)
-		k.failed = time.Time{}
+		k.earlierIncarnations = append(k.earlierIncarnations, k.state.Incarnation)
+		k.avoidedUntil = time.Time{}
 	}
-	k.state, k.heard, k.since, k.ended = s, m.clock.Now(), 0, 0
+	k.state, k.lastContact, k.startedSince, k.endedSince = s, m.clock.Now(), 0, 0
 	k.reports++
 }
 
-func (m *machine) roll(t *rapid.T) {
+func (m *machine) changeBundle(t *rapid.T) {
 	b := bundleWith(m.bundle.Revision+uint64(rapid.IntRange(0, 2).Draw(t, "ahead")), rapid.SampledFrom([]string{"", "", "north", "south"}).Draw(t, "drained"))
 	b.Revision--
 	m.router.SetBundle(b)
@@ -111,17 +111,17 @@
 	}
 	k := m.agents[c.AgentID]
 	m.mustServe(t, q, k)
-	own := m.own(k)
+	own := m.ownRequests(k)
 	must.Less(t, k.state.Limit, own, must.Sprint("own requests are at the limit"))
-	must.Less(t, k.state.Limit, k.state.Running+k.since-k.ended, must.Sprint("reported and own later requests are at the limit"))
+	must.Less(t, k.state.Limit, k.state.Running+k.startedSince-k.endedSince, must.Sprint("reported and own later requests are at the limit"))
 	must.EqOp(t, k.state.Incarnation, c.Incarnation)
 	must.EqOp(t, k.state.Version, c.Version)
-	k.since++
+	k.startedSince++
 	m.pending = append(m.pending, pending{c, k, k.reports})
 }
 
 // own is how many of our requests run on an agent's present incarnation.
-func (m *machine) own(k *known) int {
+func (m *machine) ownRequests(k *agentModel) int {
 	n := 0
 	for _, p := range m.pending {
 		if p.agent == k && p.Incarnation == k.state.Incarnation {
@@ -131,13 +131,13 @@
 	return n
 }
 
-func (m *machine) mayServe(q router.Request, k *known) bool {
+func (m *machine) mayServe(q router.Request, k *agentModel) bool {
 	s := k.state
-	return s.Gate != messenger.GateClosed && !s.Leaving && m.clock.Since(k.heard) <= router.DefaultStaleAfter &&
+	return s.Gate != messenger.GateClosed && !s.Leaving && m.clock.Since(k.lastContact) <= router.DefaultStaleAfter &&
 		m.bundle.Serves(nil, s.FailureDomain) && (q.Version == "" || q.Version == s.Version) && !slices.Contains(q.Avoid, s.ID)
 }
 
-func (m *machine) mustServe(t *rapid.T, q router.Request, k *known) {
+func (m *machine) mustServe(t *rapid.T, q router.Request, k *agentModel) {
 	must.NotNil(t, k)
 	must.True(t, m.mayServe(q, k), must.Sprintf("picked %+v", k))
 }
@@ -145,12 +145,12 @@
 // mustBeRefused checks that no idle replica was passed over.
 func (m *machine) mustBeRefused(t *rapid.T, q router.Request, err error) {
 	for _, k := range m.agents {
-		idle := k.state.Running < k.state.Limit && k.since == 0 && m.own(k) == 0 && m.clock.Now().After(k.failed)
+		idle := k.state.Running < k.state.Limit && k.startedSince == 0 && m.ownRequests(k) == 0 && m.clock.Now().After(k.avoidedUntil)
 		must.False(t, idle && m.mayServe(q, k), must.Sprintf("%v, but %+v is idle", err, k))
 	}
 }
 
-func (m *machine) done(t *rapid.T) {
+func (m *machine) finishRequest(t *rapid.T) {
 	if len(m.pending) == 0 {
 		t.Skip("nothing runs")
 	}
@@ -165,17 +165,17 @@
 		return
 	}
 	if o != retrier.Ran {
-		k.failed = m.clock.Now().Add(10 * time.Second)
+		k.avoidedUntil = m.clock.Now().Add(10 * time.Second)
 	}
 	switch {
 	case p.reports == k.reports:
-		k.since--
+		k.startedSince--
 	case o != retrier.NotRun:
-		k.ended++
+		k.endedSince++
 	}
 }
 
-func (m *machine) wait(t *rapid.T) {
+func (m *machine) advance(t *rapid.T) {
 	d := rapid.SampledFrom([]time.Duration{time.Millisecond, 50 * time.Millisecond, time.Second}).Draw(t, "wait")
 	m.clock.SetTime(m.clock.Now().Add(d))
 }
@@ -188,7 +188,7 @@
 	case 1:
 		m.remove(t)
 	case 2, 3:
-		m.roll(t)
+		m.changeBundle(t)
 	}
 }
 
@@ -206,10 +206,10 @@
 	rapid.Check(t, func(t *rapid.T) {
 		b := bundleWith(1, "")
 		r, c := newRouter(b)
-		m := &machine{router: r, clock: c, bundle: b, agents: map[string]*known{}}
+		m := &machine{router: r, clock: c, bundle: b, agents: map[string]*agentModel{}}
 		t.Repeat(map[string]func(*rapid.T){
-			"report": m.report, "report again": m.report, "report once more": m.report, "pick": m.pick, "pick again": m.pick,
-			"pick once more": m.pick, "done": m.done, "done again": m.done, "wait": m.wait, "disturb": m.disturb,
+			"report": m.reportAgent, "report again": m.reportAgent, "report once more": m.reportAgent, "pick": m.pick, "pick again": m.pick,
+			"pick once more": m.pick, "done": m.finishRequest, "done again": m.finishRequest, "wait": m.advance, "disturb": m.disturb,
 		})
 		for _, p := range m.pending {
 			p.Done(retrier.Ran)
--- a/internal/router/heard_list.go
+++ b/internal/router/heard_list.go
@@ -2,36 +2,36 @@
 
 // heardList holds replicas in the order in which they were last heard, oldest
 // first.
-type heardList struct {
+type contactList struct {
 	first, last *replica
 }
 
-func (l *heardList) push(p *replica) {
-	p.list = l
-	p.before = l.last
-	p.after = nil
+func (l *contactList) push(p *replica) {
+	p.contacts = l
+	p.prev = l.last
+	p.next = nil
 	if l.last == nil {
 		l.first = p
 	} else {
-		l.last.after = p
+		l.last.next = p
 	}
 	l.last = p
 }
 
 // remove takes p out; a nil list has nothing to remove.
-func (l *heardList) remove(p *replica) {
+func (l *contactList) remove(p *replica) {
 	if l == nil {
 		return
 	}
-	if p.before == nil {
-		l.first = p.after
+	if p.prev == nil {
+		l.first = p.next
 	} else {
-		p.before.after = p.after
+		p.prev.next = p.next
 	}
-	if p.after == nil {
-		l.last = p.before
+	if p.next == nil {
+		l.last = p.prev
 	} else {
-		p.after.before = p.before
+		p.next.prev = p.prev
 	}
-	p.list, p.before, p.after = nil, nil, nil
+	p.contacts, p.prev, p.next = nil, nil, nil
 }
--- a/internal/router/index.go
+++ b/internal/router/index.go
@@ -37,7 +37,7 @@
 }
 
 // serves tells whether the bundle wants new work on an agent for what it holds.
-func (x *index) serves(s messenger.AgentState) bool {
+func (x *index) allowsWork(s messenger.AgentState) bool {
 	if s.Kind == messenger.KindService {
 		v := x.services[s.Service]
 		return v != nil && x.bundle.Serves(v.FailureDomains, s.FailureDomain)
@@ -47,13 +47,13 @@
 }
 
 // current tells whether an agent holds the very weights that the bundle names.
-func (x *index) current(s messenger.AgentState) bool {
+func (x *index) holdsAnnouncedWeights(s messenger.AgentState) bool {
 	m := x.models[s.Model]
 	return s.Kind == messenger.KindService || m != nil && m.Manifest == s.Manifest
 }
 
 // check finds the pool for a request, or says why it has none.
-func (x *index) check(q Request) (poolKey, error) {
+func (x *index) poolFor(q Request) (poolKey, error) {
 	w := x.workspaces[q.Workspace]
 	if w == nil {
 		return poolKey{}, &UnknownWorkspaceError{Workspace: q.Workspace}
@@ -71,7 +71,7 @@
 	if !slices.Contains(w.Services, q.Service) {
 		return poolKey{}, &NotAllowedError{Workspace: w.Name, Name: q.Service}
 	}
-	return keyFor("", q.Service), nil
+	return poolKeyFor("", q.Service), nil
 }
 
 func (x *index) checkModel(w *bundler.Workspace, q Request) (poolKey, error) {
@@ -82,9 +82,9 @@
 	if !slices.Contains(w.Models, q.Model) {
 		return poolKey{}, &NotAllowedError{Workspace: w.Name, Name: q.Model}
 	}
-	named := func(a bundler.Adapter) bool { return a.Name == q.Adapter }
-	if q.Adapter != "" && !slices.ContainsFunc(m.Adapters, named) {
+	matches := func(a bundler.Adapter) bool { return a.Name == q.Adapter }
+	if q.Adapter != "" && !slices.ContainsFunc(m.Adapters, matches) {
 		return poolKey{}, &UnknownModelError{Model: q.Model, Adapter: q.Adapter}
 	}
-	return keyFor(q.Model, ""), nil
+	return poolKeyFor(q.Model, ""), nil
 }
--- a/internal/router/list.go
+++ b/internal/router/list.go
@@ -2,25 +2,25 @@
 
 // list holds replicas in no order; each is in at most one. A nil list holds
 // nothing.
-type list []*replica
+type replicaList []*replica
 
-func (l *list) add(p *replica) {
+func (l *replicaList) add(p *replica) {
 	if l == nil {
 		return
 	}
-	p.in, p.at = l, len(*l)
+	p.candidates, p.candidateIndex = l, len(*l)
 	*l = append(*l, p)
 }
 
-func (l *list) remove(p *replica) {
+func (l *replicaList) remove(p *replica) {
 	if l == nil {
 		return
 	}
 	end := len(*l) - 1
 	last := (*l)[end]
-	(*l)[p.at] = last
-	last.at = p.at
+	(*l)[p.candidateIndex] = last
+	last.candidateIndex = p.candidateIndex
 	(*l)[end] = nil
 	*l = (*l)[:end]
-	p.in = nil
+	p.candidates = nil
 }
--- a/internal/router/model_entry_test.go
+++ b/internal/router/model_entry_test.go
@@ -14,15 +14,15 @@
 )
 
 // server is an entry of either kind.
-type server interface {
-	ask(c *call)
+type simulatedEntry interface {
+	submit(c *call)
 	setBundle(b *bundler.Bundle)
 }
 
 // entry is the real router, limiter and retrier in virtual time.
 type entry struct {
 	id      string
-	world   *world
+	sim   *simulation
 	router  *router.Router
 	limiter *limiter.Limiter
 	queue   *limiter.Queue
@@ -30,30 +30,30 @@
 	waiting []*call
 }
 
-func (w *world) newEntries(n int, b *bundler.Bundle) []server {
-	var servers []server
+func (w *simulation) newEntries(n int, b *bundler.Bundle) []simulatedEntry {
+	var servers []simulatedEntry
 	var ids []string
 	for i := range n {
 		ids = append(ids, fmt.Sprintf("e%d", i))
 	}
 	for i := range n {
-		at := w.upstreams[i%3].state
-		source := func(k uint64) *rand.Rand { return rand.New(rand.NewPCG(uint64(i), k)) }
+		near := w.upstreams[i%3].state
+		randomSource := func(k uint64) *rand.Rand { return rand.New(rand.NewPCG(uint64(i), k)) }
 		e := &entry{
 			id:      ids[i],
-			world:   w,
-			router:  &router.Router{FailureDomain: at.FailureDomain, Region: at.Region, Clock: w.clock, Random: source(1)},
-			limiter: &limiter.Limiter{Clock: w.clock, Entries: func() int { return n }, Random: source(2)},
-			queue:   &limiter.Queue{Clock: w.clock, Random: source(3)},
-			policy:  &retrier.Policy{Budget: &retrier.Budget{Clock: w.clock}, Random: source(4)},
+			sim:   w,
+			router:  &router.Router{FailureDomain: near.FailureDomain, Region: near.Region, Clock: w.clock, Random: randomSource(1)},
+			limiter: &limiter.Limiter{Clock: w.clock, Entries: func() int { return n }, Random: randomSource(2)},
+			queue:   &limiter.Queue{Clock: w.clock, Random: randomSource(3)},
+			policy:  &retrier.Policy{Budget: &retrier.Budget{Clock: w.clock}, Random: randomSource(4)},
 		}
 		e.router.SetEntries(ids[i], ids)
 		e.setBundle(b)
 		for _, u := range w.upstreams {
-			e.listen(u)
+			e.receiveReports(u)
 		}
 		servers = append(servers, e)
-		e.tell(servers)
+		e.exchangeDemand(servers)
 	}
 	return servers
 }
@@ -65,14 +65,14 @@
 
 // tell lets the entries made before know each second what is asked of this one,
 // and the other way round.
-func (e *entry) tell(others []server) {
+func (e *entry) exchangeDemand(others []simulatedEntry) {
 	for _, o := range others {
 		if o := o.(*entry); o != e {
-			o.router.HearDemand(e.id, e.demand())
-			e.router.HearDemand(o.id, o.demand())
+			o.router.ReceiveDemand(e.id, e.demand())
+			e.router.ReceiveDemand(o.id, o.demand())
 		}
 	}
-	e.world.after(time.Second, func() { e.tell(others) })
+	e.sim.after(time.Second, func() { e.exchangeDemand(others) })
 }
 
 func (e *entry) demand() map[string]int {
@@ -81,90 +81,90 @@
 }
 
 // listen hears an agent's reports, late and with one in twenty lost.
-func (e *entry) listen(u *upstream) {
-	w := e.world
+func (e *entry) receiveReports(u *upstream) {
+	w := e.sim
 	s := u.report()
 	if w.random.IntN(20) > 0 {
 		w.after(reportLag, func() {
 			e.router.Report(s)
-			for e.next() {
+			for e.dispatchNext() {
 			}
 		})
 	}
-	w.after(reportEvery, func() { e.listen(u) })
+	w.after(reportEvery, func() { e.receiveReports(u) })
 }
 
-func (e *entry) ask(c *call) {
+func (e *entry) submit(c *call) {
 	t, err := e.limiter.Admit(c.workspace, 0, 0)
 	if err != nil {
-		e.world.refuse(c, time.Second)
+		e.sim.refuse(c, time.Second)
 		return
 	}
 	c.ticket = t
 	e.policy.Budget.First()
-	if !e.try(c) {
-		e.wait(c)
+	if !e.dispatch(c) {
+		e.enqueue(c)
 	}
 }
 
 // try sends the call to a replica if there is one with room.
-func (e *entry) try(c *call) bool {
+func (e *entry) dispatch(c *call) bool {
 	choice, err := e.router.Pick(router.Request{Workspace: c.workspace, Model: "rota", Prompt: c.prompt, Avoid: c.avoid})
 	if err != nil {
 		return false
 	}
 	c.number++
-	at := slices.IndexFunc(e.world.upstreams, func(u *upstream) bool { return u.state.ID == choice.AgentID })
-	u := e.world.upstreams[at]
-	e.world.after(link, func() {
+	i := slices.IndexFunc(e.sim.upstreams, func(u *upstream) bool { return u.state.ID == choice.AgentID })
+	u := e.sim.upstreams[i]
+	e.sim.after(linkLatency, func() {
 		u.serve(c, func(o retrier.Outcome) {
 			choice.Done(o)
 			e.router.Report(u.report())
-			e.ended(c, choice, o)
+			e.attemptEnded(c, choice, o)
 		})
 	})
 	return true
 }
 
-func (e *entry) ended(c *call, choice *router.Choice, o retrier.Outcome) {
+func (e *entry) attemptEnded(c *call, choice *router.Choice, o retrier.Outcome) {
 	if o == retrier.Ran {
 		e.queue.Finished(1)
-		e.end(c, true)
-		e.next()
+		e.finishCall(c, true)
+		e.dispatchNext()
 		return
 	}
-	now := e.world.clock.Now()
+	now := e.sim.clock.Now()
 	d := e.policy.Decide(retrier.Attempt{Outcome: o, Earlier: c.earlier, Number: c.number, Now: now, Deadline: c.deadline})
 	c.earlier = d.Final
 	c.avoid = append(c.avoid, choice.AgentID)
 	if d.Final == retrier.Unknown {
-		e.end(c, false)
+		e.finishCall(c, false)
 		return
 	}
-	e.world.after(d.Delay, func() {
-		if !d.Retry || !e.try(c) {
+	e.sim.after(d.Delay, func() {
+		if !d.Retry || !e.dispatch(c) {
 			c.avoid, c.number = nil, 1
-			e.wait(c)
+			e.enqueue(c)
 		}
 	})
 }
 
-func (e *entry) end(c *call, ok bool) {
+func (e *entry) finishCall(c *call, ok bool) {
 	c.ticket.Done()
-	e.world.finish(c, ok)
+	e.sim.finish(c, ok)
 }
 
-func (e *entry) wait(c *call) {
+func (e *entry) enqueue(c *call) {
 	w, err := e.queue.Join(limiter.Item{Workspace: c.workspace, Deadline: c.deadline.Add(-2 * meanRun), Again: c.number > 0})
-	e.waits(c, w, err)
-	e.drop()
+	e.recordWaiter(c, w, err)
+	e.removeShed()
 }
 
 // waits notes a waiter or the refusal to have it.
-func (e *entry) waits(c *call, w *limiter.Waiter, err error) {
+func (e *entry) recordWaiter(c *call, w *limiter.Waiter, err error) {
 	if s, shed := errors.AsType[*limiter.ShedError](err); shed {
 		c.ticket.Done()
-		e.world.refuse(c, s.RetryAfter)
+		e.sim.refuse(c, s.RetryAfter)
 		return
 	}
 	c.waiter = w
@@ -172,11 +172,11 @@
 }
 
 // drop answers the callers whose waiters were shed.
-func (e *entry) drop() {
+func (e *entry) removeShed() {
 	e.waiting = slices.DeleteFunc(e.waiting, func(c *call) bool {
 		select {
 		case <-c.waiter.Ready():
-			e.waits(c, nil, c.waiter.Err())
+			e.recordWaiter(c, nil, c.waiter.Err())
 			return true
 		default:
 			return false
@@ -185,38 +185,38 @@
 }
 
 // next gives the first waiter a place, if there is one, and tells whether to go on.
-func (e *entry) next() bool {
+func (e *entry) dispatchNext() bool {
 	w := e.queue.Next()
-	at := slices.IndexFunc(e.waiting, func(c *call) bool { return c.waiter == w })
+	i := slices.IndexFunc(e.waiting, func(c *call) bool { return c.waiter == w })
 	if w == nil {
-		e.drop()
+		e.removeShed()
 		return false
 	}
-	c := e.waiting[at]
-	e.waiting = slices.Delete(e.waiting, at, at+1)
-	e.drop()
-	if e.try(c) {
+	c := e.waiting[i]
+	e.waiting = slices.Delete(e.waiting, i, i+1)
+	e.removeShed()
+	if e.dispatch(c) {
 		return true
 	}
 	again, err := e.queue.Return(w)
-	e.waits(c, again, err)
+	e.recordWaiter(c, again, err)
 	return false
 }
 
 // naive goes round robin over what its list shows and retries at once whatever
 // went wrong.
-type naive struct {
-	world  *world
+type naiveEntry struct {
+	sim  *simulation
 	bundle *bundler.Bundle
 	turn   int
 }
 
-func (n *naive) setBundle(b *bundler.Bundle) {
-	n.world.after(4*time.Second, func() { n.bundle = b })
+func (n *naiveEntry) setBundle(b *bundler.Bundle) {
+	n.sim.after(4*time.Second, func() { n.bundle = b })
 }
 
-func (n *naive) ask(c *call) {
-	w := n.world
+func (n *naiveEntry) submit(c *call) {
+	w := n.sim
 	for {
 		n.turn++
 		u := w.upstreams[n.turn%len(w.upstreams)]
@@ -224,18 +224,18 @@
 			continue
 		}
 		c.number++
-		w.after(link, func() { u.serve(c, func(o retrier.Outcome) { n.ended(c, o) }) })
+		w.after(linkLatency, func() { u.serve(c, func(o retrier.Outcome) { n.attemptEnded(c, o) }) })
 		return
 	}
 }
 
-func (n *naive) ended(c *call, o retrier.Outcome) {
+func (n *naiveEntry) attemptEnded(c *call, o retrier.Outcome) {
 	switch {
 	case o == retrier.Ran:
-		n.world.finish(c, true)
+		n.sim.finish(c, true)
 	case c.number < 4:
-		n.ask(c)
+		n.submit(c)
 	default:
-		n.world.finish(c, false)
+		n.sim.finish(c, false)
 	}
 }
--- a/internal/router/model_test.go
+++ b/internal/router/model_test.go
@@ -15,7 +15,7 @@
 )
 
 const (
-	link        = time.Millisecond
+	linkLatency        = time.Millisecond
 	reportEvery = 250 * time.Millisecond
 	reportLag   = 15 * time.Millisecond
 	downFor     = 5 * time.Second
@@ -26,14 +26,14 @@
 // event is something that happens at a virtual time.
 type event struct {
 	at time.Time
-	do func()
+	action func()
 }
 
 // world is virtual time, a table of upstreams and what came of the requests.
-type world struct {
+type simulation struct {
 	clock     *clocktesting.FakePassiveClock
 	random    *rand.Rand
-	agenda    []event
+	events    []event
 	upstreams []*upstream
 	gated     bool
 	// retry lets a refused caller come back, and tells whether it will.
@@ -44,51 +44,51 @@
 // tally is what came of the requests of one or more worlds.
 type tally struct {
 	served, refused, lost, attempts, wasted int
-	worstCold, fell                         int
+	worstCold, crashes                         int
 	latency                                 []time.Duration
 	servedOf, askedOf                       map[string]int
 	lastInDomain                            time.Duration
 }
 
-func newWorld(gated bool, seed uint64, t *tally) *world {
-	w := &world{clock: clocktesting.NewFakePassiveClock(epoch), random: rand.New(rand.NewPCG(seed, 7)), gated: gated, tally: t}
+func newSimulation(gated bool, seed uint64, t *tally) *simulation {
+	w := &simulation{clock: clocktesting.NewFakePassiveClock(epoch), random: rand.New(rand.NewPCG(seed, 7)), gated: gated, tally: t}
 	for i := range 12 {
 		s := engine(i, []string{"north", "south", "east"}[i%3])
-		w.upstreams = append(w.upstreams, &upstream{world: w, state: s})
+		w.upstreams = append(w.upstreams, &upstream{sim: w, state: s})
 	}
 	return w
 }
 
-func (w *world) after(d time.Duration, do func()) {
+func (w *simulation) after(d time.Duration, action func()) {
 	at := w.clock.Now().Add(d)
-	i, _ := slices.BinarySearchFunc(w.agenda, at, func(e event, at time.Time) int {
+	i, _ := slices.BinarySearchFunc(w.events, at, func(e event, at time.Time) int {
 		if e.at.After(at) {
 			return 1
 		}
 		return -1
 	})
-	w.agenda = slices.Insert(w.agenda, i, event{at, do})
+	w.events = slices.Insert(w.events, i, event{at, action})
 }
 
-func (w *world) run(until time.Duration) {
-	for len(w.agenda) > 0 && w.agenda[0].at.Sub(epoch) < until {
-		e := w.agenda[0]
-		w.agenda = w.agenda[1:]
+func (w *simulation) run(until time.Duration) {
+	for len(w.events) > 0 && w.events[0].at.Sub(epoch) < until {
+		e := w.events[0]
+		w.events = w.events[1:]
 		w.clock.SetTime(e.at)
-		e.do()
+		e.action()
 	}
 }
 
 // arrivals is a Poisson stream of requests, at a rate that depends on the time.
-func (w *world) arrivals(rate func(time.Duration) float64, until time.Duration, ask func()) {
-	at := w.clock.Since(epoch)
-	if at >= until {
+func (w *simulation) arrivals(rate func(time.Duration) float64, until time.Duration, submit func()) {
+	elapsed := w.clock.Since(epoch)
+	if elapsed >= until {
 		return
 	}
-	gap := time.Duration(w.random.ExpFloat64() / rate(at) * float64(time.Second))
+	gap := time.Duration(w.random.ExpFloat64() / rate(elapsed) * float64(time.Second))
 	w.after(gap, func() {
-		ask()
-		w.arrivals(rate, until, ask)
+		submit()
+		w.arrivals(rate, until, submit)
 	})
 }
 
@@ -104,20 +104,20 @@
 	waiter            *limiter.Waiter
 }
 
-func (w *world) newCall(workspace string) *call {
+func (w *simulation) newCall(workspace string) *call {
 	now := w.clock.Now()
 	length := meanRun/2 + time.Duration(w.random.ExpFloat64()*float64(meanRun/2))
 	prompt := fmt.Sprintf("%s purpose %d", workspace, w.random.IntN(4))
 	return &call{workspace: workspace, prompt: prompt, arrived: now, deadline: now.Add(8 * time.Second), length: length}
 }
 
-func (w *world) refuse(c *call, after time.Duration) {
+func (w *simulation) refuse(c *call, after time.Duration) {
 	if w.retry == nil || !w.retry(c, after) {
 		w.refused++
 	}
 }
 
-func (w *world) finish(c *call, ok bool) {
+func (w *simulation) finish(c *call, ok bool) {
 	switch {
 	case !ok:
 		w.lost++
@@ -134,7 +134,7 @@
 
 // upstream is an engine; when the world is gated, with an agent's gate before it.
 type upstream struct {
-	world                *world
+	sim                *simulation
 	state                messenger.AgentState
 	running, restarts    int
 	downUntil, coldUntil time.Time
@@ -152,7 +152,7 @@
 	s := &u.state
 	s.Sequence++
 	s.Limit, s.Running, s.Gate = fullLimit, u.running, messenger.GateOpen
-	if u.world.clock.Now().Before(u.coldUntil) {
+	if u.sim.clock.Now().Before(u.coldUntil) {
 		s.Limit, s.Gate = coldLimit, messenger.GateCold
 	}
 	if u.drained {
@@ -163,12 +163,12 @@
 
 // serve runs a call and tells the outcome; without a gate too much makes the
 // engine fall over.
-func (u *upstream) serve(c *call, done func(retrier.Outcome)) {
-	w := u.world
+func (u *upstream) serve(c *call, reply func(retrier.Outcome)) {
+	w := u.sim
 	w.attempts++
 	s := u.report()
 	if w.clock.Now().Before(u.downUntil) || w.gated && (u.drained || u.running >= s.Limit) {
-		w.after(link, func() { done(retrier.NotRun) })
+		w.after(linkLatency, func() { reply(retrier.NotRun) })
 		return
 	}
 	u.running++
@@ -177,31 +177,31 @@
 		w.worstCold = max(w.worstCold, u.running)
 	}
 	if u.running > s.Limit && (s.Limit == coldLimit || u.running > fullLimit+4) {
-		u.fall()
+		u.crash()
 	}
-	start := u.restarts
+	restartsBefore := u.restarts
 	w.after(c.length, func() {
-		if u.restarts != start {
-			done(retrier.Unknown)
+		if u.restarts != restartsBefore {
+			reply(retrier.Unknown)
 			return
 		}
 		u.running--
-		w.after(link, func() { done(retrier.Ran) })
+		w.after(linkLatency, func() { reply(retrier.Ran) })
 	})
 }
 
 // fall cuts all that runs; the engine comes back cold.
-func (u *upstream) fall() {
-	u.world.fell++
-	u.world.wasted += u.running
+func (u *upstream) crash() {
+	u.sim.crashes++
+	u.sim.wasted += u.running
 	u.restarts++
 	u.running = 0
-	u.downUntil = u.world.clock.Now().Add(downFor)
+	u.downUntil = u.sim.clock.Now().Add(downFor)
 	u.coldUntil = u.downUntil.Add(coldFor)
 }
 
 // setDrained tells all agents of a domain, and makes a returning one cold.
-func (w *world) setDrained(domain string, drained bool) {
+func (w *simulation) setDrained(domain string, drained bool) {
 	for _, u := range w.upstreams {
 		if u.state.FailureDomain != domain {
 			continue
--- a/internal/router/pick.go
+++ b/internal/router/pick.go
@@ -32,25 +32,25 @@
 	prefixBytes = 256
 	// boundedLoad is how far above the mean a home may be loaded and still be
 	// preferred.
-	boundedLoad = 1.5
+	maxHomeLoad = 1.5
 	// oldVersionCost is what a replica of other than the bundle's weights costs.
 	oldVersionCost = 0.05
 	// samples is how many free replicas of a tier are drawn at random.
-	samples = 2
+	samplesPerTier = 2
 )
 
 // The reasons of choices.
 const (
 	reasonHome  = "home of the prompt's prefix"
-	reasonDrawn = "less loaded of two"
-	reasonOnly  = "first that fits"
+	reasonSampled = "less loaded of two"
+	reasonScanned  = "first that fits"
 	reasonSpare = "cold and perhaps unused by other entries"
 	// reasonFailed comes last.
 	reasonFailed = "all with room failed lately"
 )
 
 // best is the cheapest candidate so far.
-type best struct {
+type candidate struct {
 	replica *replica
 	cost    float64
 	reason  string
@@ -67,7 +67,7 @@
 	if r.bundle == nil {
 		return nil, &NoBundleError{}
 	}
-	k, err := r.bundle.check(q)
+	k, err := r.bundle.poolFor(q)
 	if err != nil {
 		return nil, err
 	}
@@ -78,31 +78,31 @@
 	if l == nil {
 		return nil, &NoReplicaError{Name: k.name}
 	}
-	if l.beyondPart(r.sharers(), now) {
+	if l.exceedsShare(r.sharingEntries(), now) {
 		return nil, &FullError{Name: k.name, RetryAfter: l.retryAfter(now, r.Random)}
 	}
 	b := r.choose(l, &q, now)
 	if b.replica == nil {
-		return nil, r.none(l, k, &q, now)
+		return nil, r.noChoiceError(l, k, &q, now)
 	}
-	return r.count(l, b.replica, b.reason, now), nil
+	return r.assign(l, b.replica, b.reason, now), nil
 }
 
 // choose weighs the home of the prefix and two free replicas of each tier, and
 // looks through all that are free only when none of these will do.
-func (r *Router) choose(l *pool, q *Request, now time.Time) best {
-	var b best
+func (r *Router) choose(l *pool, q *Request, now time.Time) candidate {
+	var b candidate
 	if hash := prefixHash(q); hash != 0 {
-		r.weigh(&b, l.home(hash), q, now, reasonHome)
+		r.consider(&b, l.home(hash), q, now, reasonHome)
 	}
 	for i := range l.tiers {
 		t := &l.tiers[i]
-		for range min(samples, len(t.free)) {
-			r.weigh(&b, t.free[r.Random.IntN(len(t.free))], q, now, reasonDrawn)
+		for range min(samplesPerTier, len(t.free)) {
+			r.consider(&b, t.free[r.Random.IntN(len(t.free))], q, now, reasonSampled)
 		}
 	}
 	for i := 0; i < len(l.tiers) && b.replica == nil; i++ {
-		r.scan(&b, l.tiers[i].free, q, now, reasonOnly)
+		r.scan(&b, l.tiers[i].free, q, now, reasonScanned)
 	}
 	for i := 0; i < len(l.tiers) && b.replica == nil; i++ {
 		r.scan(&b, l.tiers[i].spare, q, now, reasonSpare)
@@ -116,27 +116,27 @@
 }
 
 // scan takes the first of a list that fits, from a random one on.
-func (r *Router) scan(b *best, l list, q *Request, now time.Time, reason string) {
+func (r *Router) scan(b *candidate, l replicaList, q *Request, now time.Time, reason string) {
 	if len(l) == 0 {
 		return
 	}
 	start := r.Random.IntN(len(l))
 	for i := 0; i < len(l) && b.replica == nil; i++ {
-		r.weigh(b, l[(start+i)%len(l)], q, now, reason)
+		r.consider(b, l[(start+i)%len(l)], q, now, reason)
 	}
 }
 
 // weigh takes p as the best if it may have the request and costs less.
-func (r *Router) weigh(b *best, p *replica, q *Request, now time.Time, reason string) {
-	if p == nil || p.in == nil || !p.serves(q) || p.refused(q, now) {
+func (r *Router) consider(b *candidate, p *replica, q *Request, now time.Time, reason string) {
+	if p == nil || p.candidates == nil || !p.serves(q) || p.likelyRefuses(q, now) {
 		return
 	}
-	if p.in == &p.tier.spare && reason != reasonSpare || now.Before(p.failedUntil) && reason != reasonFailed {
+	if p.candidates == &p.tier.spare && reason != reasonSpare || now.Before(p.failedUntil) && reason != reasonFailed {
 		return
 	}
 	c := r.cost(p, reason == reasonHome)
 	if b.replica == nil || c < b.cost {
-		*b = best{replica: p, cost: c, reason: reason}
+		*b = candidate{replica: p, cost: c, reason: reason}
 	}
 }
 
@@ -144,13 +144,13 @@
 // the link, less what a cached prefix is worth while the replica is not much
 // fuller than its tier.
 func (r *Router) cost(p *replica, home bool) float64 {
-	one := 1 / float64(p.state.Limit)
-	use := float64(p.estimate()) * one
-	c := use + one + p.tier.link
-	if !p.current {
+	perRequest := 1 / float64(p.state.Limit)
+	usage := float64(p.estimate()) * perRequest
+	c := usage + perRequest + p.tier.linkCost
+	if !p.currentWeights {
 		c += oldVersionCost
 	}
-	if home && use <= boundedLoad*p.tier.mean()+one {
+	if home && usage <= maxHomeLoad*p.tier.meanUsage()+perRequest {
 		c -= max(0, orDefault(r.AffinityGain, DefaultAffinityGain))
 	}
 	return c
@@ -158,7 +158,7 @@
 
 // count makes the choice and counts it on the replica, before any report can:
 // otherwise all requests between two reports would go to the same replica.
-func (r *Router) count(l *pool, p *replica, reason string, now time.Time) *Choice {
+func (r *Router) assign(l *pool, p *replica, reason string, now time.Time) *Choice {
 	c := &Choice{
 		AgentID:       p.state.ID,
 		Incarnation:   p.state.Incarnation,
@@ -171,17 +171,17 @@
 		replica:       p,
 		pool:          l,
 		picked:        now,
-		place:         len(p.inflight),
+		index:         len(p.inflight),
 	}
 	l.inflight++
 	p.inflight = append(p.inflight, c)
-	p.fresh++
-	p.update()
+	p.uncovered++
+	p.updateTier()
 	return c
 }
 
 // none says why nothing was chosen.
-func (r *Router) none(l *pool, k poolKey, q *Request, now time.Time) error {
+func (r *Router) noChoiceError(l *pool, k poolKey, q *Request, now time.Time) error {
 	fits := func(p *replica) bool { return p.serves(q) }
 	if slices.ContainsFunc(l.near, fits) || slices.ContainsFunc(l.far, fits) {
 		return &FullError{Name: k.name, RetryAfter: l.retryAfter(now, r.Random)}
--- a/internal/router/pool.go
+++ b/internal/router/pool.go
@@ -27,18 +27,18 @@
 
 func (k poolKey) String() string { return string(k.kind) + " " + k.name }
 
-func keyFor(model, service string) poolKey {
+func poolKeyFor(model, service string) poolKey {
 	if service != "" {
 		return poolKey{kind: messenger.KindService, name: service}
 	}
 	return poolKey{kind: messenger.KindEngine, name: model}
 }
 
-func keyOf(s messenger.AgentState) poolKey {
+func poolKeyOf(s messenger.AgentState) poolKey {
 	if s.Kind == messenger.KindService {
-		return keyFor("", s.Service)
+		return poolKeyFor("", s.Service)
 	}
-	return keyFor(s.Model, "")
+	return poolKeyFor(s.Model, "")
 }
 
 // pool holds the replicas of one model or service that may get new work.
@@ -66,19 +66,19 @@
 
 // retryAfter is when a caller refused now should come back.
 func (l *pool) retryAfter(now time.Time, random *rand.Rand) time.Duration {
-	each := l.rate.Gap(now)
-	return l.returns.Next(now, each, each, random)
+	gap := l.rate.Gap(now)
+	return l.returns.Next(now, gap, gap, random)
 }
 
 // tier is the replicas of a pool at one distance.
 type tier struct {
 	// free are those with room, spare the cold ones whose places are not this
 	// entry's but may be unused.
-	free, spare list
+	free, spare replicaList
 	// ring is the ring that the tier's replicas are on, link what the way to them
 	// costs.
 	ring *ring
-	link float64
+	linkCost float64
 	// load and limit are sums over all.
 	load, limit int
 }
@@ -86,33 +86,33 @@
 func (t *tier) add(p *replica) {
 	t.ring.add(p)
 	p.tier = t
-	p.load, p.counted = 0, 0
+	p.tierLoad, p.tierLimit = 0, 0
 }
 
 func (t *tier) remove(p *replica) {
 	t.ring.remove(p)
-	t.limit -= p.counted
-	t.load -= p.load
-	p.in.remove(p)
+	t.limit -= p.tierLimit
+	t.load -= p.tierLoad
+	p.candidates.remove(p)
 	p.tier = nil
 }
 
 // update brings the sums and the list of free ones in line with the replica.
 func (t *tier) update(p *replica) {
 	n := p.estimate()
-	t.load += n - p.load
-	t.limit += p.state.Limit - p.counted
-	p.load, p.counted = n, p.state.Limit
-	to := t.listFor(p)
-	if p.in != to {
-		p.in.remove(p)
-		to.add(p)
+	t.load += n - p.tierLoad
+	t.limit += p.state.Limit - p.tierLimit
+	p.tierLoad, p.tierLimit = n, p.state.Limit
+	target := t.listFor(p)
+	if p.candidates != target {
+		p.candidates.remove(p)
+		target.add(p)
 	}
 }
 
-func (t *tier) listFor(p *replica) *list {
+func (t *tier) listFor(p *replica) *replicaList {
 	switch {
-	case p.room() <= 0:
+	case p.freeSlots() <= 0:
 		return nil
 	case p.state.Gate == messenger.GateCold && len(p.inflight) >= p.quota:
 		return &t.spare
@@ -122,7 +122,7 @@
 }
 
 // mean is the load of the tier as a part of its limit.
-func (t *tier) mean() float64 {
+func (t *tier) meanUsage() float64 {
 	if t.limit == 0 {
 		return 0
 	}
--- a/internal/router/quota.go
+++ b/internal/router/quota.go
@@ -11,12 +11,12 @@
 // some entries route to it, two of them may come to the same part, and one of
 // them to a refusal.
 func (r *Router) quota(p *replica) int {
-	n := r.sharers()
+	n := r.sharingEntries()
 	rank := slices.Index(r.entries, r.self)
 	if n <= 1 || rank < 0 {
 		return p.state.Limit
 	}
-	turn := (uint64(rank) + p.point + p.state.Sequence) % uint64(n)
+	turn := (uint64(rank) + p.ringPoint + p.state.Sequence) % uint64(n)
 	if turn < uint64(p.state.Limit%n) {
 		return p.state.Limit/n + 1
 	}
@@ -24,7 +24,7 @@
 }
 
 // sharers is how many entries route to each replica, this one included.
-func (r *Router) sharers() int {
+func (r *Router) sharingEntries() int {
 	n := max(1, len(r.entries))
 	if r.Sharing > 0 {
 		n = min(n, r.Sharing)
--- a/internal/router/replica.go
+++ b/internal/router/replica.go
@@ -13,20 +13,20 @@
 type replica struct {
 	state messenger.AgentState
 	// gone are the incarnations before this one, latest first.
-	gone    []string
-	current bool
-	heard   time.Time
+	earlierIncarnations    []string
+	currentWeights bool
+	lastContact   time.Time
 
 	// list, before and after keep the replica's place by time heard.
-	list          *heardList
-	before, after *replica
+	contacts          *contactList
+	prev, next *replica
 
 	// tier, point, in and at are its place among the candidates: at is the index
 	// in the list it is in, if any.
 	tier  *tier
-	point uint64
-	in    *list
-	at    int
+	ringPoint uint64
+	candidates    *replicaList
+	candidateIndex    int
 	// quota is how many requests this entry may have there while it is cold.
 	quota int
 
@@ -34,27 +34,27 @@
 	inflight []*Choice
 	// covered is the time up to which the last report counts our picks; fresh is
 	// how many of inflight are later, settled how many earlier ones are done.
-	covered        time.Time
-	fresh, settled int
+	coveredUntil        time.Time
+	uncovered, coveredDone int
 
 	// refusedUntil and failedUntil are how long it is passed over.
 	refusedUntil, failedUntil time.Time
 	failures                  int
 	// load and counted are the estimate and the limit in the tier's sums.
-	load, counted int
+	tierLoad, tierLimit int
 }
 
 func newReplica(s messenger.AgentState) *replica {
-	return &replica{state: s, point: xxhash.Sum64String(s.ID)}
+	return &replica{state: s, ringPoint: xxhash.Sum64String(s.ID)}
 }
 
 // maxGone is how many earlier incarnations are remembered.
-const maxGone = 8
+const maxEarlierIncarnations = 8
 
 // succeed takes over what must outlive the incarnation before.
-func (p *replica) succeed(old *replica) {
-	p.gone = append([]string{old.state.Incarnation}, old.gone...)
-	p.gone = p.gone[:min(maxGone, len(p.gone))]
+func (p *replica) inheritFrom(old *replica) {
+	p.earlierIncarnations = append([]string{old.state.Incarnation}, old.earlierIncarnations...)
+	p.earlierIncarnations = p.earlierIncarnations[:min(maxEarlierIncarnations, len(p.earlierIncarnations))]
 }
 
 // newer tells whether a report is later than the one at hand. One of an earlier
@@ -64,25 +64,25 @@
 	if s.Incarnation == p.state.Incarnation {
 		return s.Sequence > p.state.Sequence
 	}
-	return !slices.Contains(p.gone, s.Incarnation)
+	return !slices.Contains(p.earlierIncarnations, s.Incarnation)
 }
 
 // take replaces the state by a newer report, which counts our picks up to the
 // given time.
-func (p *replica) take(s messenger.AgentState, now, covered time.Time) {
+func (p *replica) applyReport(s messenger.AgentState, now, coveredUntil time.Time) {
 	p.state = s
-	p.heard = now
-	p.covered = covered
-	p.settled = 0
-	p.fresh = 0
+	p.lastContact = now
+	p.coveredUntil = coveredUntil
+	p.coveredDone = 0
+	p.uncovered = 0
 	for _, c := range p.inflight {
-		if c.picked.After(covered) {
-			p.fresh++
+		if c.picked.After(coveredUntil) {
+			p.uncovered++
 		}
 	}
 }
 
-func (p *replica) takesWork() bool {
+func (p *replica) acceptsWork() bool {
 	return p.state.Gate != messenger.GateClosed && p.state.Gate != "" && !p.state.Leaving && p.state.Limit > 0
 }
 
@@ -90,19 +90,19 @@
 // reported, plus our picks since, less our covered ones that are done since; and
 // never less than our own.
 func (p *replica) estimate() int {
-	return max(len(p.inflight), p.state.Running+p.fresh-p.settled)
+	return max(len(p.inflight), p.state.Running+p.uncovered-p.coveredDone)
 }
 
-func (p *replica) room() int { return p.state.Limit - p.estimate() }
+func (p *replica) freeSlots() int { return p.state.Limit - p.estimate() }
 
 // update brings the tier in line with the replica's load.
-func (p *replica) update() {
+func (p *replica) updateTier() {
 	if p.tier != nil {
 		p.tier.update(p)
 	}
 }
 
-func (p *replica) unplace() {
+func (p *replica) removeFromTier() {
 	if p.tier != nil {
 		p.tier.remove(p)
 	}
@@ -126,6 +126,6 @@
 }
 
 // refused tells whether the replica would most likely refuse the request again.
-func (p *replica) refused(q *Request, now time.Time) bool {
+func (p *replica) likelyRefuses(q *Request, now time.Time) bool {
 	return now.Before(p.refusedUntil) || slices.Contains(q.Avoid, p.state.ID)
 }
--- a/internal/router/report_to.go
+++ b/internal/router/report_to.go
@@ -16,15 +16,15 @@
 func ReportTo(agentID, region string, entries []messenger.EntryState, k int) []messenger.EntryState {
 	es := slices.DeleteFunc(slices.Clone(entries), func(e messenger.EntryState) bool { return e.Leaving })
 	slices.SortFunc(es, func(a, b messenger.EntryState) int {
-		if near := cmp.Compare(far(a, region), far(b, region)); near != 0 {
-			return near
+		if byRegion := cmp.Compare(regionRank(a, region), regionRank(b, region)); byRegion != 0 {
+			return byRegion
 		}
 		return cmp.Or(cmp.Compare(weight(agentID, b.ID), weight(agentID, a.ID)), cmp.Compare(a.ID, b.ID))
 	})
 	return es[:min(k, len(es))]
 }
 
-func far(e messenger.EntryState, region string) int {
+func regionRank(e messenger.EntryState, region string) int {
 	if e.Region == region {
 		return 0
 	}
--- a/internal/router/ring.go
+++ b/internal/router/ring.go
@@ -9,25 +9,25 @@
 
 func byPoint(p *replica, point uint64) int {
 	switch {
-	case p.point < point:
+	case p.ringPoint < point:
 		return -1
-	case p.point > point:
+	case p.ringPoint > point:
 		return 1
 	}
 	return 0
 }
 
 func (g *ring) add(p *replica) {
-	at, _ := slices.BinarySearchFunc(*g, p.point, byPoint)
-	*g = slices.Insert(*g, at, p)
+	i, _ := slices.BinarySearchFunc(*g, p.ringPoint, byPoint)
+	*g = slices.Insert(*g, i, p)
 }
 
 func (g *ring) remove(p *replica) {
-	at, _ := slices.BinarySearchFunc(*g, p.point, byPoint)
-	for (*g)[at] != p {
-		at++
+	i, _ := slices.BinarySearchFunc(*g, p.ringPoint, byPoint)
+	for (*g)[i] != p {
+		i++
 	}
-	*g = slices.Delete(*g, at, at+1)
+	*g = slices.Delete(*g, i, i+1)
 }
 
 // home is the replica that a hash falls to; nil when the ring is empty.
--- a/internal/router/router.go
+++ b/internal/router/router.go
@@ -29,7 +29,7 @@
 )
 
 // forgetAfter times StaleAfter is how long a silent agent stays known.
-const forgetAfter = 20
+const forgetFactor = 20
 
 // Router knows the agents of its entry. Set the exported fields before use. It
 // is safe for concurrent use.
@@ -65,8 +65,8 @@
 	bundle   *index
 	replicas map[string]*replica
 	pools    map[poolKey]*pool
-	live     heardList
-	quiet    heardList
+	live     contactList
+	stale    contactList
 	self     string
 	entries  []string
 }
@@ -95,10 +95,10 @@
 		return false
 	}
 	if p == nil || p.state.Incarnation != s.Incarnation {
-		p = r.replace(p, s)
+		p = r.addReplica(p, s)
 	}
-	p.take(s, now, now.Add(-orDuration(r.ReportLag, DefaultReportLag)))
-	p.list.remove(p)
+	p.applyReport(s, now, now.Add(-orDuration(r.ReportLag, DefaultReportLag)))
+	p.contacts.remove(p)
 	r.live.push(p)
 	r.place(p)
 	return true
@@ -106,11 +106,11 @@
 
 // replace makes the record of a new agent or incarnation. What ran under the old
 // one is over: its choices count no more.
-func (r *Router) replace(old *replica, s messenger.AgentState) *replica {
+func (r *Router) addReplica(old *replica, s messenger.AgentState) *replica {
 	p := newReplica(s)
 	if old != nil {
-		p.succeed(old)
-		r.drop(old)
+		p.inheritFrom(old)
+		r.removeReplica(old)
 	}
 	if r.replicas == nil {
 		r.replicas = map[string]*replica{}
@@ -125,13 +125,13 @@
 	r.mu.Lock()
 	defer r.mu.Unlock()
 	if p := r.replicas[id]; p != nil {
-		r.drop(p)
+		r.removeReplica(p)
 	}
 }
 
-func (r *Router) drop(p *replica) {
-	p.list.remove(p)
-	p.unplace()
+func (r *Router) removeReplica(p *replica) {
+	p.contacts.remove(p)
+	p.removeFromTier()
 	delete(r.replicas, p.state.ID)
 }
 
@@ -141,7 +141,7 @@
 	defer r.mu.Unlock()
 	r.sweep(r.Clock.Now())
 	states := make([]messenger.AgentState, 0, len(r.replicas))
-	for p := r.live.first; p != nil; p = p.after {
+	for p := r.live.first; p != nil; p = p.next {
 		states = append(states, p.state)
 	}
 	return states
@@ -163,19 +163,19 @@
 // sweep sets agents aside that have been silent for too long. Reports are kept
 // in the order of arrival, so that each costs this only once.
 func (r *Router) sweep(now time.Time) {
-	stale := orDuration(r.StaleAfter, DefaultStaleAfter)
-	for p := r.live.first; p != nil && now.Sub(p.heard) > stale; p = r.live.first {
+	staleAfter := orDuration(r.StaleAfter, DefaultStaleAfter)
+	for p := r.live.first; p != nil && now.Sub(p.lastContact) > staleAfter; p = r.live.first {
 		r.live.remove(p)
-		r.quiet.push(p)
-		p.unplace()
+		r.stale.push(p)
+		p.removeFromTier()
 	}
-	for p := r.quiet.first; p != nil && now.Sub(p.heard) > forgetAfter*stale; p = r.quiet.first {
-		r.drop(p)
+	for p := r.stale.first; p != nil && now.Sub(p.lastContact) > forgetFactor*staleAfter; p = r.stale.first {
+		r.removeReplica(p)
 	}
 }
 
 func (r *Router) placeAll() {
-	for p := r.live.first; p != nil; p = p.after {
+	for p := r.live.first; p != nil; p = p.next {
 		r.place(p)
 	}
 }
@@ -183,15 +183,15 @@
 // place puts a live replica where Pick finds it, according to its state. Most
 // reports only change its load, which leaves it on the same ring.
 func (r *Router) place(p *replica) {
-	if r.bundle == nil || !p.takesWork() || !r.bundle.serves(p.state) {
-		p.unplace()
+	if r.bundle == nil || !p.acceptsWork() || !r.bundle.allowsWork(p.state) {
+		p.removeFromTier()
 		return
 	}
-	p.current = r.bundle.current(p.state)
+	p.currentWeights = r.bundle.holdsAnnouncedWeights(p.state)
 	p.quota = r.quota(p)
-	t := &r.pool(keyOf(p.state)).tiers[r.distance(p.state)]
+	t := &r.pool(poolKeyOf(p.state)).tiers[r.distance(p.state)]
 	if p.tier != t {
-		p.unplace()
+		p.removeFromTier()
 		t.add(p)
 	}
 	t.update(p)
@@ -207,10 +207,10 @@
 }
 
 func (r *Router) newPool() *pool {
-	l := &pool{parts: limiter.Parts{Even: evenPart}}
+	l := &pool{parts: limiter.Parts{Even: evenShare}}
 	l.tiers[sameDomain] = tier{ring: &l.near}
-	l.tiers[sameRegion] = tier{ring: &l.near, link: orDefault(r.DomainCost, DefaultDomainCost)}
-	l.tiers[otherRegion] = tier{ring: &l.far, link: orDefault(r.RegionCost, DefaultRegionCost)}
+	l.tiers[sameRegion] = tier{ring: &l.near, linkCost: orDefault(r.DomainCost, DefaultDomainCost)}
+	l.tiers[otherRegion] = tier{ring: &l.far, linkCost: orDefault(r.RegionCost, DefaultRegionCost)}
 	return l
 }
 
--- a/internal/router/router_test.go
+++ b/internal/router/router_test.go
@@ -52,22 +52,22 @@
 	}
 }
 
-var ask = router.Request{Workspace: "farm", Model: "rota"}
+var modelRequest = router.Request{Workspace: "farm", Model: "rota"}
 
 func TestPickNearestWithRoom(t *testing.T) {
 	r, _ := newRouter(threeDomains())
 	r.Report(engine(1, "north"))
 	r.Report(engine(2, "east"))
-	c, err := r.Pick(ask)
+	c, err := r.Pick(modelRequest)
 	must.NoError(t, err)
 	must.EqOp(t, "vm-1", c.AgentID)
 	c.Done(retrier.Ran)
 	c.Done(retrier.Ran)
 	for range 8 {
-		_, err = r.Pick(ask)
+		_, err = r.Pick(modelRequest)
 		must.NoError(t, err)
 	}
-	_, err = r.Pick(ask)
+	_, err = r.Pick(modelRequest)
 	e := wantError[*router.FullError](t, err)
 	must.Positive(t, e.RetryAfter)
 }
