--- a/internal/gossiper/alarms.go
+++ b/internal/gossiper/alarms.go
@@ -6,7 +6,7 @@
 	"time"
 )
 
-// AlarmKind names a kind of alarm in logs, metrics and status output.
+// AlarmKind is the name of an alarm in logs, metrics and status output.
 type AlarmKind string
 
 // The kinds of alarm.
@@ -17,18 +17,18 @@
 	AlarmBadRecord  AlarmKind = "badRecord"
 )
 
-// Alarm is something that must not happen in a sound deployment and that an
-// operator has to look into.
+// Alarm counts one kind of fault that never occurs in a sound deployment and
+// needs an operator's attention.
 type Alarm struct {
 	Kind AlarmKind
-	// Err is the last error of the kind.
+	// Err is the latest error of the kind.
 	Err error
-	// Count is how often it happened, Last when it last did.
+	// Count is the number of occurrences, Last the time of the latest.
 	Count int
 	Last  time.Time
 }
 
-// Alarms lists what was counted since the start, by kind.
+// Alarms returns the alarms since the start, sorted by kind.
 func (s *State) Alarms() []Alarm {
 	s.mu.Lock()
 	defer s.mu.Unlock()
@@ -40,7 +40,7 @@
 	return list
 }
 
-// alarm counts the error and gives it back.
+// raiseAlarm counts the error and returns it.
 func (s *State) raiseAlarm(err error) error {
 	if s.alarms == nil {
 		s.alarms = map[AlarmKind]*Alarm{}
--- a/internal/gossiper/controlcost_test.go
+++ b/internal/gossiper/controlcost_test.go
@@ -103,11 +103,11 @@
 
 // deployment is a set of real processes; the daemons come entries first.
 type deployment struct {
-	b       *testing.B
-	bin     string
-	ports   []netip.AddrPort
+	b        *testing.B
+	bin      string
+	ports    []netip.AddrPort
 	standIns []*exec.Cmd
-	daemons []*exec.Cmd
+	daemons  []*exec.Cmd
 }
 
 func freePorts(b *testing.B, n int) []netip.AddrPort {
--- a/internal/gossiper/cutoff_test.go
+++ b/internal/gossiper/cutoff_test.go
@@ -11,7 +11,7 @@
 	name string
 	// storeDown takes the store away from all; cut and lost are the region that
 	// is cut off from the others, or gone; -1 for none.
-	storeDown bool
+	storeDown             bool
 	cutRegion, lostRegion int
 	// drain has operators beside the store accept a bundle one minute in.
 	drain bool
--- a/internal/gossiper/errors.go
+++ b/internal/gossiper/errors.go
@@ -5,22 +5,22 @@
 	"time"
 )
 
-// NoBundleError reports a process that has no bundle yet and so serves nothing.
+// NoBundleError reports a process without a bundle, which refuses all work.
 type NoBundleError struct{}
 
 func (e *NoBundleError) Error() string { return "no bundle is known yet" }
 
-// StaleError reports a process that has not heard for too long that its bundle
-// is still the newest: a newer one may have taken its work away.
+// StaleError reports that the bundle was not confirmed as the newest for too
+// long: a newer one may have moved the work elsewhere.
 type StaleError struct {
 	Revision uint64
-	// Age is how long ago the store confirmed Revision as the newest; negative
-	// when that was never heard.
+	// Age is the time since the store confirmed Revision as the newest; negative if
+	// it never did.
 	Age time.Duration
 	// Limit is State.FreshFor.
 	Limit time.Duration
-	// Known is the highest revision heard of. Above Revision, the process knows
-	// that it is behind.
+	// Known is the highest known revision. If it is above Revision, the process is
+	// certainly behind.
 	Known uint64
 }
 
@@ -34,8 +34,8 @@
 	return fmt.Sprintf("revision %d was last confirmed %v ago, over the limit of %v", e.Revision, e.Age, e.Limit)
 }
 
-// RolledBackError reports a store that holds a lower revision than one accepted
-// earlier: it was restored from an old copy.
+// RolledBackError reports that the store holds a lower revision than one
+// accepted earlier: it was restored from an old copy.
 type RolledBackError struct {
 	Held, Found uint64
 }
@@ -44,7 +44,7 @@
 	return fmt.Sprintf("the store holds revision %d, but %d was accepted before: it was rolled back", e.Found, e.Held)
 }
 
-// EmptyStoreError reports a store without a bundle, though one was accepted.
+// EmptyStoreError reports a store without a bundle although one was accepted.
 type EmptyStoreError struct {
 	Held uint64
 }
@@ -53,7 +53,7 @@
 	return fmt.Sprintf("the store holds no bundle, but revision %d was accepted before", e.Held)
 }
 
-// ForkError reports two different bundles of one revision.
+// ForkError reports two different bundles with the same revision.
 type ForkError struct {
 	Revision    uint64
 	Held, Found string
@@ -65,7 +65,7 @@
 
 // BadRecordError reports a record that is corrupt or lacks sign-offs.
 type BadRecordError struct {
-	// Digest is that of the record's payload; empty when there was none.
+	// Digest is that of the record's payload; empty if it could not be decoded.
 	Digest string
 	Err    error
 }
--- a/internal/gossiper/exchanger.go
+++ b/internal/gossiper/exchanger.go
@@ -20,38 +20,38 @@
 const (
 	DefaultEvery  = 600 * time.Millisecond
 	DefaultFanout = 3
-	// DefaultSpread is small against the aim of two seconds for a change.
+	// DefaultSpread is small compared with the goal of two seconds for a change.
 	DefaultSpread = 100 * time.Millisecond
-	// urgency is how much more often entries exchange while no confirmation is
-	// young: they then have to find out from each other whether the store is out
-	// before the last one lapses.
+	// urgentFactor is how much more often entries exchange when the latest
+	// confirmation is old: they have to establish whether the store is down before
+	// that confirmation expires.
 	urgentFactor = 5
-	// minRelays keeps today's deployments, of three entries a region, independent
-	// of which of them fails.
+	// minRelays keeps deployments with three entries per region independent of which
+	// of them fails.
 	minRelays = 3
 )
 
-// Exchanger keeps an entry level with the others: it tells a few of them of each
-// change at once and asks one of its region's relays all the time. It is a suture
-// service.
+// Exchanger keeps an entry's bundle in step with the other entries: it pushes
+// each change to a few of them at once and polls a relay of its region
+// periodically. It is a suture service.
 type Exchanger struct {
 	State *State
 	Clock clock.Clock
-	// Self is this entry's account of itself; the word is filled in here.
+	// Self returns this entry's state; Exchanger fills in the bundle fields.
 	Self func() messenger.EntryState
-	// Peers lists the other entries that are believed alive.
+	// Peers lists the other entries that are considered alive.
 	Peers func() []messenger.EntryState
-	// Call sends one exchange to a peer and gives its answer.
+	// Call sends one exchange to a peer and returns its answer.
 	Call func(ctx context.Context, p messenger.EntryState, x messenger.Exchange) (messenger.Exchange, error)
-	// Heard, if set, gets each answer, for what it says besides the bundle.
+	// Heard, if set, receives each answer for its contents besides the bundle.
 	Heard func(x messenger.Exchange)
-	// Every is the mean pause between two exchanges while all is well.
+	// Every is the mean interval between two exchanges in normal operation.
 	Every time.Duration
-	// Fanout is how many peers of the region are told of a change at once, after a
-	// random pause of up to Spread.
+	// Fanout is the number of peers of the region that a change is pushed to, after
+	// a random delay of up to Spread.
 	Fanout int
 	Spread time.Duration
-	// Random picks peers and pauses; nil means the global source.
+	// Random picks peers and delays; nil means the global source.
 	Random *rand.Rand
 
 	mu sync.Mutex
@@ -68,15 +68,15 @@
 
 func (e *Exchanger) pollLoop(ctx context.Context) {
 	for turn := 0; ctx.Err() == nil; turn++ {
-		e.Poll(ctx, turn)
+		e.Compare(ctx, turn)
 		e.sleep(ctx, e.NextPause())
 	}
 }
 
-// Poll asks a relay, which has the youngest confirmation. If that one is gone,
-// or in every other turn while no confirmation is young, it asks anyone: the list
-// of VMs lags, and the relays might all be lost or cut off together.
-func (e *Exchanger) Poll(ctx context.Context, turn int) {
+// Compare asks a relay, which has the latest confirmation. If that fails, and in
+// every other turn while the confirmation is overdue, it asks any peer: the list
+// of VMs lags, and all relays may be lost or partitioned together.
+func (e *Exchanger) Compare(ctx context.Context, turn int) {
 	relays := e.withoutSelf(e.relays())
 	if e.State.ConfirmationOverdue() && turn%2 == 1 {
 		relays = nil
@@ -104,8 +104,8 @@
 	}
 }
 
-// Push compares with a few peers of this region and one elsewhere, or more if the
-// region is small, because of a change: regions share little bandwidth, and the
+// Push exchanges a change with a few peers of this region and one of another, or
+// more if the region is small. Bandwidth between regions is scarce, and the
 // record is long.
 func (e *Exchanger) Push(ctx context.Context) {
 	region := e.Self().Region
@@ -124,8 +124,8 @@
 	}
 }
 
-// NextPause is how long to wait before the next exchange: half of it is random, so
-// that entries started together do not stay in step.
+// NextPause returns the delay before the next exchange. Half of it is random, so
+// that entries started together don't stay synchronized.
 func (e *Exchanger) NextPause() time.Duration {
 	every := orDefault(e.Every, DefaultEvery)
 	if e.State.ConfirmationOverdue() {
@@ -134,17 +134,16 @@
 	return every/2 + e.RandomBelow(every)
 }
 
-// IsRelay tells whether this entry is one of those that ask the store on behalf
-// of its region.
+// IsRelay reports whether this entry polls the store on behalf of its region.
 func (e *Exchanger) IsRelay() bool {
 	self := e.Self().ID
 	return slices.ContainsFunc(e.relays(), func(p messenger.EntryState) bool { return p.ID == self })
 }
 
-// relays are the entries of this region that ask the store, while the others ask
-// them: a fixed choice by hash, which needs no agreement. Twice the root of their
-// number keeps the calls to the store and the load of each relay about level. An
-// entry that wrongly believes itself a relay costs some calls, nothing else.
+// relays returns the entries of this region that poll the store while the others
+// poll them, selected by hash without any agreement. A multiple of the square
+// root balances the calls to the store with the load of each relay. An entry
+// that wrongly considers itself a relay only costs some calls.
 func (e *Exchanger) relays() []messenger.EntryState {
 	self := e.Self()
 	candidates := []messenger.EntryState{self}
@@ -160,13 +159,13 @@
 	return candidates[:min(n, len(candidates))]
 }
 
-// without leaves this entry itself out.
+// withoutSelf removes this entry from the list.
 func (e *Exchanger) withoutSelf(ps []messenger.EntryState) []messenger.EntryState {
 	self := e.Self().ID
 	return slices.DeleteFunc(ps, func(p messenger.EntryState) bool { return p.ID == self })
 }
 
-// pick chooses up to n different peers at random.
+// sample returns up to n different peers at random.
 func (e *Exchanger) sample(from []messenger.EntryState, n int) []messenger.EntryState {
 	ps := slices.Clone(from)
 	e.mu.Lock()
@@ -178,9 +177,9 @@
 	return ps[:min(n, len(ps))]
 }
 
-// ExchangeWith exchanges with one peer. The record goes along only in a second call, once
-// the peer's answer has shown that it has less: most peers know a change by the
-// time they are told.
+// ExchangeWith exchanges state with one peer. The record is sent only in a
+// second call, if the peer's answer shows an older revision: most peers already
+// have a change when it is pushed to them.
 func (e *Exchanger) ExchangeWith(ctx context.Context, p messenger.EntryState) error {
 	answer, err := e.call(ctx, p, messenger.Exchange{State: e.ownState()})
 	if err != nil {
@@ -198,7 +197,7 @@
 	askedAt := e.Clock.Now()
 	answer, err := e.Call(ctx, p, x)
 	if err != nil {
-		klog.V(2).InfoS("Peer not heard", "peer", p.ID, "err", err)
+		klog.V(2).InfoS("Exchange with peer failed", "peer", p.ID, "err", err)
 		return answer, err
 	}
 	e.offerRecord(answer)
@@ -209,7 +208,7 @@
 	return answer, nil
 }
 
-// Answer is what to say to another entry's exchange.
+// Answer handles another entry's exchange and returns the reply.
 func (e *Exchanger) Answer(x messenger.Exchange) messenger.Exchange {
 	e.offerRecord(x)
 	e.State.ReceiveUnsolicited(x.State)
@@ -221,7 +220,7 @@
 		return
 	}
 	if _, err := e.State.Offer(x.Record); err != nil {
-		klog.ErrorS(err, "Record refused", "peer", x.State.ID)
+		klog.ErrorS(err, "Rejected record from peer", "peer", x.State.ID)
 	}
 }
 
@@ -248,7 +247,7 @@
 	return DefaultFanout
 }
 
-// RandomBelow picks a duration in [0, d) at random.
+// RandomBelow returns a random duration in [0, d).
 func (e *Exchanger) RandomBelow(d time.Duration) time.Duration {
 	e.mu.Lock()
 	defer e.mu.Unlock()
--- a/internal/gossiper/fleet_test.go
+++ b/internal/gossiper/fleet_test.go
@@ -29,21 +29,21 @@
 // fleet is some entries with the real watcher and exchanger over the stand-in
 // store, in virtual time.
 type fleet struct {
-	t      *testing.T
-	kv     http.Handler
-	storeLink   *storertest.Transport // everyone's link to the store
-	mu     sync.Mutex
-	nodes  []*node
-	states  []messenger.EntryState
-	random *rand.Rand
+	t         *testing.T
+	kv        http.Handler
+	storeLink *storertest.Transport // everyone's link to the store
+	mu        sync.Mutex
+	nodes     []*node
+	states    []messenger.EntryState
+	random    *rand.Rand
 }
 
 type node struct {
-	state     *gossiper.State
-	watcher   *gossiper.Watcher
-	exchanger *gossiper.Exchanger
-	partitioned       atomic.Bool // from the store and the other entries
-	stop      context.CancelFunc
+	state       *gossiper.State
+	watcher     *gossiper.Watcher
+	exchanger   *gossiper.Exchanger
+	partitioned atomic.Bool // from the store and the other entries
+	stop        context.CancelFunc
 }
 
 // inFleet runs f in virtual time over n entries that are not started yet.
--- a/internal/gossiper/model_test.go
+++ b/internal/gossiper/model_test.go
@@ -73,24 +73,24 @@
 // model is a small deployment: a store, entries and agents, with messages under
 // way, and the plain truth about what was accepted when.
 type model struct {
-	clock    *testclock.FakePassiveClock
-	keys     bundler.Keyring
-	entries  int
-	nodes    []*gossiper.State // the entries, then the agents
-	incarnations    []int             // how often each was restarted
-	highest      []uint64          // the highest revision of each one's present life
-	accepted []*bundler.Record // accepted[i] is revision i+1
+	clock         *testclock.FakePassiveClock
+	keys          bundler.Keyring
+	entries       int
+	nodes         []*gossiper.State // the entries, then the agents
+	incarnations  []int             // how often each was restarted
+	highest       []uint64          // the highest revision of each one's present life
+	accepted      []*bundler.Record // accepted[i] is revision i+1
 	acceptedAt    []time.Time       // since[i] is when revision i+1 was accepted
-	storeRevision  int               // the revision in the store
-	down     bool
-	cutStore map[int]bool
+	storeRevision int               // the revision in the store
+	down          bool
+	cutStore      map[int]bool
 	cutLinks      map[[2]int]bool
-	messages []message
+	messages      []message
 	// misled is when a rolled-back store was last asked, by the revision it gave.
 	rolledBackRead map[uint64]time.Time
 	// naive are nodes that get the same messages, take whatever bundle comes last
 	// and serve by it for ever. Their faults are counted.
-	naive                  []*bundler.Bundle
+	naive                    []*bundler.Bundle
 	naiveReverts, naiveStale int
 	// carried is when a node's confirmation came from a rolled-back store while it
 	// held a lower revision than now.
@@ -101,33 +101,33 @@
 	// lastDown is when the store was last out, spread since when more than half
 	// of the entries have held the newest revision.
 	lastDown, spreadSince time.Time
-	storeRegion      string
-	freshFor         time.Duration
+	storeRegion           string
+	freshFor              time.Duration
 }
 
 // message is an answer under way to a node in the life in which it asked.
 type message struct {
 	to, incarnation int
-	deliver  func(s *gossiper.State)
+	deliver         func(s *gossiper.State)
 	// record is what the message carries, for the naive node.
 	record *bundler.Record
 }
 
 func newModel(entries, agents int, storeRegion string) *model {
 	m := &model{
-		clock:       testclock.NewFakePassiveClock(start),
-		keys:        keyring(),
-		entries:     entries,
-		nodes:       make([]*gossiper.State, entries+agents),
-		incarnations:       make([]int, entries+agents),
-		highest:         make([]uint64, entries+agents),
-		cutStore:    map[int]bool{},
-		cutLinks:         map[[2]int]bool{},
-		naive:       make([]*bundler.Bundle, entries+agents),
-		rolledBackRead:      map[uint64]time.Time{},
-		carriedAt:     make([]time.Time, entries+agents),
-		behindSince:      make([]time.Time, entries+agents),
-		storeRegion: storeRegion,
+		clock:          testclock.NewFakePassiveClock(start),
+		keys:           keyring(),
+		entries:        entries,
+		nodes:          make([]*gossiper.State, entries+agents),
+		incarnations:   make([]int, entries+agents),
+		highest:        make([]uint64, entries+agents),
+		cutStore:       map[int]bool{},
+		cutLinks:       map[[2]int]bool{},
+		naive:          make([]*bundler.Bundle, entries+agents),
+		rolledBackRead: map[uint64]time.Time{},
+		carriedAt:      make([]time.Time, entries+agents),
+		behindSince:    make([]time.Time, entries+agents),
+		storeRegion:    storeRegion,
 	}
 	for i := range m.nodes {
 		m.restart(i)
--- a/internal/gossiper/outage.go
+++ b/internal/gossiper/outage.go
@@ -10,14 +10,14 @@
 	"github.com/oriolecroft/oriolecroft/internal/messenger"
 )
 
-// ReachableFor is how long one success counts as reaching the store. It is shorter
-// than FreshFor by enough for the entries to tell each other that the store is
-// out before their last confirmation lapses; otherwise each outage would begin
-// with a moment in which all refuse work.
+// ReachableFor is how long the store counts as reachable after a success. It is
+// shorter than FreshFor by enough for the entries to report the store's outage
+// to each other before their last confirmation expires; otherwise all would
+// briefly refuse work at the start of each outage.
 func (s *State) ReachableFor() time.Duration { return s.freshFor() * 2 / 5 }
 
-// StoreReachable tells whether this process itself lately got a sound answer
-// from the store.
+// StoreReachable reports whether this process itself recently received a valid
+// answer from the store.
 func (s *State) StoreReachable() bool {
 	s.mu.Lock()
 	defer s.mu.Unlock()
@@ -28,16 +28,16 @@
 	return !s.lastReached.IsZero() && !s.lastFailed.After(s.lastReached) && elapsed(now, s.lastReached) <= s.ReachableFor()
 }
 
-// unreachable tells whether the store lately failed this process, with no
-// success since. Not having asked is neither.
+// unreachable reports whether a recent call of this process to the store failed,
+// with no success since. Without a call the store is neither.
 func (s *State) unreachable(now time.Time) bool {
 	return s.fresh(now, s.lastFailed) && s.lastFailed.After(s.lastReached)
 }
 
-// voter is the short form of an entry's name in votes.
+// entryHash is the short form of an entry's ID in store reports.
 func entryHash(id string) uint32 { return uint32(xxhash.Sum64String(id)) }
 
-// vote keeps the youngest word of an entry on its reach of the store.
+// addReport keeps the latest report of an entry about its calls to the store.
 func (s *State) addReport(id uint32, p storeReport) {
 	if s.Entries == 0 || id == entryHash(s.ID) {
 		return
@@ -51,7 +51,7 @@
 	s.reports[id] = p
 }
 
-// hearSilence counts the votes that another entry passes on.
+// addFailures adds the store failures that another entry forwards.
 func (s *State) addFailures(v messenger.Silence, askedAt time.Time) {
 	for i, id := range v.IDs[:min(len(v.IDs), len(v.AgesMS))] {
 		failedAt := askedAt.Add(-time.Duration(v.AgesMS[i]) * time.Millisecond)
@@ -59,12 +59,12 @@
 	}
 }
 
-// outageSeen tells since when it is certain enough that the store is out rather
-// than this process cut off. An agent takes its entries' word. An entry counts:
-// more than half of the deployment's entries, itself included, asked the store
-// in vain within FreshFor, none reached it, one of them is in the store's region
-// if that is set, and nobody has a higher revision than the held one. The time
-// is that of the oldest word that is needed for the majority.
+// outageSince returns the time since which the store counts as down, as opposed
+// to this process being partitioned. An agent relies on its entries for this. An
+// entry requires that within FreshFor the calls of more than half of the
+// deployment's entries, itself included, failed and none succeeded, that one of
+// these is in the store's region if that is set, and that no higher revision is
+// known. The time is that of the oldest report needed for the majority.
 func (s *State) outageSince(now time.Time) (time.Time, bool) {
 	if s.bundle == nil || s.knownRevision > s.revision() {
 		return time.Time{}, false
@@ -75,18 +75,18 @@
 	if !s.unreachable(now) || s.inStartupGrace(now) {
 		return time.Time{}, false
 	}
-	return s.failedMajority(now)
+	return s.majorityFailedSince(now)
 }
 
-// settling holds for a while after the first bundle, if the store was not heard
-// since the start. After all entries were replaced while the store was out, the
-// first process to report may hold an older bundle than the next one, and an
-// entry that acted on it at once would send work into a drained failure domain.
+// inStartupGrace holds for FreshFor after the first bundle, until the store
+// confirms one. If all entries are replaced during an outage, the first process
+// to report may hold an older bundle than the next, and an entry that used it at
+// once would send work into a drained failure domain.
 func (s *State) inStartupGrace(now time.Time) bool {
 	return s.confirmed.IsZero() && elapsed(now, s.firstHeld) <= s.freshFor()
 }
 
-func (s *State) failedMajority(now time.Time) (time.Time, bool) {
+func (s *State) majorityFailedSince(now time.Time) (time.Time, bool) {
 	failed, reached := s.countReports(now)
 	needed := s.Entries/2 + 1
 	if reached || len(failed) < needed {
@@ -104,18 +104,17 @@
 	return earlier(since, failed[i].asOf), true
 }
 
-// votes lists the entries that lately asked the store in vain, this one first,
-// and tells whether another one reaches it. An entry that reached a store which
-// gave it less than the held revision found a rolled-back one: that is no store
-// from which something newer could come, so it counts neither way.
+// countReports returns the entries whose recent calls to the store failed, this
+// one first, and whether another one reaches it. An entry that received less
+// than the held revision reached a rolled-back store, which has no newer
+// revision to offer, so it counts neither way.
 //
-// A success counts for ReachFor after it was heard of, by when the store's answer
+// A success counts for ReachableFor after its arrival, when the store's answer
 // is at most twice that old. If it counted for FreshFor, it would outlive the
-// confirmation that it stands for: at the start of an outage an entry that did
-// not soon hear the same peer's failure would refuse work for up to ReachFor,
-// with the votes of all others in its hands. It is kept for FreshFor all the
-// same, or an older failure of that peer, passed on by a third, would take its
-// place and be counted.
+// confirmation behind it: at the start of an outage an entry that doesn't soon
+// receive that peer's failure would refuse work for up to ReachableFor despite
+// the reports of all others. It is kept for FreshFor, because otherwise an older
+// failure of that peer, forwarded by a third, would replace it and be counted.
 func (s *State) countReports(now time.Time) (failed []storeReport, reached bool) {
 	failed = []storeReport{{asOf: s.lastFailed, region: s.Region}}
 	for id, p := range s.reports {
@@ -131,9 +130,10 @@
 	return failed, false
 }
 
-// silent lists the entries known to ask the store in vain, this one included,
-// for others to count. One that knows of a revision that it does not hold gives
-// no word: others that have not heard of that one would count it for less.
+// failedEntries lists the entries whose calls to the store failed, this one
+// included, for other entries to count. It is empty if a higher revision than
+// the held one is known: entries that don't know it would count the reports for
+// a lower one.
 func (s *State) failedEntries(now time.Time) []messenger.Silence {
 	if s.Entries == 0 || !s.unreachable(now) || s.knownRevision > s.revision() {
 		return nil
@@ -161,9 +161,9 @@
 	return list
 }
 
-// ConfirmationOverdue tells whether neither a confirmation nor, while the store is out, the
-// count of those who say so is young. Entries then have to hear of each other
-// soon, or they would refuse work.
+// ConfirmationOverdue reports whether neither the confirmation nor, during an
+// outage, the majority's reports are recent. Entries then have to exchange soon,
+// or they would refuse work.
 func (s *State) ConfirmationOverdue() bool {
 	s.mu.Lock()
 	defer s.mu.Unlock()
--- a/internal/gossiper/propagation_test.go
+++ b/internal/gossiper/propagation_test.go
@@ -25,7 +25,7 @@
 
 // event is something that happens at a moment of virtual time.
 type event struct {
-	at  time.Time
+	at     time.Time
 	action func()
 }
 
@@ -58,9 +58,9 @@
 	agentsPerEntry = 32
 	entriesOfAgent = 2
 	heartbeat      = time.Second // of an agent to each of its entries
-	hopLatency            = 3 * time.Millisecond
-	lossRate           = 0.01 // share of calls and pushes that come to nothing
-	changesPerRun         = 10
+	hopLatency     = 3 * time.Millisecond
+	lossRate       = 0.01 // share of calls and pushes that come to nothing
+	changesPerRun  = 10
 )
 
 // propagation is a deployment in virtual time over the real states, watchers and
@@ -71,28 +71,28 @@
 	clock   timerlessClock
 	random  *rand.Rand
 	entries []*simulatedEntry
-	states   []messenger.EntryState
+	states  []messenger.EntryState
 	agents  []*gossiper.State
 	current *bundler.Record
 	// revision is that of current, which was accepted at since.
-	revision uint64
-	acceptedAt    time.Time
-	down     bool
-	calls    int
-	exchanges    int
+	revision   uint64
+	acceptedAt time.Time
+	down       bool
+	calls      int
+	exchanges  int
 	// records counts records read from the store, far those that entries sent
 	// each other from one region to another.
 	records, crossRegionRecords int
-	delays         []time.Duration
+	delays                      []time.Duration
 }
 
 type simulatedEntry struct {
-	state     *gossiper.State
-	watcher   *gossiper.Watcher
-	exchanger *gossiper.Exchanger
-	agents    []int
-	heldRevision      uint64
-	rearmedAt   time.Time
+	state        *gossiper.State
+	watcher      *gossiper.Watcher
+	exchanger    *gossiper.Exchanger
+	agents       []int
+	heldRevision uint64
+	rearmedAt    time.Time
 }
 
 func newPropagationSim(entries int) *propagationSim {
@@ -209,7 +209,7 @@
 }
 
 func (p *propagationSim) poll(m *simulatedEntry, turn int) {
-	m.exchanger.Poll(context.Background(), turn)
+	m.exchanger.Compare(context.Background(), turn)
 	p.spreadChange(m)
 	p.schedule(m.exchanger.NextPause(), func() { p.poll(m, turn+1) })
 }
--- a/internal/gossiper/state.go
+++ b/internal/gossiper/state.go
@@ -1,7 +1,7 @@
-// Package gossiper is what a process knows of the bundle: which revision it
-// holds, when the store last confirmed that one as the newest, and whether that
-// is fresh enough to take new work. It opens no connection; entries and agents
-// feed it what they hear.
+// Package gossiper tracks which bundle revision a process holds, when the store
+// last confirmed it as the newest, and whether that is recent enough to accept
+// new work. It opens no connections; entries and agents pass in the messages
+// they receive.
 package gossiper
 
 import (
@@ -15,25 +15,25 @@
 	"github.com/oriolecroft/oriolecroft/pkg/bundler"
 )
 
-// DefaultFreshFor is how long a confirmation lasts when State.FreshFor is zero.
+// DefaultFreshFor is the lifetime of a confirmation if State.FreshFor is zero.
 const DefaultFreshFor = 2500 * time.Millisecond
 
-// State is one process's knowledge of the bundle. Set the exported fields before
-// first use; all methods are safe for concurrent use.
+// State is the bundle state of one process. Set the exported fields before first
+// use; all methods are safe for concurrent use.
 type State struct {
 	Keyring bundler.Keyring
 	Clock   clock.PassiveClock
-	// FreshFor is for how long after the store confirmed a revision new work may
-	// be done by it. It bounds how long a cut-off process serves by an old bundle.
+	// FreshFor is how long new work is accepted after the store confirmed the
+	// revision. It bounds how long a partitioned process serves by an old bundle.
 	FreshFor time.Duration
-	// Entries is how many entries the deployment has; 0 in agents, which do not
-	// judge an outage of the store themselves but rely on their entries' word.
+	// Entries is the number of entries in the deployment. It is 0 in agents, which
+	// rely on their entries to detect an outage of the store.
 	Entries int
-	// ID and Region are this entry's own.
+	// ID and Region are those of this entry.
 	ID, Region string
-	// StoreRegion is where the store runs. If set, an outage of the store needs
-	// the word of an entry in that region: a majority that is cut off from the
-	// store's region together cannot mistake the cut for an outage.
+	// StoreRegion is the region of the store. If set, an outage requires the report
+	// of an entry in that region: a majority that is partitioned from it as a whole
+	// cannot mistake the partition for an outage.
 	StoreRegion string
 
 	mu        sync.Mutex
@@ -41,25 +41,26 @@
 	record    *bundler.Record
 	digest    string
 	heldSince time.Time
-	// firstHeld is when the first bundle of this process's life arrived.
+	// firstHeld is when this process received its first bundle.
 	firstHeld time.Time
-	// confirmed is when the store was asked that last confirmed the held revision.
+	// confirmed is when the call was sent that last confirmed the held revision.
 	confirmed time.Time
-	// known is the highest revision heard of, held or not; knownSince is when it
-	// went above the held one.
-	knownRevision      uint64
-	behindSince time.Time
-	// ahead is the confirmation of a revision whose record is yet to come.
+	// knownRevision is the highest known revision, held or not; behindSince is when
+	// it exceeded the held one.
+	knownRevision uint64
+	behindSince   time.Time
+	// pending is the confirmation of a revision whose record has not arrived.
 	pending pendingConfirmation
-	// reached is when this process itself last asked the store with success.
+	// lastReached is when this process last sent a successful call to the store.
 	lastReached time.Time
-	// failed is when the store last left a question of this process unanswered.
+	// lastFailed is when a call of this process to the store last failed.
 	lastFailed time.Time
-	// outage is when entries saw the store out with the held revision highest.
-	outageConfirmed  time.Time
-	reports   map[uint32]storeReport
-	alarms  map[AlarmKind]*Alarm
-	changed chan struct{}
+	// outageConfirmed is when entries counted the held revision as the highest
+	// during an outage.
+	outageConfirmed time.Time
+	reports         map[uint32]storeReport
+	alarms          map[AlarmKind]*Alarm
+	changed         chan struct{}
 }
 
 type pendingConfirmation struct {
@@ -68,17 +69,17 @@
 	confirmed time.Time
 }
 
-// peer is the last word of another entry about its reach of the store.
+// storeReport is the latest outcome of another entry's calls to the store.
 type storeReport struct {
-	asOf    time.Time
+	asOf   time.Time
 	result storeResult
-	// revision is the one that the entry held, if it reached the store.
+	// revision is the one the entry held, if it reached the store.
 	revision uint64
 	region   string
 }
 
-// reach is how an entry fared with the store. One that has not asked lately, as
-// it heard from others, has none.
+// storeResult is the outcome of an entry's calls to the store. Entries without a
+// recent call have none.
 type storeResult int
 
 const (
@@ -86,9 +87,9 @@
 	storeReached
 )
 
-// Offer hands the state a record from anywhere. The sign-offs are checked here,
-// so it does not matter who sent it. A higher revision takes the held one's
-// place at once; an equal or lower one changes nothing.
+// Offer passes in a record from any source. The sign-offs are verified here, so
+// the sender does not matter. A higher revision replaces the held one at once;
+// an equal or lower one changes nothing.
 func (s *State) Offer(r *bundler.Record) (changed bool, err error) {
 	s.mu.Lock()
 	defer s.mu.Unlock()
@@ -109,9 +110,9 @@
 	return true, nil
 }
 
-// hold moves up to a new revision. The old revision's confirmation stays good:
-// at that time nothing newer than the old one existed, hence nothing newer than
-// the new one either.
+// install switches to a higher revision. The old revision's confirmation remains
+// valid: at that time nothing newer than the old revision existed, hence nothing
+// newer than this one either.
 func (s *State) install(b *bundler.Bundle, r *bundler.Record) {
 	s.bundle, s.record, s.digest = b, r, r.Digest()
 	s.heldSince = s.Clock.Now()
@@ -132,10 +133,10 @@
 	}
 }
 
-// Confirm says that the store itself named this revision as the newest, in
-// answer to a question sent at askedAt. An answer is only as fresh as its
-// question: on a slow path it may have been true long before it arrived.
-// Revision 0 means that the store holds no bundle.
+// Confirm records that the store returned this revision as the newest for a call
+// sent at askedAt. The answer is only as fresh as the call: on a slow path it
+// may have been outdated long before it arrived. Revision 0 means that the store
+// holds no bundle.
 func (s *State) Confirm(revision uint64, digest string, askedAt time.Time) {
 	s.mu.Lock()
 	defer s.mu.Unlock()
@@ -155,19 +156,19 @@
 	}
 }
 
-// MarkStoreFailed says that the store has left a question of this process unanswered, or
-// has not answered it in ReachFor/4 so far.
+// MarkStoreFailed records that a call of this process to the store failed or has
+// been unanswered for ReachableFor/4.
 func (s *State) MarkStoreFailed() {
 	s.mu.Lock()
 	defer s.mu.Unlock()
 	s.lastFailed = s.Clock.Now()
 }
 
-// lower handles a store that names a lower revision than the held one. If the
-// question was sent before the held one arrived, the answer is merely old.
-// Otherwise the store was restored from an old copy or wiped. That must not
-// bring an old bundle back into force, so it is counted for the operators and
-// otherwise taken as a failure of the store.
+// handleLowerRevision handles a store that returns a lower revision than the
+// held one. If the call was sent before the held one arrived, the answer is
+// merely old. Otherwise the store was restored from an old copy or wiped. That
+// must not reinstate an old bundle, so it raises an alarm and otherwise counts
+// as a failure of the store.
 func (s *State) handleLowerRevision(revision uint64, askedAt time.Time) {
 	if askedAt.Before(s.heldSince) {
 		return
@@ -180,8 +181,8 @@
 	_ = s.raiseAlarm(&RolledBackError{Held: s.revision(), Found: revision})
 }
 
-// Observe takes a record that the store itself gave as the newest, in answer to
-// a question sent at askedAt: it is Offer and Confirm in one.
+// Observe passes in the record that the store returned as the newest for a call
+// sent at askedAt. It combines Offer and Confirm.
 func (s *State) Observe(r *bundler.Record, askedAt time.Time) (changed bool, err error) {
 	if held, ok := s.holdsDigest(r.Digest()); ok {
 		s.Confirm(held, r.Digest(), askedAt)
@@ -199,33 +200,33 @@
 	return changed, nil
 }
 
-// holds tells whether a payload is the one in force, which needs no second check
-// of its sign-offs.
+// holdsDigest reports whether the payload is the current one, whose sign-offs
+// need no second check.
 func (s *State) holdsDigest(digest string) (revision uint64, ok bool) {
 	s.mu.Lock()
 	defer s.mu.Unlock()
 	return s.revision(), s.bundle != nil && digest == s.digest
 }
 
-// Reject counts a record that could not even be decoded.
+// Reject raises an alarm for a record that could not be decoded.
 func (s *State) Reject(err error) error {
 	s.mu.Lock()
 	defer s.mu.Unlock()
 	return s.raiseAlarm(&BadRecordError{Err: err})
 }
 
-// ReceiveUnsolicited takes another entry's word that came unasked. How long it was under way
-// is unknown: a connection that stalled, or a process that was paused, delivers
-// it as if it were new. So it can tell of a higher revision but refreshes
-// nothing.
+// ReceiveUnsolicited processes another entry's state that was not requested. Its
+// time in transit is unknown: a stalled connection or a suspended process
+// delivers it as if it were new. So it can reveal a higher revision but renews
+// no confirmation.
 func (s *State) ReceiveUnsolicited(e messenger.EntryState) {
 	s.mu.Lock()
 	defer s.mu.Unlock()
 	s.learnRevision(e.Word.Revision)
 }
 
-// ReceiveAnswer takes another entry's word given in answer to a question sent at
-// askedAt. All ages in it count from then, so the time under way is included.
+// ReceiveAnswer processes another entry's answer to a call sent at askedAt. All
+// ages in it count from askedAt, which includes the time in transit.
 func (s *State) ReceiveAnswer(e messenger.EntryState, askedAt time.Time) {
 	s.mu.Lock()
 	defer s.mu.Unlock()
@@ -235,8 +236,8 @@
 	}
 }
 
-// ReceiveUpdate is HearAnswer for what carries only a word, such as an entry's news
-// to an agent.
+// ReceiveUpdate is like ReceiveAnswer for a message that carries only a bundle
+// update, such as an entry's message to an agent.
 func (s *State) ReceiveUpdate(w messenger.Word, askedAt time.Time) {
 	s.mu.Lock()
 	defer s.mu.Unlock()
@@ -259,8 +260,8 @@
 	}
 }
 
-// learn keeps a confirmation if it is of the held revision, or if it is of a
-// higher one whose record has yet to come.
+// learnConfirmation keeps a confirmation of the held revision, or of a higher
+// one whose record has not arrived.
 func (s *State) learnConfirmation(revision uint64, digest string, confirmed time.Time) {
 	s.learnRevision(revision)
 	switch held := s.revision(); {
@@ -274,7 +275,7 @@
 	}
 }
 
-// know notes that a revision exists.
+// learnRevision records that a revision exists.
 func (s *State) learnRevision(revision uint64) {
 	s.knownRevision = max(s.knownRevision, revision)
 	if s.knownRevision > s.revision() && s.behindSince.IsZero() {
@@ -282,9 +283,9 @@
 	}
 }
 
-// refresh notes a confirmation of the held revision, unless a higher one was
-// heard of before: then the store that confirms was rolled back, and a process
-// that believed it would serve by an old bundle for as long as that lasts.
+// renewConfirmation records a confirmation of the held revision unless a higher
+// one was known before: then the store was rolled back, and relying on it would
+// mean serving by an old bundle until it is repaired.
 func (s *State) renewConfirmation(confirmed time.Time) {
 	if !s.behindSince.IsZero() && confirmed.After(s.behindSince) {
 		return
@@ -292,7 +293,7 @@
 	s.confirmed = later(s.confirmed, confirmed)
 }
 
-// StatusUpdate is what an entry tells another about its bundle.
+// StatusUpdate returns the bundle state that is sent to other processes.
 func (s *State) StatusUpdate() messenger.Word {
 	s.mu.Lock()
 	defer s.mu.Unlock()
@@ -302,8 +303,8 @@
 	return w
 }
 
-// AgentUpdate is what an entry tells an agent: the same without the votes, which
-// agents do not count.
+// AgentUpdate returns StatusUpdate without the store reports, which agents do
+// not count.
 func (s *State) AgentUpdate() messenger.Word {
 	s.mu.Lock()
 	defer s.mu.Unlock()
@@ -324,16 +325,16 @@
 	return w
 }
 
-// Current gives the bundle in force and its record; nil before there is any.
-// Neither may be changed.
+// Current returns the current bundle and its record, nil before the first one.
+// Neither may be modified.
 func (s *State) Current() (*bundler.Bundle, *bundler.Record) {
 	s.mu.Lock()
 	defer s.mu.Unlock()
 	return s.bundle, s.record
 }
 
-// RecordFor gives the record that a process with the given word lacks; nil when
-// it has as much as this one.
+// RecordFor returns the record that a process with the given update lacks; nil
+// if it is up to date.
 func (s *State) RecordFor(w messenger.Word) *bundler.Record {
 	s.mu.Lock()
 	defer s.mu.Unlock()
@@ -343,7 +344,7 @@
 	return s.record
 }
 
-// Changed gives a channel that is closed when the next bundle takes force.
+// Changed returns a channel that is closed when the next bundle is installed.
 func (s *State) Changed() <-chan struct{} {
 	s.mu.Lock()
 	defer s.mu.Unlock()
@@ -353,10 +354,10 @@
 	return s.changed
 }
 
-// MayServe tells whether new work may be done by the bundle in force: nil,
-// *NoBundleError or *StaleError. Without this bound an entry or agent that is cut
-// off, paused or fed by a dead watch would go on sending work into a failure
-// domain that was drained meanwhile.
+// MayServe reports whether new work is allowed by the current bundle: nil,
+// *NoBundleError or *StaleError. Without this limit an entry or agent that is
+// partitioned, suspended or reliant on a dead watch would continue to send work
+// into a failure domain drained in the meantime.
 func (s *State) MayServe() error {
 	s.mu.Lock()
 	defer s.mu.Unlock()
@@ -377,8 +378,8 @@
 	return e
 }
 
-// ConfirmationAge is how long ago the store confirmed the held revision as the newest;
-// negative when that was never heard.
+// ConfirmationAge is the time since the store confirmed the held revision as the
+// newest; negative if it never did.
 func (s *State) ConfirmationAge() time.Duration {
 	s.mu.Lock()
 	defer s.mu.Unlock()
@@ -388,8 +389,8 @@
 	return elapsed(s.Clock.Now(), s.confirmed)
 }
 
-// KnownRevision is the highest revision heard of; above the held one while its record
-// has yet to come.
+// KnownRevision is the highest known revision. It exceeds the held one while its
+// record has not arrived.
 func (s *State) KnownRevision() uint64 {
 	s.mu.Lock()
 	defer s.mu.Unlock()
@@ -414,9 +415,9 @@
 	return !at.IsZero() && elapsed(now, at) <= s.freshFor()
 }
 
-// age is the time passed since at by whichever clock went further. The monotonic
-// clock stands still while a VM is suspended, and the wall clock can be set back
-// while the process runs; either alone would make old news look fresh.
+// elapsed is the time since a moment by whichever clock advanced further. The
+// monotonic clock stops while a VM is suspended, and the wall clock can be set
+// back; either alone would make old confirmations look fresh.
 func elapsed(now, since time.Time) time.Duration {
 	return max(now.Sub(since), now.Round(0).Sub(since.Round(0)), 0)
 }
@@ -435,7 +436,7 @@
 	return b
 }
 
-// milliseconds rounds up, so that a word never seems fresher than it is.
+// milliseconds rounds up, so that an age is never understated.
 func milliseconds(d time.Duration) int64 {
 	return int64(math.Ceil(float64(d) / float64(time.Millisecond)))
 }
--- a/internal/gossiper/watcher.go
+++ b/internal/gossiper/watcher.go
@@ -24,10 +24,10 @@
 )
 
 // Head is the highest revision that may have been accepted. It is written before
-// the compare-and-swap that accepts the bundle. So an entry that holds just this
-// one knows, from a hundred bytes in place of the whole record, that there is
-// nothing newer. The other way round, an operator's client that died between the
-// two writes would leave entries confirming a superseded bundle.
+// the compare-and-swap that accepts the bundle, so a hundred bytes instead of
+// the whole record show an entry with this revision that none is newer. In the
+// reverse order, an operator's client that died between the writes would leave
+// entries confirming a superseded bundle.
 type Head struct {
 	Revision uint64 `json:"revision"`
 	Digest   string `json:"digest"`
@@ -40,38 +40,38 @@
 	DefaultBackoff = 8 * time.Second
 )
 
-// Watcher keeps an entry's State current from the store. It waits in a long poll
-// for changes and asks the store directly when no confirmation, its own or a
-// peer's, is young enough. It is a suture service.
+// Watcher updates an entry's State from the store. It waits for changes in a
+// long poll, and calls the store directly when no confirmation, its own or a
+// peer's, is recent enough. It is a suture service.
 type Watcher struct {
 	Store storer.Store
 	State *State
 	Clock clock.WithDelayedExecution
 	// Key is the bundle's key; empty means BundleKey.
 	Key string
-	// Wait is how long one long poll lasts.
+	// Wait is the duration of one long poll.
 	Wait time.Duration
-	// ProbeAge is the age of the last confirmation at which the store is asked;
-	// up to half as much is added at random. 0 means a fifth of FreshFor.
+	// ProbeAge is the age of the last confirmation at which the store is probed; up
+	// to half as much is added at random. 0 means a fifth of FreshFor.
 	ProbeAge time.Duration
-	// Relay tells whether this entry asks the store for others too; nil means it
-	// does. One that does not waits until the confirmation is half of FreshFor
-	// old, to hear of a younger one from a relay.
+	// Relay reports whether this entry also probes the store for others; nil means
+	// it does. Other entries wait for a newer confirmation from a relay until theirs
+	// is half of FreshFor old.
 	Relay func() bool
-	// Rearm bounds the random pause before a watch that brought a change is put
-	// up again, Backoff the pause after watches that failed.
+	// Rearm is the longest random delay before a watch that returned a change is
+	// restarted, Backoff the longest delay after failed watches.
 	Rearm, Backoff time.Duration
-	// Jitter picks a duration in [0, d); nil means uniformly at random.
+	// Jitter returns a duration in [0, d); nil means uniformly at random.
 	Jitter func(d time.Duration) time.Duration
 
-	version atomic.Uint64
-	deadWatches    atomic.Int64
-	mu      sync.Mutex
-	cancelPoll   context.CancelFunc
-	poll   longPoll
+	version     atomic.Uint64
+	deadWatches atomic.Int64
+	mu          sync.Mutex
+	cancelPoll  context.CancelFunc
+	poll        longPoll
 }
 
-// armed is the long poll under way.
+// longPoll describes the current long poll.
 type longPoll struct {
 	after uint64
 	since time.Time
@@ -86,15 +86,15 @@
 	return ctx.Err()
 }
 
-// StoreReachable tells whether this process itself lately heard the store.
+// StoreReachable reports whether this process recently reached the store.
 func (w *Watcher) StoreReachable() bool { return w.State.StoreReachable() }
 
 // DeadWatches counts the long polls that missed a change.
 func (w *Watcher) DeadWatches() int64 { return w.deadWatches.Load() }
 
-// probeLoop asks the store whenever the last confirmation grows old. The first
-// question waits a moment too: after a restart of all entries most of them then
-// learn the bundle from a peer, and the store is not hit by all at once.
+// probeLoop probes the store whenever the last confirmation is too old. The
+// first probe is delayed as well: after a restart of all entries most of them
+// then get the bundle from a peer, and the store is spared a burst of calls.
 func (w *Watcher) probeLoop(ctx context.Context) {
 	w.sleep(ctx, w.jitter(w.probeAge()))
 	for ctx.Err() == nil {
@@ -103,14 +103,14 @@
 			continue
 		}
 		if err := w.Probe(ctx); err != nil {
-			klog.V(2).InfoS("Store not confirmed", "err", err)
+			klog.V(2).InfoS("Store probe failed", "err", err)
 		}
 		w.sleep(ctx, w.probeAge()/2+w.jitter(w.probeAge()))
 	}
 }
 
-// UntilProbe is how long not to ask the store, as the last confirmation, wherever
-// it came from, is young enough.
+// UntilProbe is the delay before the next probe; it is positive while the last
+// confirmation from any source is recent enough.
 func (w *Watcher) UntilProbe() time.Duration {
 	age := w.State.ConfirmationAge()
 	maxAge := w.probeAge()
@@ -123,8 +123,8 @@
 	return maxAge - age + w.jitter(w.probeAge()/2)
 }
 
-// Probe asks the store once for the bundle. A long poll alone would not do: one
-// that died without an error looks just like one that waits for a change.
+// Probe reads the bundle from the store once. A long poll alone is not enough:
+// one that died without an error looks like one that waits for a change.
 func (w *Watcher) Probe(ctx context.Context) error {
 	defer w.markFailedEvery(w.State.ReachableFor() / 4)()
 	if done, err := w.probeHead(ctx); done {
@@ -140,8 +140,8 @@
 	return nil
 }
 
-// probeHead reads the head alone. It is done if that confirms the held bundle, or
-// if the store fails; otherwise the record is to be read.
+// probeHead reads only the head. It is done if that confirms the held bundle or
+// the store fails; otherwise the record has to be read.
 func (w *Watcher) probeHead(ctx context.Context) (done bool, err error) {
 	_, r := w.State.Current()
 	if r == nil {
@@ -165,9 +165,9 @@
 	return true, nil
 }
 
-// failEvery counts the store as failed while it is still being waited for, until
-// stopped. A store that swallows calls would otherwise be noticed only by the
-// timeout, when the last confirmation has lapsed and all refuse work already.
+// markFailedEvery marks the store as failed at intervals of d until stopped. A
+// store that never answers would otherwise be detected only by the timeout,
+// after the last confirmation has expired and all entries refuse work.
 func (w *Watcher) markFailedEvery(d time.Duration) (stop func()) {
 	var stopped atomic.Bool
 	var markFailed func()
@@ -185,7 +185,7 @@
 	}
 }
 
-// observe hands what the store answered to the state.
+// observe passes the store's answer to the state.
 func (w *Watcher) observe(item storer.Item, err error, askedAt time.Time) error {
 	var missing *storer.NotFoundError
 	if errors.As(err, &missing) {
@@ -204,14 +204,14 @@
 	changed, err := w.State.Observe(r, askedAt)
 	if changed {
 		b, _ := w.State.Current()
-		klog.InfoS("Bundle from the store", "revision", b.Revision, "changeId", b.ChangeID)
+		klog.InfoS("Received bundle from store", "revision", b.Revision, "changeId", b.ChangeID)
 	}
 	return err
 }
 
-// checkWatch ends a long poll that has missed a change, or that waits for
-// versions which a restored store will only reach again much later. Without this
-// the process would hear of changes only as often as it probes.
+// endOutdatedWatch cancels a long poll that missed a change, or that waits for
+// versions which a restored store reaches only much later. Without it the
+// process would learn of changes only as often as it probes.
 func (w *Watcher) endOutdatedWatch(version uint64, askedAt time.Time) {
 	w.mu.Lock()
 	defer w.mu.Unlock()
@@ -243,9 +243,9 @@
 	}
 }
 
-// ready tells whether to put up a watch: only relays do, since each watch brings
-// the whole record over the link between regions, and only if this process
-// lately reached the store or heard of it.
+// mayWatch reports whether to start a watch. Only relays do, as each watch
+// transfers the whole record over the link between regions, and only if the
+// store was recently reachable for this process or a peer.
 func (w *Watcher) mayWatch() bool {
 	if w.Relay != nil && !w.Relay() {
 		return false
@@ -257,7 +257,7 @@
 	return w.version.Load() > 0 && age >= 0 && age <= w.State.ReachableFor()
 }
 
-// watchOnce is one long poll.
+// watchOnce performs one long poll.
 func (w *Watcher) watchOnce(ctx context.Context) error {
 	ctx, cancel := context.WithCancel(ctx)
 	defer cancel()
@@ -275,7 +275,7 @@
 	w.cancelPoll, w.poll = cancel, poll
 }
 
-// backoff doubles with each failure up to a bound; half of it is random.
+// backoff doubles with each failure up to a limit; half of it is random.
 func (w *Watcher) backoff(failures int) time.Duration {
 	maxBackoff := orDefault(w.Backoff, DefaultBackoff)
 	d := w.probeAge()
--- a/internal/router/booking_test.go
+++ b/internal/router/booking_test.go
@@ -27,10 +27,10 @@
 	random   *rand.Rand
 	naive    bool
 	bundle   *bundler.Bundle
-	entries [2]*bookingEntry
+	entries  [2]*bookingEntry
 	agents   []*agent
 	messages []func()
-	booked      []*booking
+	booked   []*booking
 
 	worstCold, runsInDrained int
 }
@@ -53,11 +53,11 @@
 
 type booking struct {
 	entry, attempts, callerRetries, runs, answers int
-	key                                  *deduplicator.Key
-	uncertain                             bool
-	avoid                                []string
-	answer                                 retrier.Outcome
-	ticket                               *limiter.Ticket
+	key                                           *deduplicator.Key
+	uncertain                                     bool
+	avoid                                         []string
+	answer                                        retrier.Outcome
+	ticket                                        *limiter.Ticket
 }
 
 func newBookingModel(naive bool) *bookingModel {
--- a/internal/router/fuzz_test.go
+++ b/internal/router/fuzz_test.go
@@ -34,12 +34,12 @@
 // it came, what has been picked since and still runs, and what was picked before
 // and has ended since.
 type agentModel struct {
-	state        messenger.AgentState
-	lastContact        time.Time
-	reports      int
+	state                    messenger.AgentState
+	lastContact              time.Time
+	reports                  int
 	startedSince, endedSince int
-	avoidedUntil       time.Time
-	earlierIncarnations         []string
+	avoidedUntil             time.Time
+	earlierIncarnations      []string
 }
 
 // pending is a choice that is not done.
--- a/internal/router/model_entry_test.go
+++ b/internal/router/model_entry_test.go
@@ -22,7 +22,7 @@
 // entry is the real router, limiter and retrier in virtual time.
 type entry struct {
 	id      string
-	sim   *simulation
+	sim     *simulation
 	router  *router.Router
 	limiter *limiter.Limiter
 	queue   *limiter.Queue
@@ -41,7 +41,7 @@
 		randomSource := func(k uint64) *rand.Rand { return rand.New(rand.NewPCG(uint64(i), k)) }
 		e := &entry{
 			id:      ids[i],
-			sim:   w,
+			sim:     w,
 			router:  &router.Router{FailureDomain: near.FailureDomain, Region: near.Region, Clock: w.clock, Random: randomSource(1)},
 			limiter: &limiter.Limiter{Clock: w.clock, Entries: func() int { return n }, Random: randomSource(2)},
 			queue:   &limiter.Queue{Clock: w.clock, Random: randomSource(3)},
@@ -206,7 +206,7 @@
 // naive goes round robin over what its list shows and retries at once whatever
 // went wrong.
 type naiveEntry struct {
-	sim  *simulation
+	sim    *simulation
 	bundle *bundler.Bundle
 	turn   int
 }
--- a/internal/router/model_test.go
+++ b/internal/router/model_test.go
@@ -15,7 +15,7 @@
 )
 
 const (
-	linkLatency        = time.Millisecond
+	linkLatency = time.Millisecond
 	reportEvery = 250 * time.Millisecond
 	reportLag   = 15 * time.Millisecond
 	downFor     = 5 * time.Second
@@ -25,7 +25,7 @@
 
 // event is something that happens at a virtual time.
 type event struct {
-	at time.Time
+	at     time.Time
 	action func()
 }
 
@@ -44,7 +44,7 @@
 // tally is what came of the requests of one or more worlds.
 type tally struct {
 	served, refused, lost, attempts, wasted int
-	worstCold, crashes                         int
+	worstCold, crashes                      int
 	latency                                 []time.Duration
 	servedOf, askedOf                       map[string]int
 	lastInDomain                            time.Duration
@@ -134,7 +134,7 @@
 
 // upstream is an engine; when the world is gated, with an agent's gate before it.
 type upstream struct {
-	sim                *simulation
+	sim                  *simulation
 	state                messenger.AgentState
 	running, restarts    int
 	downUntil, coldUntil time.Time
--- a/internal/router/pick.go
+++ b/internal/router/pick.go
@@ -41,10 +41,10 @@
 
 // The reasons of choices.
 const (
-	reasonHome  = "home of the prompt's prefix"
+	reasonHome    = "home of the prompt's prefix"
 	reasonSampled = "less loaded of two"
-	reasonScanned  = "first that fits"
-	reasonSpare = "cold and perhaps unused by other entries"
+	reasonScanned = "first that fits"
+	reasonSpare   = "cold and perhaps unused by other entries"
 	// reasonFailed comes last.
 	reasonFailed = "all with room failed lately"
 )
--- a/internal/router/pool.go
+++ b/internal/router/pool.go
@@ -77,7 +77,7 @@
 	free, spare replicaList
 	// ring is the ring that the tier's replicas are on, link what the way to them
 	// costs.
-	ring *ring
+	ring     *ring
 	linkCost float64
 	// load and limit are sums over all.
 	load, limit int
--- a/internal/router/replica.go
+++ b/internal/router/replica.go
@@ -13,20 +13,20 @@
 type replica struct {
 	state messenger.AgentState
 	// gone are the incarnations before this one, latest first.
-	earlierIncarnations    []string
-	currentWeights bool
-	lastContact   time.Time
+	earlierIncarnations []string
+	currentWeights      bool
+	lastContact         time.Time
 
 	// list, before and after keep the replica's place by time heard.
-	contacts          *contactList
+	contacts   *contactList
 	prev, next *replica
 
 	// tier, point, in and at are its place among the candidates: at is the index
 	// in the list it is in, if any.
-	tier  *tier
-	ringPoint uint64
-	candidates    *replicaList
-	candidateIndex    int
+	tier           *tier
+	ringPoint      uint64
+	candidates     *replicaList
+	candidateIndex int
 	// quota is how many requests this entry may have there while it is cold.
 	quota int
 
@@ -34,7 +34,7 @@
 	inflight []*Choice
 	// covered is the time up to which the last report counts our picks; fresh is
 	// how many of inflight are later, settled how many earlier ones are done.
-	coveredUntil        time.Time
+	coveredUntil           time.Time
 	uncovered, coveredDone int
 
 	// refusedUntil and failedUntil are how long it is passed over.
