--- a/internal/gossiper/controlcost_test.go
+++ b/internal/gossiper/controlcost_test.go
@@ -28,27 +28,27 @@
 	costSpan   = 10 * time.Second
 )
 
-// costCase is one deployment on loopback without any requests.
+// costCase describes a deployment on loopback without any requests.
 type costCase struct {
 	entries    int
 	agents     int
 	workspaces int
-	// every is the time between two changes; 0 means none.
+	// changeInterval is the time between two changes; 0 means none.
 	changeInterval time.Duration
-	// callers is how many bookings are made at once; 0 means none.
+	// callers is the number of concurrent booking callers; 0 means none.
 	callers int
 }
 
-// usage is what a process has used since its start.
+// usage is the resource usage of a process since its start.
 type usage struct {
 	cpu   time.Duration
 	bytes float64 // read and written, on all sockets
 	rss   float64
 }
 
-// BenchmarkControlCost runs the real daemons and measures what they spend on
-// control alone: the mean of the entries and of the agents, in hundredths of a
-// core, megabytes resident and kilobytes read and written a second.
+// BenchmarkControlCost measures what the real daemons spend on control alone:
+// the means over the entries and over the agents, in hundredths of a core,
+// resident megabytes and kilobytes read and written per second.
 func BenchmarkControlCost(b *testing.B) {
 	bin := b.TempDir()
 	build := exec.CommandContext(b.Context(), "go", "build", "-o", bin+"/", "../../cmd/oriolecroft", "../../standins")
@@ -98,10 +98,10 @@
 	d.report("agent", span, before[c.entries:], after[c.entries:])
 }
 
-// pause waits in real time, which is what is measured here.
+// sleep waits in real time, in which the daemons are measured.
 func sleep(d time.Duration) { <-time.After(d) }
 
-// deployment is a set of real processes; the daemons come entries first.
+// deployment is a set of real processes. Among the daemons, entries come first.
 type deployment struct {
 	b        *testing.B
 	bin      string
@@ -152,7 +152,7 @@
 	}
 }
 
-// call starts callers that go on until the deployment is stopped.
+// startCallers starts callers that run until the deployment is stopped.
 func (d *deployment) startCallers(c costCase) {
 	if c.callers == 0 {
 		return
@@ -166,7 +166,7 @@
 	sleep(2 * time.Second)
 }
 
-// runs is how many bookings the service has run.
+// bookingRuns returns how many bookings the service has run.
 func (d *deployment) bookingRuns() float64 {
 	res, err := http.Get("http://" + d.ports[1].String() + "/admin/counts")
 	must.NoError(d.b, err)
@@ -219,7 +219,7 @@
 	return us
 }
 
-// usage reads /proc; a clock tick is 10 ms on Linux.
+// usage reads the figures from /proc; a clock tick is 10 ms on Linux.
 func (d *deployment) usage(pid int) usage {
 	read := func(name string) string {
 		data, err := os.ReadFile(fmt.Sprintf("/proc/%d/%s", pid, name))
@@ -248,7 +248,7 @@
 	return n
 }
 
-// report gives the means.
+// report reports the means over the processes of a role.
 func (d *deployment) report(role string, span time.Duration, before, after []usage) {
 	var cpu, sent, rss float64
 	for i := range after {
--- a/internal/gossiper/failure_test.go
+++ b/internal/gossiper/failure_test.go
@@ -15,10 +15,9 @@
 	"github.com/oriolecroft/oriolecroft/internal/publisher"
 )
 
-// The store goes down and stays down for ten minutes, at first answering 503 and
-// later swallowing calls without an answer. If entries took that for being cut
-// off, they would all refuse work seconds later, and growers and residents would
-// get no answer for as long as it lasts.
+// The store is down for ten minutes, first answering 503 and later not at all.
+// Entries that took this for their own partition would all refuse work within
+// seconds, and callers would get no answer during the whole outage.
 func TestServesThroughLongOutage(t *testing.T) {
 	inFleet(t, 9, func(f *fleet) {
 		f.publish(1)
@@ -37,19 +36,19 @@
 	})
 }
 
-// The store fails right after one entry has told another that it reaches it, and
-// the word that it no longer does comes late. The second entry holds the votes of
-// all others by the time its confirmation lapses; if it went on believing the
-// success, it would refuse work for up to a second. A failure from before the
-// success, passed on by a third entry, must still not count in its place.
+// The store fails right after one entry reported it reachable to another, and
+// the report of the failure arrives late. By the time its confirmation expires
+// the second entry has the failure reports of all others; if the success still
+// counted, it would refuse work for up to a second. A failure from before the
+// success, forwarded by a third entry, must not count in its place.
 func TestStoreSuccessExpiresBeforeConfirmation(t *testing.T) {
 	must.NoError(t, serveAfterSuccess(t, "b", "c", "d"))
 	must.Error(t, serveAfterSuccess(t, "b", "c"))
 }
 
-// afterSuccess is whether an entry of five serves just after its confirmation
-// lapsed, if b reached the store once more after its last failure that a third
-// entry tells of, beside those of the others in silent.
+// serveAfterSuccess returns the MayServe error of one of five entries just after
+// its confirmation expired. Entry b reached the store after the failure that a
+// third entry forwards for it along with those of the others in failed.
 func serveAfterSuccess(t *testing.T, failed ...string) error {
 	c := testclock.NewFakePassiveClock(start)
 	s := &gossiper.State{Keyring: keyring(), Clock: c, Entries: 5, ID: "a"}
@@ -61,7 +60,7 @@
 	s.ReceiveAnswer(messenger.EntryState{ID: "b", StoreReachable: true, Word: update}, c.Now())
 	c.SetTime(start.Add(gossiper.DefaultFreshFor - 100*time.Millisecond))
 	s.MarkStoreFailed()
-	s.StatusUpdate() // goes through the votes, and forgets those that lapsed
+	s.StatusUpdate() // counts the reports and deletes the expired ones
 	update.AgeMS = c.Now().Sub(start).Milliseconds()
 	var v messenger.Silence
 	for _, name := range failed {
@@ -74,9 +73,9 @@
 	return s.MayServe()
 }
 
-// The store takes a second and a half for each call, then four seconds, which is
-// longer than a confirmation lasts and longer than the timeout. Users would
-// notice entries that refuse work now and then although nothing has changed.
+// The store takes 1.5 seconds for each call, then four, which exceeds both the
+// lifetime of a confirmation and the timeout. Entries must not refuse work from
+// time to time although nothing has changed.
 func TestServesWithSlowStore(t *testing.T) {
 	inFleet(t, 9, func(f *fleet) {
 		f.publish(1)
@@ -92,9 +91,9 @@
 	})
 }
 
-// An entry is replaced while the store is down. It can learn the bundle only
-// from the other entries; without them the replaced entries would refuse all
-// work until the store is back, and after a rolling restart that is everyone.
+// An entry is replaced while the store is down. It can get the bundle only from
+// the other entries; without them replaced entries would refuse all work until
+// the store is back, and after a rolling restart that is all of them.
 func TestStartsWhileStoreIsDown(t *testing.T) {
 	inFleet(t, 5, func(f *fleet) {
 		f.publish(1)
@@ -110,9 +109,9 @@
 }
 
 // All entries are replaced at once while the store is down: only agents still
-// hold the bundle, one of them an older one. Entries that did not take it from
-// them would refuse all work; entries that served by the first one they hear
-// would send work into a failure domain that was drained since.
+// hold the bundle, one of them an older one. Entries that ignored it would
+// refuse all work; entries that served by the first one they receive would send
+// work into a failure domain drained since.
 func TestAllRestartedWhileStoreIsDown(t *testing.T) {
 	inFleet(t, 5, func(f *fleet) {
 		f.faults(`{"down":true}`)
@@ -132,10 +131,9 @@
 	})
 }
 
-// A long poll can die without an error: the service forgets it, or a device on
-// the path drops the connection. The entry would wait in it for a change that
-// came and went, and send work to a drained failure domain for up to half a
-// minute.
+// A long poll can die without an error: the service loses it, or a device on the
+// path drops the connection. The entry would miss a change and send work into a
+// drained failure domain for up to half a minute.
 func TestDetectsDeadWatch(t *testing.T) {
 	inFleet(t, 1, func(f *fleet) {
 		f.publish(1)
@@ -150,9 +148,9 @@
 	})
 }
 
-// A failure domain is drained while one entry is cut off from everything but its
-// callers and its own agents. It would go on sending them work into the drained
-// domain until someone noticed; it has to stop by itself.
+// A failure domain is drained while one entry is partitioned from everything but
+// its callers and its own agents. Unless it stops by itself, it keeps sending
+// them work into the drained domain.
 func TestPartitionedEntryStopsDuringDrain(t *testing.T) {
 	inFleet(t, 5, func(f *fleet) {
 		f.publish(1)
@@ -178,10 +176,10 @@
 	})
 }
 
-// The platform restores its service from an old copy, which holds revision 1
-// while 2 is in force everywhere. Entries that believed it would bring a drained
-// failure domain back; one that is replaced just then does not know better until
-// it hears a peer. Service goes on, and an operator is told.
+// The store is restored from an old copy with revision 1 while all processes
+// hold 2. Entries that relied on it would reinstate a drained failure domain; an
+// entry replaced meanwhile holds revision 1 until it reaches a peer. Service
+// continues, and an alarm is raised.
 func TestStoreRestoredFromOldCopy(t *testing.T) {
 	inFleet(t, 5, func(f *fleet) {
 		f.publish(1)
@@ -209,9 +207,9 @@
 	})
 }
 
-// Somebody with access to the store, but without the operators' keys, overwrites
-// the bundle. Entries that took it would run what nobody signed off; entries that
-// gave up their own would refuse all work.
+// The bundle is overwritten by a party with access to the store but without the
+// operators' keys. Entries that accepted it would run unsigned changes; entries
+// that dropped their own bundle would refuse all work.
 func TestGarbageInStore(t *testing.T) {
 	inFleet(t, 3, func(f *fleet) {
 		f.publish(1)
@@ -231,10 +229,10 @@
 	})
 }
 
-// More than half of the entries, but none of those beside the store, lose the
-// store and the rest together, and operators beside the store drain a failure
-// domain. Counting a majority alone takes that for an outage, and the cut-off
-// part would serve by the old bundle as long as the cut lasts.
+// More than half of the entries, but none beside the store, are partitioned
+// together from the store and the other entries, and a failure domain is
+// drained. Counting a majority alone mistakes that for an outage, and the
+// partitioned entries would serve by the old bundle until the partition ends.
 func TestMajorityPartitionedFromStore(t *testing.T) {
 	for _, c := range []struct {
 		storeRegion string
@@ -256,9 +254,9 @@
 	}
 }
 
-// An entry's VM is frozen while two revisions go by, and wakes up with old words
-// still unread in its sockets. If it took them for new, or went by a monotonic
-// clock that stood still, it would send work by a bundle two revisions old.
+// An entry's VM is suspended during two revisions and resumes with old messages
+// unread in its sockets. If it took them for new, or relied on a
+// monotonic clock, which stops meanwhile, it would serve two revisions behind.
 func TestSuspendedDuringTwoRevisions(t *testing.T) {
 	c := testclock.NewFakePassiveClock(start)
 	s := &gossiper.State{Keyring: keyring(), Clock: c, Entries: 3, ID: "e0"}
@@ -279,7 +277,7 @@
 	must.NoError(t, s.MayServe())
 }
 
-// silence is the word of some entries that the store failed them just now.
+// failureReports returns store failures of the given entries with age zero.
 func failureReports(ids ...string) []messenger.Silence {
 	var v messenger.Silence
 	for _, id := range ids {
@@ -289,7 +287,7 @@
 	return []messenger.Silence{v}
 }
 
-// outageEntry is one of three entries, holds revision 2 and counts the store out.
+// entryDuringOutage is one of three, holds revision 2 and detects an outage.
 func entryDuringOutage(t *testing.T) (*gossiper.State, *testclock.FakePassiveClock, messenger.Word) {
 	c := testclock.NewFakePassiveClock(start)
 	s := &gossiper.State{Keyring: keyring(), Clock: c, Entries: 3, ID: "e0"}
@@ -303,9 +301,9 @@
 	return s, c, update
 }
 
-// While the store is rolled back an entry is replaced, reads the old revision
-// from it and says that it reaches the store. Were that counted, all the others
-// would refuse work: the store does not confirm what they hold.
+// While the store is rolled back, an entry is replaced, reads the old revision
+// and reports that it reaches the store. If that counted, all other entries
+// would refuse work, because the store does not confirm what they hold.
 func TestEntryAtRolledBackStoreIsNotCounted(t *testing.T) {
 	s, c, _ := entryDuringOutage(t)
 	replaced := &gossiper.State{Keyring: keyring(), Clock: c, Entries: 3, ID: "e2"}
@@ -323,9 +321,9 @@
 	must.NoError(t, s.MayServe())
 }
 
-// An entry hears that revision 3 exists, but its record does not come. The store
-// is out, or rolled back to 2. Whatever the others say, 2 is not the newest, and
-// serving by it would be work sent to where it was taken away.
+// An entry learns that revision 3 exists but doesn't receive its record. The
+// store is down, or rolled back to 2. Whatever the others report, 2 is not the
+// newest, and serving by it could send work into a drained failure domain.
 func TestKnownHigherRevisionStopsService(t *testing.T) {
 	s, c, update := entryDuringOutage(t)
 	s.ReceiveUnsolicited(messenger.EntryState{ID: "e2", Word: messenger.Word{Revision: 3, AgeMS: -1}})
@@ -339,9 +337,9 @@
 	must.NoError(t, s.MayServe())
 }
 
-// Two revisions with the same number can only come from a store that was rolled
-// back and written again. Processes that changed over by chance would serve by
-// different bundles without anyone knowing.
+// Two revisions with the same number arise only from a store that was rolled
+// back and written again. Processes that switched between them would serve by
+// different bundles unnoticed.
 func TestForkRaisesAlarm(t *testing.T) {
 	s := &gossiper.State{Keyring: keyring(), Clock: testclock.NewFakePassiveClock(start)}
 	_, err := s.Observe(signed(1, "ours"), start)
@@ -357,10 +355,10 @@
 	must.Eq(t, "ours", b.ChangeID)
 }
 
-// After an outage that took all entries with it, 380 of them start within the
-// same instant before a store that takes 2,000 reads a second. If each asked at
-// once and again on each failure, the store would go down under them and a burst
-// of changes would follow late everywhere.
+// After an outage of all entries, 380 of them start at the same instant with a
+// store that handles 2,000 reads per second. If each read at once and again on
+// each failure, they would overload the store and delay later changes
+// everywhere.
 func TestRestartOfAllEntriesStaysWithinStoreRates(t *testing.T) {
 	const reads = 2000
 	inFleet(t, 380, func(f *fleet) {
@@ -377,13 +375,13 @@
 		idleCalls := f.storeLink.Calls.Load()
 		advance(10 * time.Second)
 		idleCalls = (f.storeLink.Calls.Load() - idleCalls) / 10
-		f.t.Logf("380 entries: at most %d calls in a second, %d a second when calm, in force %v", maxCalls, idleCalls, took)
+		f.t.Logf("380 entries: at most %d calls per second, %d per second when idle, in force after %v", maxCalls, idleCalls, took)
 		must.Less(f.t, reads/2, maxCalls)
 		must.Less(f.t, reads/10, idleCalls)
 	})
 }
 
-// worstSecond is the most calls to the store in one of the next n seconds.
+// maxCallsPerSecond is the most store calls in one of the next n seconds.
 func (f *fleet) maxCallsPerSecond(n int) int64 {
 	maxCalls := int64(0)
 	for range n {
--- a/internal/gossiper/fleet_test.go
+++ b/internal/gossiper/fleet_test.go
@@ -26,12 +26,12 @@
 	"github.com/oriolecroft/oriolecroft/standins/imitator"
 )
 
-// fleet is some entries with the real watcher and exchanger over the stand-in
+// fleet is a set of entries with the real watcher and exchanger and the stand-in
 // store, in virtual time.
 type fleet struct {
 	t         *testing.T
 	kv        http.Handler
-	storeLink *storertest.Transport // everyone's link to the store
+	storeLink *storertest.Transport // link of all entries to the store
 	mu        sync.Mutex
 	nodes     []*node
 	states    []messenger.EntryState
@@ -46,7 +46,7 @@
 	stop        context.CancelFunc
 }
 
-// inFleet runs f in virtual time over n entries that are not started yet.
+// inFleet runs f in virtual time with n entries that are not started yet.
 func inFleet(t *testing.T, n int, f func(f *fleet)) {
 	synctest.Test(t, func(t *testing.T) {
 		k := &imitator.KV{Clock: clock.RealClock{}, Seed: 1}
@@ -79,7 +79,7 @@
 
 func (t roundTripper) RoundTrip(r *http.Request) (*http.Response, error) { return t(r) }
 
-// start replaces entry i by a fresh one that knows nothing.
+// start replaces entry i by a new one without any state.
 func (f *fleet) start(i int) {
 	f.kill(i)
 	n := &node{}
@@ -152,10 +152,10 @@
 	return a, nil
 }
 
-// pass lets virtual time go by.
+// advance lets virtual time pass.
 func advance(d time.Duration) { <-time.After(d) }
 
-// during checks every 20 ms of d.
+// checkDuring runs the check on each node every 20 ms of d.
 func (f *fleet) checkDuring(d time.Duration, check func(n *node)) {
 	for end := time.Now().Add(d); time.Now().Before(end); advance(20 * time.Millisecond) {
 		for _, n := range f.nodes {
@@ -168,7 +168,7 @@
 
 func (f *fleet) mustServe(n *node) { must.NoError(f.t, n.state.MayServe()) }
 
-// inForce tells how long it takes until all that are not cut off hold revision.
+// awaitRevision returns the time until all reachable nodes hold the revision.
 func (f *fleet) awaitRevision(revision uint64, limit time.Duration) time.Duration {
 	started := time.Now()
 	for ; time.Since(started) < limit; advance(5 * time.Millisecond) {
@@ -182,7 +182,7 @@
 			return time.Since(started)
 		}
 	}
-	f.t.Fatalf("revision %d is not in force everywhere after %v", revision, limit)
+	f.t.Fatalf("revision %d did not reach all nodes within %v", revision, limit)
 	return 0
 }
 
@@ -197,7 +197,7 @@
 	must.NoError(f.t, err)
 }
 
-// admin sends an order to the stand-in.
+// admin sends an administrative request to the stand-in store.
 func (f *fleet) admin(path, body string) {
 	w := httptest.NewRecorder()
 	f.kv.ServeHTTP(w, httptest.NewRequest(http.MethodPost, path, strings.NewReader(body)))
@@ -206,7 +206,7 @@
 
 func (f *fleet) faults(body string) { f.admin("/admin/faults", body) }
 
-// alarms counts an entry's alarms of one kind.
+// alarms returns the number of an entry's alarms of one kind.
 func alarms(s *gossiper.State, k gossiper.AlarmKind) int {
 	for _, a := range s.Alarms() {
 		if a.Kind == k {
--- a/internal/gossiper/model_test.go
+++ b/internal/gossiper/model_test.go
@@ -28,7 +28,7 @@
 
 var start = time.Date(2026, 12, 2, 20, 0, 0, 0, time.UTC)
 
-// operators are the seeds of two operators and of a stranger.
+// operators are the key seeds of two operators and of an unknown signer.
 var operators = []string{seed('a'), seed('b'), seed('x')}
 
 func seed(c byte) string {
@@ -39,7 +39,7 @@
 	return base64.StdEncoding.EncodeToString(b)
 }
 
-// keyring wants both operators' sign-off.
+// keyring requires the sign-offs of both operators.
 func keyring() bundler.Keyring {
 	r := record(1, "any", operators[0], operators[1])
 	return bundler.Keyring{Keys: []string{r.Signatures[0].Key, r.Signatures[1].Key}, Threshold: 2}
@@ -70,46 +70,46 @@
 	return record(revision, change, operators[0], operators[1])
 }
 
-// model is a small deployment: a store, entries and agents, with messages under
-// way, and the plain truth about what was accepted when.
+// model is a small deployment of a store, entries and agents with messages in
+// transit, and the ground truth of what was accepted when.
 type model struct {
 	clock         *testclock.FakePassiveClock
 	keys          bundler.Keyring
 	entries       int
 	nodes         []*gossiper.State // the entries, then the agents
-	incarnations  []int             // how often each was restarted
-	highest       []uint64          // the highest revision of each one's present life
+	incarnations  []int             // how often each node was started
+	highest       []uint64          // the highest revision held by each present incarnation
 	accepted      []*bundler.Record // accepted[i] is revision i+1
-	acceptedAt    []time.Time       // since[i] is when revision i+1 was accepted
+	acceptedAt    []time.Time       // when revision i+1 was accepted
 	storeRevision int               // the revision in the store
 	down          bool
 	cutStore      map[int]bool
 	cutLinks      map[[2]int]bool
 	messages      []message
-	// misled is when a rolled-back store was last asked, by the revision it gave.
+	// rolledBackRead is when a rolled-back store last returned a revision.
 	rolledBackRead map[uint64]time.Time
-	// naive are nodes that get the same messages, take whatever bundle comes last
-	// and serve by it for ever. Their faults are counted.
+	// naive are nodes that receive the same messages, install whatever bundle comes
+	// last and always serve by it. Their faults are counted.
 	naive                    []*bundler.Bundle
 	naiveReverts, naiveStale int
-	// carried is when a node's confirmation came from a rolled-back store while it
-	// held a lower revision than now.
+	// carriedAt is when a node's confirmation came from a rolled-back store while it
+	// held a lower revision than at present.
 	carriedAt []time.Time
-	// behind is since when a node, in its present life, has known of a higher
-	// revision than it holds.
+	// behindSince is when the present incarnation of a node first had a higher known
+	// revision than the held one.
 	behindSince []time.Time
-	// lastDown is when the store was last out, spread since when more than half
-	// of the entries have held the newest revision.
+	// lastDown is when the store was last down, spreadSince when the newest revision
+	// reached more than half of the entries.
 	lastDown, spreadSince time.Time
 	storeRegion           string
 	freshFor              time.Duration
 }
 
-// message is an answer under way to a node in the life in which it asked.
+// message is an answer in transit to the incarnation that asked for it.
 type message struct {
 	to, incarnation int
 	deliver         func(s *gossiper.State)
-	// record is what the message carries, for the naive node.
+	// record is the content of the message for the naive node.
 	record *bundler.Record
 }
 
@@ -171,7 +171,7 @@
 	m.messages = append(m.messages, message{to: to, incarnation: m.incarnations[to], record: r, deliver: deliver})
 }
 
-// deliver hands over one message, unless its receiver was replaced.
+// deliver delivers one message, unless its receiver was replaced.
 func (m *model) deliver(k int) {
 	x := m.messages[k]
 	m.messages = append(m.messages[:k:k], m.messages[k+1:]...)
@@ -207,7 +207,7 @@
 	}
 }
 
-// ask puts an entry's question to the store; the answer is under way.
+// askStore sends an entry's call to the store; the answer is in transit.
 func (m *model) askStore(i int) {
 	askedAt := m.clock.Now()
 	if m.down || m.cutStore[i] {
@@ -242,7 +242,7 @@
 	})
 }
 
-// check is the oracle.
+// checkInvariants compares the nodes with the ground truth.
 func (m *model) checkInvariants(t *rapid.T) {
 	m.updateSpread()
 	m.checkNaive()
@@ -255,11 +255,11 @@
 			continue
 		}
 		if b.Revision < m.highest[i] {
-			t.Fatalf("%s went down from %d to %d", m.name(i), m.highest[i], b.Revision)
+			t.Fatalf("%s reverted from revision %d to %d", m.name(i), m.highest[i], b.Revision)
 		}
 		m.highest[i] = b.Revision
 		if int(b.Revision) > len(m.accepted) || m.accepted[b.Revision-1].Digest() != r.Digest() {
-			t.Fatalf("%s holds a revision %d that was never accepted", m.name(i), b.Revision)
+			t.Fatalf("%s holds revision %d, which was never accepted", m.name(i), b.Revision)
 		}
 		m.updateBehind(i, s.KnownRevision() > b.Revision)
 		if int(b.Revision) == len(m.accepted) || s.MayServe() != nil || m.confirmedByRollback(i, b.Revision) || m.successorUnknown() {
@@ -289,10 +289,10 @@
 	}
 }
 
-// wasUnheard allows serving through an outage or roll-back of the store by a revision whose
-// successor was accepted so shortly before that it had not come to more than half
-// of the entries: the others, which are more than half, cannot know of it. (Trace:
-// publish 2, outage before anyone asks, all ask in vain, n0 counts them.)
+// successorUnknown allows serving through an outage or rollback of the store by
+// a revision whose successor was accepted so recently that most entries cannot
+// know it. (Trace: publish 2, outage before any call, all calls fail, n0 counts
+// the failures.)
 func (m *model) successorUnknown() bool {
 	now := m.clock.Now()
 	if m.lastDown.IsZero() || now.Sub(m.lastDown) > freshFor {
@@ -310,11 +310,11 @@
 	}
 }
 
-// wasMisled allows the one case that no process can tell: a store rolled back to
-// the very revision that the node holds confirms it as the newest, and the node
-// has not heard of a higher one, or only within FreshFor. (Trace: publish 2, roll
-// the store back to 1, n0 asks for the first time.) A step up keeps that
-// confirmation for what is left of FreshFor. (Trace: n0 asks, 3 is published, the
+// confirmedByRollback allows the one case that a process cannot detect: a store
+// rolled back to the revision that the node holds confirms it as the newest, and
+// the node knows no higher one, or only recently. (Trace: publish 2, roll
+// the store back to 1, n0 asks for the first time.) A higher revision keeps that
+// confirmation for the rest of FreshFor. (Trace: n0 asks, 3 is published, the
 // store rolled back to 1, n0 asks again, the answers cross.)
 func (m *model) confirmedByRollback(i int, revision uint64) bool {
 	now := m.clock.Now()
@@ -327,12 +327,12 @@
 	return m.behindSince[i].IsZero() || now.Sub(m.behindSince[i]) <= freshFor
 }
 
-// fataler is what *testing.T and *rapid.T share here.
+// fataler is implemented by *testing.T and *rapid.T.
 type fataler interface {
 	Fatalf(format string, args ...any)
 }
 
-// step lets time pass and then everyone ask and compare once.
+// step advances time and lets all nodes call the store and exchange once.
 func (m *model) step(d time.Duration) {
 	m.clock.SetTime(m.clock.Now().Add(d))
 	for i := range m.nodes {
@@ -348,7 +348,7 @@
 	}
 }
 
-// settle connects everything and lets all talk; then all must agree.
+// converge reconnects all nodes, lets them exchange and requires agreement.
 func (m *model) converge(t fataler) {
 	m.down, m.cutStore, m.cutLinks, m.messages = false, map[int]bool{}, map[[2]int]bool{}, nil
 	m.storeRevision = len(m.accepted)
@@ -406,9 +406,9 @@
 		"repair":   func(*rapid.T) { m.storeRevision = len(m.accepted) },
 		"restart":  func(t *rapid.T) { m.restart(node.Draw(t, "node")) },
 		"cutStore": func(t *rapid.T) {
-			// The entries beside the store are never cut off from it: that is what
-			// StoreRegion relies on. Without it, a majority cut off together serves
-			// on (TestMajorityCutOffFromStore).
+			// The entries beside the store are never partitioned from it, as StoreRegion
+			// requires. Otherwise a majority that is partitioned together continues to serve
+			// (TestMajorityPartitionedFromStore).
 			i := rapid.IntRange(2, m.entries-1).Draw(t, "entry")
 			m.cutStore[i] = !m.cutStore[i]
 		},
@@ -420,19 +420,19 @@
 			n := uint64(len(m.accepted) + 1)
 			r := record(n, "forged", rapid.SampledFrom([][]string{nil, {operators[0]}, {operators[0], operators[2]}}).Draw(t, "signers")...)
 			if changed, err := m.nodes[node.Draw(t, "node")].Offer(r); changed || err == nil {
-				t.Fatalf("a record without enough sign-offs was taken")
+				t.Fatalf("a record without enough sign-offs was accepted")
 			}
 		},
 	}
 }
 
-// Messages are lost, late and crossed, processes are replaced, the store is out
-// or restored from an old copy, links are cut. A user would notice a process
-// that goes back to an old bundle as work sent to where it was taken away, and
-// one that serves on unknowing as a drained failure domain that is not empty.
+// Messages are lost, delayed and reordered, processes are replaced, the store is
+// down or restored from an old copy, links fail. A process that reverts to an
+// old bundle sends work to where it was moved away from, and one that serves by
+// a superseded bundle sends work into a drained failure domain.
 //
-// The same messages go to a naive version, last writer wins and no freshness; it
-// has to fail, or the runs would prove nothing.
+// The same messages go to a naive implementation, with last-writer-wins and no
+// freshness limit, which has to fail for the test to be meaningful.
 func TestPropagationAgainstOracle(t *testing.T) {
 	reverts, stale := 0, 0
 	rapid.Check(t, func(t *rapid.T) {
@@ -442,7 +442,7 @@
 		reverts += m.naiveReverts
 		stale += m.naiveStale
 	})
-	t.Logf("naive version: %d steps back, %d times serving by a superseded bundle", reverts, stale)
+	t.Logf("naive implementation: %d reverts, served by a superseded bundle %d times", reverts, stale)
 	must.Positive(t, reverts)
 	must.Positive(t, stale)
 }
--- a/internal/gossiper/cutoff_test.go
+++ b/internal/gossiper/partition_test.go
@@ -5,19 +5,19 @@
 	"time"
 )
 
-// cutOff is five minutes of trouble in a deployment of today's size: nine
-// entries, three in each of three regions, the store in the first region.
+// outageScenario is a five-minute fault in a deployment of nine entries, three
+// in each of three regions, with the store in the first region.
 type outageScenario struct {
 	name string
-	// storeDown takes the store away from all; cut and lost are the region that
-	// is cut off from the others, or gone; -1 for none.
+	// storeDown takes the store away from all entries. cutRegion is partitioned from
+	// the others and lostRegion is gone; -1 for none.
 	storeDown             bool
 	cutRegion, lostRegion int
-	// drain has operators beside the store accept a bundle one minute in.
+	// drain publishes a bundle from beside the store after one minute.
 	drain bool
 }
 
-// rule is a way to choose between serving and refusing.
+// servingPolicy decides between serving and refusing work.
 type servingPolicy struct {
 	name        string
 	freshFor    time.Duration
@@ -25,9 +25,9 @@
 	storeRegion string
 }
 
-// BenchmarkCutOff reports, for each rule, for how many seconds an entry that is
-// alive refuses work on average, and for how many it serves by a superseded
-// bundle, which is work sent into a drained failure domain.
+// BenchmarkPartition reports for each policy how many seconds a live entry
+// refuses work on average, and how many it serves by a superseded bundle, which
+// sends work into a drained failure domain.
 func BenchmarkPartition(b *testing.B) {
 	const huon, tamar = 0, 2
 	for _, c := range []outageScenario{
--- a/internal/gossiper/propagation_test.go
+++ b/internal/gossiper/propagation_test.go
@@ -23,7 +23,7 @@
 	"github.com/oriolecroft/oriolecroft/pkg/bundler"
 )
 
-// event is something that happens at a moment of virtual time.
+// event is an action at a moment of virtual time.
 type event struct {
 	at     time.Time
 	action func()
@@ -41,7 +41,7 @@
 	return last
 }
 
-// stillClock is a virtual clock whose timers never fire: calls take no time here.
+// timerlessClock is a virtual clock without timers: calls take no time here.
 type timerlessClock struct {
 	clock.WithDelayedExecution
 	passive *testclock.FakePassiveClock
@@ -57,14 +57,14 @@
 const (
 	agentsPerEntry = 32
 	entriesOfAgent = 2
-	heartbeat      = time.Second // of an agent to each of its entries
+	heartbeat      = time.Second // from an agent to each of its entries
 	hopLatency     = 3 * time.Millisecond
-	lossRate       = 0.01 // share of calls and pushes that come to nothing
+	lossRate       = 0.01 // share of calls and pushes that are lost
 	changesPerRun  = 10
 )
 
-// propagation is a deployment in virtual time over the real states, watchers and
-// exchangers; only their loops are played by events. It is the store, too.
+// propagationSim is a deployment in virtual time with real states, watchers and
+// exchangers, whose loops are replaced by events. It is also the store.
 type propagationSim struct {
 	storer.Store
 	queue   events
@@ -74,14 +74,14 @@
 	states  []messenger.EntryState
 	agents  []*gossiper.State
 	current *bundler.Record
-	// revision is that of current, which was accepted at since.
+	// revision is that of current, which was accepted at acceptedAt.
 	revision   uint64
 	acceptedAt time.Time
 	down       bool
 	calls      int
 	exchanges  int
-	// records counts records read from the store, far those that entries sent
-	// each other from one region to another.
+	// records counts records read from the store, crossRegionRecords those that
+	// entries sent each other between regions.
 	records, crossRegionRecords int
 	delays                      []time.Duration
 }
@@ -155,7 +155,7 @@
 	return a, nil
 }
 
-// Get is the store's.
+// Get implements storer.Store.
 func (p *propagationSim) Get(_ context.Context, key string) (storer.Item, error) {
 	p.calls++
 	if p.down {
@@ -178,7 +178,7 @@
 	return time.Duration(p.random.Int64N(int64(d)))
 }
 
-// run plays events until the end or until done.
+// run processes events until the end or until done.
 func (p *propagationSim) run(d time.Duration, done func() bool) {
 	end := p.clock.Now().Add(d)
 	for p.queue[0].at.Before(end) && !done() {
@@ -198,7 +198,7 @@
 	p.schedule(wait, func() { p.probe(m) })
 }
 
-// watched is the answer to a long poll.
+// answerWatch simulates the answer to a long poll.
 func (p *propagationSim) answerWatch(m *simulatedEntry) {
 	if p.down {
 		return
@@ -214,7 +214,7 @@
 	p.schedule(m.exchanger.NextPause(), func() { p.poll(m, turn+1) })
 }
 
-// moved follows up a change: peers are told, and agents.
+// spreadChange pushes a newly held revision to peers and agents.
 func (p *propagationSim) spreadChange(m *simulatedEntry) {
 	b, r := m.state.Current()
 	if b == nil || b.Revision == m.heldRevision {
@@ -247,8 +247,8 @@
 	}
 }
 
-// change has the next revision accepted and tells how many processes took it.
-// Without the store it goes down as soon as one entry has read it.
+// acceptRevision publishes the next revision. With store false, the store goes
+// down as soon as one entry has read it.
 func (p *propagationSim) acceptRevision(revision uint64, store bool) {
 	p.current, p.revision, p.acceptedAt = signed(revision, fmt.Sprint(revision)), revision, p.clock.Now()
 	for i, m := range p.entries {
@@ -262,9 +262,9 @@
 	}
 }
 
-// BenchmarkPropagation plays changes in virtual time and reports how long they
-// take until in force: for 99 of 100 processes, and for the last one. One in a
-// hundred calls and pushes is lost.
+// BenchmarkPropagation simulates changes in virtual time and reports how long
+// they take to be in force for 99 of 100 processes and for the last one. One in
+// a hundred calls and pushes is lost.
 func BenchmarkPropagation(b *testing.B) {
 	for _, n := range []int{9, 30, 100, 380} {
 		for _, store := range []bool{true, false} {
@@ -289,7 +289,7 @@
 		p.acceptRevision(r+2, store)
 		p.run(20*time.Second, func() bool { return len(p.delays) == all })
 		if len(p.delays) != all {
-			b.Fatalf("revision %d came to %d of %d processes", r+2, len(p.delays), all)
+			b.Fatalf("revision %d reached %d of %d processes", r+2, len(p.delays), all)
 		}
 		delays = append(delays, p.delays...)
 		p.down = false
@@ -311,9 +311,9 @@
 	b.ReportMetric(float64(p.exchanges)/seconds/float64(n), "exchanges/entry/s")
 }
 
-// BenchmarkLongOutage takes the store away for half a minute and reports how
-// often entries ask it and each other meanwhile, how large one exchange is, and
-// for what share of the time processes refuse work.
+// BenchmarkLongOutage simulates a store outage of half a minute and reports how
+// often entries call the store and each other meanwhile, the size of one
+// exchange, and the share of time in which processes refuse work.
 func BenchmarkLongOutage(b *testing.B) {
 	for _, n := range []int{9, 30, 100, 380} {
 		b.Run(fmt.Sprintf("entries=%d", n), func(b *testing.B) {
