--- a/internal/router/bench_drain_test.go
+++ b/internal/router/bench_drain_test.go
@@ -14,8 +14,8 @@
 	drainEnd = 120 * time.Second
 )
 
-// drainLoad is 0.92 of what two domains bear; while the third is cold, 0.95 of
-// the two and its cold places, so that these are needed.
+// offeredRate is 0.92 of the capacity of two domains; while the third is cold,
+// 0.95 of the two and its cold slots, so that these are needed.
 func offeredRate(elapsed time.Duration) float64 {
 	if elapsed >= returnAt+2*time.Second && elapsed < returnAt+coldFor {
 		return 0.95 * (8*8 + 4*2)
@@ -23,11 +23,11 @@
 	return 0.92 * 8 * 8
 }
 
-// drainSeeds is how many worlds a figure is taken over: with few, one burst of
-// arrivals more or less decides.
+// drainSeeds is the number of simulations per figure: with few, single bursts of
+// arrivals dominate the result.
 const drainSeeds = 20
 
-// drain takes south out under load and lets it return cold.
+// simulateDrain drains south under load and lets it return cold.
 func simulateDrain(gated bool, seed uint64, t *tally) {
 	w := newSimulation(gated, seed, t)
 	b := bundleWith(1, "")
@@ -73,7 +73,7 @@
 
 func newTally() *tally { return &tally{servedOf: map[string]int{}, askedOf: map[string]int{}} }
 
-// metrics reports a tally under a prefix.
+// metrics reports the results with a prefix.
 func (t *tally) metrics(b *testing.B, prefix string) {
 	slices.Sort(t.latency)
 	quantile := func(q float64) float64 { return t.latency[int(q*float64(len(t.latency)-1))].Seconds() }
@@ -88,7 +88,7 @@
 }
 
 // BenchmarkServiceDuringDrain reports, in virtual time, the service while a
-// domain leaves and returns cold near capacity (cold limit 2).
+// domain is drained and returns cold near capacity (cold limit 2).
 func BenchmarkServiceDuringDrain(b *testing.B) {
 	for b.Loop() {
 		for gated, prefix := range map[bool]string{true: "", false: "naive-"} {
--- a/internal/router/bench_route_test.go
+++ b/internal/router/bench_route_test.go
@@ -7,8 +7,8 @@
 	"github.com/oriolecroft/oriolecroft/internal/retrier"
 )
 
-// BenchmarkRoute is one Pick and its Done with all replicas half loaded, and one
-// report for each.
+// BenchmarkRoute measures one Pick with its Done while all replicas are half
+// loaded, and one report.
 func BenchmarkRoute(b *testing.B) {
 	for _, n := range []int{12, 300, 12000} {
 		r, _ := newRouter(threeDomains())
--- a/internal/router/bench_rush_test.go
+++ b/internal/router/bench_rush_test.go
@@ -8,15 +8,15 @@
 
 const (
 	rushEnd = 60 * time.Second
-	// rushSeeds is how many worlds a figure is taken over.
+	// rushSeeds is the number of simulations per figure.
 	rushSeeds = 5
-	// rushCapacity is the requests a second that all upstreams bear together.
+	// rushCapacity is the capacity of all upstreams in requests per second.
 	rushCapacity = 12 * 8
 )
 
-// rush offers load times the capacity: two large workspaces with 0.4 of it each,
-// eight small ones with the rest. Refused callers come back twice when told to.
-// It gives the number served by the end of the rush.
+// simulateRush offers load times the capacity: two large workspaces with 0.4 of
+// it each, eight small ones with the rest. Refused callers return up to twice
+// after the advised delay. It returns the number served by the end of the rush.
 func simulateRush(gated bool, load float64, seed uint64, t *tally) int {
 	before := t.served
 	w := newSimulation(gated, seed, t)
@@ -50,8 +50,8 @@
 	return goodput
 }
 
-// smallShare is the least part of a small workspace's requests that was served,
-// largeRatio the one large workspace's served requests to the other's.
+// fairness returns the smallest served share of a small workspace's requests,
+// and the ratio of the served requests of the two large workspaces.
 func (t *tally) fairness() (smallShare, largeRatio float64) {
 	smallShare = 1
 	for i := 2; i < 10; i++ {
@@ -63,7 +63,7 @@
 }
 
 // BenchmarkFridayRush reports, in virtual time, goodput at three times the
-// capacity against that at capacity, in the same run.
+// capacity relative to that at capacity, in the same run.
 func BenchmarkFridayRush(b *testing.B) {
 	for b.Loop() {
 		for gated, prefix := range map[bool]string{true: "", false: "naive-"} {
--- a/internal/router/booking_test.go
+++ b/internal/router/booking_test.go
@@ -19,9 +19,9 @@
 	"github.com/oriolecroft/oriolecroft/pkg/bundler"
 )
 
-// bookings is two entries before three agents of a service whose calls may not
-// be repeated. Messages arrive in any order or not at all, agents are replaced,
-// domains are drained. The oracle counts how often each booking truly ran.
+// bookingModel simulates two entries and three agents of a service whose calls
+// may not be repeated. Messages are reordered or lost, agents are replaced,
+// domains are drained. The oracle counts how often each booking really ran.
 type bookingModel struct {
 	clock    *clocktesting.FakePassiveClock
 	random   *rand.Rand
@@ -35,7 +35,7 @@
 	worstCold, runsInDrained int
 }
 
-// counter is what an entry decides with.
+// bookingEntry is the state that an entry decides with.
 type bookingEntry struct {
 	*router.Router
 	*retrier.Policy
@@ -93,7 +93,7 @@
 	}
 }
 
-// probe finds the upstream of a restarted agent cold, and warm from the next time.
+// probe finds the upstream of a restarted agent cold at first and warm later.
 func (f *bookingModel) probe(a *agent) {
 	a.warm = a.warm || f.random.IntN(4) == 0
 	a.gate.Probe(admitter.Probe{Mark: a.gate.Mark(), StartID: a.Incarnation, Cold: !a.warm})
@@ -209,7 +209,7 @@
 	})
 }
 
-// arrive is the agent: ledger first, then gate, then the service.
+// handleAttempt simulates the agent: ledger first, then gate, then the service.
 func (f *bookingModel) handleAttempt(a *agent, b *booking, k deduplicator.Key, reply func(retrier.Outcome)) {
 	switch v := a.ledger.Begin(k).(type) {
 	case deduplicator.Run:
@@ -277,7 +277,7 @@
 	f.answerCaller(b, o)
 }
 
-// end tells the caller, who asks again through the other entry when in doubt.
+// answerCaller answers the caller, or lets it retry through the other entry.
 func (f *bookingModel) answerCaller(b *booking, o retrier.Outcome) {
 	if b.uncertain && o == retrier.NotRun {
 		o = retrier.Unknown
@@ -292,8 +292,8 @@
 	b.ticket.Done()
 }
 
-// count gives how many bookings ran twice, how many were wrongly told to have run
-// or not, and how many ran once.
+// countRuns returns how many bookings ran twice, how many got a wrong answer
+// about having run, and how many ran once.
 func (f *bookingModel) countRuns(steps int) (twice, wrong, once int) {
 	for range steps {
 		f.step()
@@ -315,13 +315,13 @@
 	return twice, wrong, once
 }
 
-// Bookings meet lost answers, replaced agents, late reports and drained domains,
-// and callers ask again through another entry. A user notices a fault as two
-// bookings of one slot, or as one that was said not to have run.
+// Answers are lost, agents replaced, reports late and domains drained, and
+// callers retry through another entry. A fault shows as two bookings of one
+// slot, or as one that ran although the answer was that it did not.
 func TestBookingsAgainstOracle(t *testing.T) {
 	ours, naive := newBookingModel(false), newBookingModel(true)
 	twice, wrong, once := ours.countRuns(100_000)
-	t.Logf("ours: %d bookings, %d ran once, %d twice, %d lies, worst cold load %d, %d in drained domains",
+	t.Logf("ours: %d bookings, %d ran once, %d twice, %d wrong answers, worst cold load %d, %d in drained domains",
 		len(ours.booked), once, twice, wrong, ours.worstCold, ours.runsInDrained)
 	must.EqOp(t, 0, twice)
 	must.EqOp(t, 0, wrong)
@@ -329,7 +329,7 @@
 	must.LessEq(t, 1, ours.worstCold)
 	must.Greater(t, len(ours.booked)/2, once)
 	twice, wrong, once = naive.countRuns(100_000)
-	t.Logf("naive: %d bookings, %d ran once, %d twice, %d lies, worst cold load %d, %d in drained domains",
+	t.Logf("naive: %d bookings, %d ran once, %d twice, %d wrong answers, worst cold load %d, %d in drained domains",
 		len(naive.booked), once, twice, wrong, naive.worstCold, naive.runsInDrained)
 	must.Positive(t, twice)
 	must.Positive(t, wrong)
--- a/internal/router/bound.go
+++ b/internal/router/bound.go
@@ -2,13 +2,13 @@
 
 import "time"
 
-// The reasons of bound choices.
+// The reasons of choices bound to one replica.
 const (
 	reasonOwner  = "owner of the key"
 	reasonResume = "engine that began the stream"
 )
 
-// pickBound finds the one replica that may have the request.
+// pickBound returns the only replica that may receive the request.
 func (r *Router) pickBound(k poolKey, q *Request, now time.Time) (*Choice, error) {
 	p := r.boundReplica(q)
 	if p == nil || poolKeyOf(p.state) != k || !p.serves(q) {
@@ -16,10 +16,9 @@
 	}
 	l := r.pool(k)
 	if q.EngineStart != "" {
-		// A stream that is read on starts nothing, so that a gate that is closed,
-		// full or leaving does not matter: refused here, every stream in a domain
-		// that is drained would end in the middle at the first connection that
-		// breaks.
+		// Resuming a stream starts nothing, so a gate that is closed, full or draining
+		// does not matter. Refusing it would cut every stream in a drained domain at its
+		// first broken connection.
 		return r.assign(l, p, reasonResume, now), nil
 	}
 	switch {
@@ -31,7 +30,7 @@
 	return r.assign(l, p, reasonOwner, now), nil
 }
 
-// owner is the live replica that the request names; nil without.
+// boundReplica is the live replica that the request names; nil if there is none.
 func (r *Router) boundReplica(q *Request) *replica {
 	if q.Owner != "" {
 		return r.liveReplica(q.Owner)
@@ -44,7 +43,7 @@
 	return nil
 }
 
-// Live tells whether an agent was heard within StaleAfter.
+// Live reports whether the agent's last contact is within StaleAfter.
 func (r *Router) Live(id string) bool {
 	r.mu.Lock()
 	defer r.mu.Unlock()
--- a/internal/router/choice.go
+++ b/internal/router/choice.go
@@ -7,16 +7,16 @@
 	"github.com/oriolecroft/oriolecroft/internal/retrier"
 )
 
-// Choice is the replica for one attempt. Its Done or Release must be called when
-// the attempt is over.
+// Choice is the replica for one attempt. Done or Release must be called when the
+// attempt is over.
 type Choice struct {
 	AgentID, Incarnation string
 	Address              netip.AddrPort
 	FailureDomain        string
-	// Version and EngineStart are what the agent last proved; the reply must be
-	// of both.
+	// Version and EngineStart are what the agent last proved; the reply must match
+	// both.
 	Version, EngineStart string
-	// Reason says why this replica, for the log line.
+	// Reason is why this replica was chosen, for the log line.
 	Reason string
 
 	router  *Router
@@ -27,8 +27,8 @@
 	done    bool
 }
 
-// Done gives the attempt back with its outcome. A replica that refused or failed
-// is passed over for a short, spread time. Further calls do nothing.
+// Done ends the attempt with its outcome. A replica that refused or failed is
+// skipped for a short, randomized time. Further calls do nothing.
 func (c *Choice) Done(o retrier.Outcome) {
 	c.router.mu.Lock()
 	defer c.router.mu.Unlock()
@@ -43,8 +43,8 @@
 	}
 }
 
-// Release gives the attempt back without a judgement of the replica, for one
-// that the caller itself cut short. Further calls do nothing.
+// Release ends the attempt without an outcome for the replica, for one that the
+// caller cancelled. Further calls do nothing.
 func (c *Choice) Release() {
 	c.router.mu.Lock()
 	defer c.router.mu.Unlock()
@@ -53,8 +53,8 @@
 	}
 }
 
-// giveBack takes the choice out of the replica's own requests; ran tells whether
-// the last report can have counted it as running.
+// finish removes the choice from the replica's own requests; ran reports whether
+// the last report can include it as running.
 func (c *Choice) finish(ran bool) {
 	c.done = true
 	c.pool.inflight--
@@ -73,10 +73,10 @@
 	p.updateTier()
 }
 
-// judge sets how long a replica is passed over after an attempt. Without it the
-// emptiest replica, which may be empty because it fails at once, would draw
-// every request: seen as one VM taking most attempts and answering none. The
-// spread keeps entries from returning to it together.
+// recordOutcome sets how long a replica is skipped after an attempt. Without it
+// the emptiest replica, which may be empty because it fails at once, would
+// receive every request: one VM takes most attempts and answers none. The
+// randomized duration keeps entries from returning to it together.
 func (r *Router) recordOutcome(p *replica, o retrier.Outcome, now time.Time) {
 	switch o {
 	case retrier.Ran:
--- a/internal/router/heard_list.go
+++ b/internal/router/contact_list.go
@@ -1,7 +1,6 @@
 package router
 
-// heardList holds replicas in the order in which they were last heard, oldest
-// first.
+// contactList holds replicas in the order of their last contact, oldest first.
 type contactList struct {
 	first, last *replica
 }
@@ -18,7 +17,7 @@
 	l.last = p
 }
 
-// remove takes p out; a nil list has nothing to remove.
+// remove removes p; on a nil list it does nothing.
 func (l *contactList) remove(p *replica) {
 	if l == nil {
 		return
--- a/internal/router/demand.go
+++ b/internal/router/demand.go
@@ -2,18 +2,17 @@
 
 import "time"
 
-// reserved is the part of a pool's places that is left to entries with less than
-// their part of it.
+// reservedShare of a pool's slots is left to entries below their share.
 const reservedShare = 0.05
 
-// evenPart is how much of a pool is divided evenly, the rest by demand.
+// evenShare of a pool is divided evenly, the rest by demand.
 const evenShare = 0.5
 
-// beyondPart tells whether the pool is nearly full and this entry has its part
-// of it already. A place that comes free is known at once only to the entry whose
-// request ended there. Were it always to take it again, entries would keep what
-// they happened to have when the rush began: seen as callers of one entry who
-// are refused while those of the next wait for nothing.
+// exceedsShare reports whether the pool is nearly full and this entry already
+// has its share. Only the entry whose request ended learns at once of the freed
+// slot. If it always took the slot again, entries would keep their distribution
+// from the start of a rush: callers of one entry would be refused while those of
+// another don't wait at all.
 func (l *pool) exceedsShare(entries int, now time.Time) bool {
 	load, limit := 0, 0
 	for i := range l.tiers {
@@ -27,11 +26,11 @@
 	return float64(l.inflight) > share*float64(limit)
 }
 
-// demand is how many requests run or wait here.
+// demand is the number of requests that run or wait at this entry.
 func (l *pool) demand() int { return l.inflight + l.waiting }
 
-// SetWaiting tells how many requests for a model or service, the other empty,
-// wait in line at this entry.
+// SetWaiting sets how many requests for a model or service, the other being
+// empty, are queued at this entry.
 func (r *Router) SetWaiting(model, service string, n int) {
 	r.mu.Lock()
 	defer r.mu.Unlock()
@@ -40,8 +39,8 @@
 	}
 }
 
-// Demand is how many requests run or wait here for each model and service, for
-// other entries to HearDemand.
+// Demand returns how many requests run or wait here for each model and service,
+// for ReceiveDemand of other entries.
 func (r *Router) Demand() map[string]int {
 	r.mu.Lock()
 	defer r.mu.Unlock()
@@ -54,8 +53,8 @@
 	return demand
 }
 
-// ReceiveDemand takes another entry's Demand, so that one with a long line gets more
-// of a full pool than one with none.
+// ReceiveDemand records another entry's Demand, so that an entry with a long
+// queue gets more of a full pool than one without.
 func (r *Router) ReceiveDemand(entry string, demand map[string]int) {
 	r.mu.Lock()
 	defer r.mu.Unlock()
--- a/internal/router/errors.go
+++ b/internal/router/errors.go
@@ -5,12 +5,12 @@
 	"time"
 )
 
-// NoBundleError refuses everything until a bundle is known.
+// NoBundleError refuses all requests until a bundle is known.
 type NoBundleError struct{}
 
 func (e *NoBundleError) Error() string { return "no bundle is known yet" }
 
-// UnknownWorkspaceError names a workspace that the bundle does not.
+// UnknownWorkspaceError reports a workspace that is not in the bundle.
 type UnknownWorkspaceError struct {
 	Workspace string
 }
@@ -19,7 +19,7 @@
 	return fmt.Sprintf("no workspace %q in the bundle", e.Workspace)
 }
 
-// UnknownModelError names a model, or an adapter of it, that the bundle does not.
+// UnknownModelError reports a model or adapter that is not in the bundle.
 type UnknownModelError struct {
 	Model, Adapter string
 }
@@ -31,7 +31,7 @@
 	return fmt.Sprintf("no model %q in the bundle", e.Model)
 }
 
-// UnknownServiceError names a service that the bundle does not.
+// UnknownServiceError reports a service that is not in the bundle.
 type UnknownServiceError struct {
 	Service string
 }
@@ -40,8 +40,8 @@
 	return fmt.Sprintf("no service %q in the bundle", e.Service)
 }
 
-// NotAllowedError refuses a workspace a model or service that the bundle does
-// not give it.
+// NotAllowedError refuses a workspace a model or service that the bundle doesn't
+// grant it.
 type NotAllowedError struct {
 	Workspace, Name string
 }
@@ -50,7 +50,7 @@
 	return fmt.Sprintf("workspace %s may not use %s", e.Workspace, e.Name)
 }
 
-// NoReplicaError says that no replica known here could serve the request even if
+// NoReplicaError reports that no known replica could serve the request even if
 // all were idle.
 type NoReplicaError struct {
 	// Name is the model or service.
@@ -59,11 +59,11 @@
 
 func (e *NoReplicaError) Error() string { return "no replica serves " + e.Name }
 
-// FullError says that every replica known here that serves the request is full,
-// refused it or just failed.
+// FullError reports that every known replica that serves the request is full,
+// refused it or recently failed.
 type FullError struct {
 	Name string
-	// RetryAfter is when a place is likely to be free, spread at random.
+	// RetryAfter is when a slot is likely to be free, randomized.
 	RetryAfter time.Duration
 }
 
--- a/internal/router/failure_test.go
+++ b/internal/router/failure_test.go
@@ -11,9 +11,9 @@
 	"github.com/oriolecroft/oriolecroft/internal/router"
 )
 
-// Operators drain a domain while a reply streams from it, and the connection
-// between entry and agent breaks. A user notices a reply that ends in the middle
-// although its engine still holds all of it.
+// A domain is drained while a reply streams from it, and the connection between
+// entry and agent breaks. Without a resume the reply ends in the middle although
+// its engine still holds all of it.
 func TestResumeInDrainedDomain(t *testing.T) {
 	r, _ := newRouter(threeDomains())
 	s := engine(1, "north")
@@ -40,9 +40,9 @@
 	must.NotNil(t, wantError[*router.NoReplicaError](t, err))
 }
 
-// A booking's key is bound to one agent, and an attempt there ended in doubt. A
-// user who asks again with the key notices a refusal, though only that agent can
-// tell what became of the booking.
+// A booking's key is bound to one agent, and an attempt there ended with an
+// unknown outcome. A retry with the key must reach that agent, as only it has
+// the outcome.
 func TestFailedOwnerIsPickedAgain(t *testing.T) {
 	r, _ := newRouter(threeDomains())
 	s := engine(1, "south")
@@ -59,8 +59,8 @@
 	must.NotNil(t, wantError[*router.NoReplicaError](t, err))
 }
 
-// A place comes free on a replica that refused one of our requests a moment ago.
-// Users wait in line and time out while the replica runs below its limit.
+// A slot is freed on a replica that recently refused one of our requests. If it
+// stayed skipped, requests would time out while the replica is below its limit.
 func TestOwnFreedSlotEndsBackoff(t *testing.T) {
 	r, _ := newRouter(threeDomains())
 	r.Report(engine(1, "north"))
@@ -76,8 +76,8 @@
 	must.NoError(t, err)
 }
 
-// Two entries share a cold replica with one place. Without a division both take
-// it at once, and one of two users waits for a second attempt.
+// Two entries share a cold replica with one slot. Without a division both take
+// it at once, and one of the requests needs a second attempt.
 func TestColdSlotsAreDividedAmongEntries(t *testing.T) {
 	s := engine(1, "north")
 	s.Gate, s.Limit = messenger.GateCold, 1
@@ -98,9 +98,9 @@
 	must.LessEq(t, 1, picked)
 }
 
-// A rush fills all replicas through one entry, and callers come to another. As
-// only the first learns of places that come free, users of the second time out
-// while those of the first wait for nothing.
+// A rush fills all replicas through one entry, and callers connect to another.
+// As only the first learns of freed slots, requests at the second time out while
+// those at the first don't wait.
 func TestNearlyFullPoolRefusesEntryAboveItsShare(t *testing.T) {
 	r, c := newRouter(threeDomains())
 	r.SetEntries("e1", []string{"e1", "e2"})
@@ -122,8 +122,8 @@
 	must.NoError(t, err)
 }
 
-// Callers crowd at one entry while the other has none. Held to an even part of a
-// full pool, the first lets its users wait and time out beside idle places.
+// Callers crowd at one entry while the other has none. Limited to an even share
+// of a full pool, the first lets requests wait and time out beside idle slots.
 func TestLongQueueGetsMoreOfFullPool(t *testing.T) {
 	r, c := newRouter(threeDomains())
 	r.SetEntries("e1", []string{"e1", "e2"})
@@ -153,8 +153,8 @@
 	must.NoError(t, err)
 }
 
-// Eight entries are alive, of which two know a cold replica. Divided among all
-// eight, its two places would nearly always be nobody's, and users wait beside it.
+// Two of eight live entries route to a cold replica. Divided among all eight, its
+// two slots would nearly always belong to none of them, and requests would wait.
 func TestColdSlotsAreDividedAmongSharingEntries(t *testing.T) {
 	r, _ := newRouter(threeDomains())
 	r.Sharing = 2
--- a/internal/router/fuzz_test.go
+++ b/internal/router/fuzz_test.go
@@ -20,8 +20,8 @@
 	"github.com/oriolecroft/oriolecroft/pkg/bundler"
 )
 
-// TestMain fixes rapid's seed and has it take about 100,000 steps, so that each run gives the same verdict;
-// the command line still goes before.
+// TestMain fixes rapid's seed and has it take about 100,000 steps, so that each
+// run gives the same result; the command line takes precedence.
 func TestMain(m *testing.M) {
 	if err := errors.Join(flag.Set("rapid.seed", "1"), flag.Set("rapid.steps", "60"), flag.Set("rapid.checks", "1700")); err != nil {
 		panic(err)
@@ -30,9 +30,9 @@
 	os.Exit(m.Run())
 }
 
-// known is what the oracle knows of an agent: the last report that counts, when
-// it came, what has been picked since and still runs, and what was picked before
-// and has ended since.
+// agentModel is the oracle's state of an agent: the last valid report, its time
+// of arrival, the picks since that still run, and the earlier picks that ended
+// since.
 type agentModel struct {
 	state                    messenger.AgentState
 	lastContact              time.Time
@@ -120,7 +120,7 @@
 	m.pending = append(m.pending, pending{c, k, k.reports})
 }
 
-// own is how many of our requests run on an agent's present incarnation.
+// ownRequests is how many of our requests run on an agent's present incarnation.
 func (m *machine) ownRequests(k *agentModel) int {
 	n := 0
 	for _, p := range m.pending {
@@ -142,7 +142,7 @@
 	must.True(t, m.mayServe(q, k), must.Sprintf("picked %+v", k))
 }
 
-// mustBeRefused checks that no idle replica was passed over.
+// mustBeRefused checks that no idle replica was skipped.
 func (m *machine) mustBeRefused(t *rapid.T, q router.Request, err error) {
 	for _, k := range m.agents {
 		idle := k.state.Running < k.state.Limit && k.startedSince == 0 && m.ownRequests(k) == 0 && m.clock.Now().After(k.avoidedUntil)
@@ -180,7 +180,7 @@
 	m.clock.SetTime(m.clock.Now().Add(d))
 }
 
-// disturb does what happens seldom.
+// disturb causes the rare events.
 func (m *machine) disturb(t *rapid.T) {
 	switch rapid.IntRange(0, 5).Draw(t, "disturb") {
 	case 0:
@@ -198,10 +198,9 @@
 	delete(m.agents, id)
 }
 
-// TestRouterAgainstOracle runs random reports, bundles, picks and ends past the
-// router and a list of the last reports. A caller would notice a fault as an
-// answer from a drained domain, a replica that falls over, or a refusal while a
-// replica idles.
+// TestRouterAgainstOracle applies random reports, bundles, picks and outcomes to
+// the router and to a list of the last reports. A fault shows as an answer from
+// a drained domain, an overloaded replica, or a refusal while a replica is idle.
 func TestRouterAgainstOracle(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
 		b := bundleWith(1, "")
--- a/internal/router/index.go
+++ b/internal/router/index.go
@@ -7,7 +7,7 @@
 	"github.com/oriolecroft/oriolecroft/pkg/bundler"
 )
 
-// index is a bundle made ready for look-ups on each request.
+// index is a bundle prepared for lookups on each request.
 type index struct {
 	bundle     *bundler.Bundle
 	revision   uint64
@@ -36,7 +36,7 @@
 	return x
 }
 
-// serves tells whether the bundle wants new work on an agent for what it holds.
+// allowsWork reports whether the bundle allows new work on an agent.
 func (x *index) allowsWork(s messenger.AgentState) bool {
 	if s.Kind == messenger.KindService {
 		v := x.services[s.Service]
@@ -46,13 +46,13 @@
 	return m != nil && s.Version != "" && x.bundle.Serves(m.FailureDomains, s.FailureDomain)
 }
 
-// current tells whether an agent holds the very weights that the bundle names.
+// holdsAnnouncedWeights reports whether an agent holds the bundle's weights.
 func (x *index) holdsAnnouncedWeights(s messenger.AgentState) bool {
 	m := x.models[s.Model]
 	return s.Kind == messenger.KindService || m != nil && m.Manifest == s.Manifest
 }
 
-// check finds the pool for a request, or says why it has none.
+// poolFor returns the pool for a request, or an error if there is none.
 func (x *index) poolFor(q Request) (poolKey, error) {
 	w := x.workspaces[q.Workspace]
 	if w == nil {
--- a/internal/router/model_entry_test.go
+++ b/internal/router/model_entry_test.go
@@ -13,13 +13,13 @@
 	"github.com/oriolecroft/oriolecroft/pkg/bundler"
 )
 
-// server is an entry of either kind.
+// simulatedEntry is an entry of either implementation.
 type simulatedEntry interface {
 	submit(c *call)
 	setBundle(b *bundler.Bundle)
 }
 
-// entry is the real router, limiter and retrier in virtual time.
+// entry runs the real router, limiter and retrier in virtual time.
 type entry struct {
 	id      string
 	sim     *simulation
@@ -63,8 +63,8 @@
 	e.limiter.SetBundle(b)
 }
 
-// tell lets the entries made before know each second what is asked of this one,
-// and the other way round.
+// exchangeDemand exchanges the demand with the entries created earlier each
+// second.
 func (e *entry) exchangeDemand(others []simulatedEntry) {
 	for _, o := range others {
 		if o := o.(*entry); o != e {
@@ -80,7 +80,7 @@
 	return e.router.Demand()
 }
 
-// listen hears an agent's reports, late and with one in twenty lost.
+// receiveReports receives an agent's reports late and loses one in twenty.
 func (e *entry) receiveReports(u *upstream) {
 	w := e.sim
 	s := u.report()
@@ -107,7 +107,7 @@
 	}
 }
 
-// try sends the call to a replica if there is one with room.
+// dispatch sends the call to a replica if one has free slots.
 func (e *entry) dispatch(c *call) bool {
 	choice, err := e.router.Pick(router.Request{Workspace: c.workspace, Model: "rota", Prompt: c.prompt, Avoid: c.avoid})
 	if err != nil {
@@ -160,7 +160,7 @@
 	e.removeShed()
 }
 
-// waits notes a waiter or the refusal to have it.
+// recordWaiter records a waiter, or the refusal to queue it.
 func (e *entry) recordWaiter(c *call, w *limiter.Waiter, err error) {
 	if s, shed := errors.AsType[*limiter.ShedError](err); shed {
 		c.ticket.Done()
@@ -171,7 +171,7 @@
 	e.waiting = append(e.waiting, c)
 }
 
-// drop answers the callers whose waiters were shed.
+// removeShed answers the callers whose waiters were shed.
 func (e *entry) removeShed() {
 	e.waiting = slices.DeleteFunc(e.waiting, func(c *call) bool {
 		select {
@@ -184,7 +184,7 @@
 	})
 }
 
-// next gives the first waiter a place, if there is one, and tells whether to go on.
+// dispatchNext dispatches the first waiter, and reports whether to continue.
 func (e *entry) dispatchNext() bool {
 	w := e.queue.Next()
 	i := slices.IndexFunc(e.waiting, func(c *call) bool { return c.waiter == w })
@@ -203,8 +203,8 @@
 	return false
 }
 
-// naive goes round robin over what its list shows and retries at once whatever
-// went wrong.
+// naiveEntry uses round robin over its list and retries at once after any
+// failure.
 type naiveEntry struct {
 	sim    *simulation
 	bundle *bundler.Bundle
--- a/internal/router/model_test.go
+++ b/internal/router/model_test.go
@@ -23,25 +23,25 @@
 	meanRun     = time.Second
 )
 
-// event is something that happens at a virtual time.
+// event is an action at a virtual time.
 type event struct {
 	at     time.Time
 	action func()
 }
 
-// world is virtual time, a table of upstreams and what came of the requests.
+// simulation is virtual time, upstreams and the results of the requests.
 type simulation struct {
 	clock     *clocktesting.FakePassiveClock
 	random    *rand.Rand
 	events    []event
 	upstreams []*upstream
 	gated     bool
-	// retry lets a refused caller come back, and tells whether it will.
+	// retry lets a refused caller return, and reports whether it will.
 	retry func(c *call, after time.Duration) bool
 	*tally
 }
 
-// tally is what came of the requests of one or more worlds.
+// tally holds the results of the requests of one or more simulations.
 type tally struct {
 	served, refused, lost, attempts, wasted int
 	worstCold, crashes                      int
@@ -79,7 +79,7 @@
 	}
 }
 
-// arrivals is a Poisson stream of requests, at a rate that depends on the time.
+// arrivals is a Poisson stream of requests at a time-dependent rate.
 func (w *simulation) arrivals(rate func(time.Duration) float64, until time.Duration, submit func()) {
 	elapsed := w.clock.Since(epoch)
 	if elapsed >= until {
@@ -132,7 +132,7 @@
 	w.latency = append(w.latency, w.clock.Since(c.arrived))
 }
 
-// upstream is an engine; when the world is gated, with an agent's gate before it.
+// upstream is an engine; in a gated simulation, with an agent's gate before it.
 type upstream struct {
 	sim                  *simulation
 	state                messenger.AgentState
@@ -147,7 +147,7 @@
 	coldLimit = 2
 )
 
-// report is the agent's account as it is now.
+// report is the agent's present state.
 func (u *upstream) report() messenger.AgentState {
 	s := &u.state
 	s.Sequence++
@@ -161,8 +161,8 @@
 	return *s
 }
 
-// serve runs a call and tells the outcome; without a gate too much makes the
-// engine fall over.
+// serve runs a call and passes its outcome to reply; without a gate, overload
+// crashes the engine.
 func (u *upstream) serve(c *call, reply func(retrier.Outcome)) {
 	w := u.sim
 	w.attempts++
@@ -190,7 +190,7 @@
 	})
 }
 
-// fall cuts all that runs; the engine comes back cold.
+// crash ends all running calls; the engine returns cold.
 func (u *upstream) crash() {
 	u.sim.crashes++
 	u.sim.wasted += u.running
@@ -200,7 +200,7 @@
 	u.coldUntil = u.downUntil.Add(coldFor)
 }
 
-// setDrained tells all agents of a domain, and makes a returning one cold.
+// setDrained informs all agents of a domain, and makes returning ones cold.
 func (w *simulation) setDrained(domain string, drained bool) {
 	for _, u := range w.upstreams {
 		if u.state.FailureDomain != domain {
@@ -213,7 +213,7 @@
 	}
 }
 
-// bundleWith is the table's bundle at a revision.
+// bundleWith is the common bundle at a revision.
 func bundleWith(revision uint64, drained string) *bundler.Bundle {
 	b := threeDomains()
 	b.Revision = revision
--- a/internal/router/pick.go
+++ b/internal/router/pick.go
@@ -7,35 +7,34 @@
 	"github.com/cespare/xxhash/v2"
 )
 
-// Request is what Pick needs to know of a request.
+// Request is the part of a request that Pick uses.
 type Request struct {
 	Workspace string
-	// Model and Adapter, or Service, is what it asks for.
+	// Model and Adapter, or Service, name the target.
 	Model, Adapter, Service string
 	Prompt                  string
 	Priority                int
-	// Version and EngineStart, when set, bind the choice to one engine's start. A
+	// Version and EngineStart, if set, bind the choice to one start of an engine. A
 	// request with EngineStart resumes a stream.
 	Version, EngineStart string
-	// Avoid are the ids of agents that already refused this request.
+	// Avoid lists the IDs of agents that already refused this request.
 	Avoid []string
-	// Owner, when set, is the only agent that may get it. It gets it although it
-	// failed or refused just now, as nobody else may.
+	// Owner, if set, is the only agent that may receive the request. It is picked
+	// even after a recent failure or refusal, as there is no alternative.
 	Owner string
 	// Tokens is the expected length of the reply.
 	Tokens int
 }
 
 const (
-	// prefixBytes of a prompt decide its home: about the part that prompts of
-	// one workspace and purpose share.
+	// prefixBytes is the length of the prompt prefix that selects its home: about
+	// the part shared by prompts of one workspace and purpose.
 	prefixBytes = 256
-	// boundedLoad is how far above the mean a home may be loaded and still be
-	// preferred.
+	// maxHomeLoad is the load up to which a home is preferred, relative to the mean.
 	maxHomeLoad = 1.5
-	// oldVersionCost is what a replica of other than the bundle's weights costs.
+	// oldVersionCost is the cost of a replica whose weights are not the bundle's.
 	oldVersionCost = 0.05
-	// samples is how many free replicas of a tier are drawn at random.
+	// samplesPerTier is how many free replicas of a tier are sampled at random.
 	samplesPerTier = 2
 )
 
@@ -45,11 +44,11 @@
 	reasonSampled = "less loaded of two"
 	reasonScanned = "first that fits"
 	reasonSpare   = "cold and perhaps unused by other entries"
-	// reasonFailed comes last.
+	// reasonFailed is the last resort.
 	reasonFailed = "all with room failed lately"
 )
 
-// best is the cheapest candidate so far.
+// candidate is the cheapest replica so far.
 type candidate struct {
 	replica *replica
 	cost    float64
@@ -88,8 +87,8 @@
 	return r.assign(l, b.replica, b.reason, now), nil
 }
 
-// choose weighs the home of the prefix and two free replicas of each tier, and
-// looks through all that are free only when none of these will do.
+// choose considers the home of the prefix and two free replicas of each tier,
+// and scans all free replicas only if none of these fits.
 func (r *Router) choose(l *pool, q *Request, now time.Time) candidate {
 	var b candidate
 	if hash := prefixHash(q); hash != 0 {
@@ -107,15 +106,15 @@
 	for i := 0; i < len(l.tiers) && b.replica == nil; i++ {
 		r.scan(&b, l.tiers[i].spare, q, now, reasonSpare)
 	}
-	// Passing all over would refuse everything for as long, though what failed may
-	// have been the way there and not the replica.
+	// Skipping all replicas would refuse every request for that time, although the
+	// path to them may have failed rather than the replicas.
 	for i := 0; i < len(l.tiers) && b.replica == nil; i++ {
 		r.scan(&b, l.tiers[i].free, q, now, reasonFailed)
 	}
 	return b
 }
 
-// scan takes the first of a list that fits, from a random one on.
+// scan selects the first replica of the list that fits, starting at random.
 func (r *Router) scan(b *candidate, l replicaList, q *Request, now time.Time, reason string) {
 	if len(l) == 0 {
 		return
@@ -126,12 +125,12 @@
 	}
 }
 
-// weigh takes p as the best if it may have the request and costs less.
+// consider makes p the candidate if it may serve the request and costs less.
 func (r *Router) consider(b *candidate, p *replica, q *Request, now time.Time, reason string) {
-	if p == nil || p.candidates == nil || !p.serves(q) || p.likelyRefuses(q, now) {
+	if p == nil || p.list == nil || !p.serves(q) || p.likelyRefuses(q, now) {
 		return
 	}
-	if p.candidates == &p.tier.spare && reason != reasonSpare || now.Before(p.failedUntil) && reason != reasonFailed {
+	if p.list == &p.tier.spare && reason != reasonSpare || now.Before(p.failedUntil) && reason != reasonFailed {
 		return
 	}
 	c := r.cost(p, reason == reasonHome)
@@ -140,9 +139,9 @@
 	}
 }
 
-// cost is the share of the replica's limit in use with the request on it, plus
-// the link, less what a cached prefix is worth while the replica is not much
-// fuller than its tier.
+// cost is the used share of the replica's limit including the request, plus the
+// link cost, less the value of a cached prefix unless the replica is much fuller
+// than its tier.
 func (r *Router) cost(p *replica, home bool) float64 {
 	perRequest := 1 / float64(p.state.Limit)
 	usage := float64(p.estimate()) * perRequest
@@ -156,8 +155,8 @@
 	return c
 }
 
-// count makes the choice and counts it on the replica, before any report can:
-// otherwise all requests between two reports would go to the same replica.
+// assign makes the choice and counts it on the replica before the next report
+// does: otherwise all requests between two reports would go to the same replica.
 func (r *Router) assign(l *pool, p *replica, reason string, now time.Time) *Choice {
 	c := &Choice{
 		AgentID:       p.state.ID,
@@ -180,7 +179,7 @@
 	return c
 }
 
-// none says why nothing was chosen.
+// noChoiceError returns the error for a request without a candidate.
 func (r *Router) noChoiceError(l *pool, k poolKey, q *Request, now time.Time) error {
 	fits := func(p *replica) bool { return p.serves(q) }
 	if slices.ContainsFunc(l.near, fits) || slices.ContainsFunc(l.far, fits) {
@@ -189,7 +188,7 @@
 	return &NoReplicaError{Name: k.name}
 }
 
-// prefixHash is the place of a prompt on the ring; 0 for no prompt or a service.
+// prefixHash is a prompt's position on the ring; 0 for no prompt or a service.
 func prefixHash(q *Request) uint64 {
 	if q.Prompt == "" || q.Service != "" {
 		return 0
--- a/internal/router/pool.go
+++ b/internal/router/pool.go
@@ -9,7 +9,7 @@
 	"github.com/oriolecroft/oriolecroft/internal/retrier"
 )
 
-// tierIndex orders replicas by how far they are.
+// tierIndex orders replicas by distance.
 type tierIndex int
 
 const (
@@ -19,7 +19,7 @@
 	tierCount
 )
 
-// poolKey names what a pool's replicas serve.
+// poolKey identifies the model or service that a pool serves.
 type poolKey struct {
 	kind messenger.Kind
 	name string
@@ -41,22 +41,22 @@
 	return poolKeyFor(s.Model, "")
 }
 
-// pool holds the replicas of one model or service that may get new work.
+// pool holds the replicas of one model or service that accept new work.
 type pool struct {
 	tiers [tierCount]tier
 	// near is the ring of this entry's region, far that of the others.
 	near, far ring
-	// rate is the smoothed number of requests done per second.
+	// rate is the smoothed number of completed requests per second.
 	rate retrier.Rate
-	// inflight is how many of this entry's own requests are not done, waiting how
-	// many wait; parts divides the pool among entries by these.
+	// inflight and waiting are how many of this entry's requests run and wait; parts
+	// divides the pool among entries by them.
 	inflight, waiting int
 	parts             limiter.Parts
 	returns           retrier.Returns
 }
 
-// home is the replica that a prefix falls to: in this region if it has any, so
-// that a popular prefix does not draw all requests over the link between regions.
+// home is the replica for a prefix: in this region if it has any, so that a
+// popular prefix doesn't draw all requests over the link between regions.
 func (l *pool) home(hash uint64) *replica {
 	if len(l.near) > 0 {
 		return l.near.home(hash)
@@ -64,22 +64,22 @@
 	return l.far.home(hash)
 }
 
-// retryAfter is when a caller refused now should come back.
+// retryAfter is when a caller refused at now should return.
 func (l *pool) retryAfter(now time.Time, random *rand.Rand) time.Duration {
 	gap := l.rate.Gap(now)
 	return l.returns.Next(now, gap, gap, random)
 }
 
-// tier is the replicas of a pool at one distance.
+// tier holds the replicas of a pool at one distance.
 type tier struct {
-	// free are those with room, spare the cold ones whose places are not this
-	// entry's but may be unused.
+	// free are those with free slots, spare the cold ones whose free slots belong
+	// to other entries but may be unused.
 	free, spare replicaList
-	// ring is the ring that the tier's replicas are on, link what the way to them
-	// costs.
+	// ring is the ring of the tier's replicas, linkCost the cost of the link to
+	// them.
 	ring     *ring
 	linkCost float64
-	// load and limit are sums over all.
+	// load and limit are sums over all replicas.
 	load, limit int
 }
 
@@ -93,19 +93,19 @@
 	t.ring.remove(p)
 	t.limit -= p.tierLimit
 	t.load -= p.tierLoad
-	p.candidates.remove(p)
+	p.list.remove(p)
 	p.tier = nil
 }
 
-// update brings the sums and the list of free ones in line with the replica.
+// update adjusts the sums and lists to the replica's load and limit.
 func (t *tier) update(p *replica) {
 	n := p.estimate()
 	t.load += n - p.tierLoad
 	t.limit += p.state.Limit - p.tierLimit
 	p.tierLoad, p.tierLimit = n, p.state.Limit
 	target := t.listFor(p)
-	if p.candidates != target {
-		p.candidates.remove(p)
+	if p.list != target {
+		p.list.remove(p)
 		target.add(p)
 	}
 }
@@ -121,7 +121,7 @@
 	}
 }
 
-// mean is the load of the tier as a part of its limit.
+// meanUsage is the load of the tier as a share of its limit.
 func (t *tier) meanUsage() float64 {
 	if t.limit == 0 {
 		return 0
--- a/internal/router/quota.go
+++ b/internal/router/quota.go
@@ -2,14 +2,13 @@
 
 import "slices"
 
-// quota divides a cold replica's places among the entries that route to it.
-// Every entry that has the same report and knows the same entries comes to the
-// same division, without a word between them; the places left over after an even
-// division go round from report to report. Without it, all entries see the same
-// few places free and fill them all, which the gate then refuses one after
-// another: seen as a burst of "not run" from each replica that returns. When only
-// some entries route to it, two of them may come to the same part, and one of
-// them to a refusal.
+// quota divides a cold replica's slots among the entries that route to it. All
+// entries with the same report and the same list of entries compute the same
+// division without communication; the remainder of an even division rotates from
+// report to report. Without it, all entries see the same few free slots and fill
+// them all, and the gate refuses most: a burst of "not run" from each replica
+// that returns. If only some entries route to it, two of them may compute the
+// same part, and one may be refused.
 func (r *Router) quota(p *replica) int {
 	n := r.sharingEntries()
 	rank := slices.Index(r.entries, r.self)
@@ -23,7 +22,7 @@
 	return p.state.Limit / n
 }
 
-// sharers is how many entries route to each replica, this one included.
+// sharingEntries is how many entries route to each replica, including this one.
 func (r *Router) sharingEntries() int {
 	n := max(1, len(r.entries))
 	if r.Sharing > 0 {
--- a/internal/router/replica.go
+++ b/internal/router/replica.go
@@ -9,38 +9,38 @@
 	"github.com/oriolecroft/oriolecroft/internal/messenger"
 )
 
-// replica is what the router knows of one incarnation of an agent.
+// replica is the router's state of one incarnation of an agent.
 type replica struct {
 	state messenger.AgentState
-	// gone are the incarnations before this one, latest first.
+	// earlierIncarnations are those before this one, latest first.
 	earlierIncarnations []string
 	currentWeights      bool
 	lastContact         time.Time
 
-	// list, before and after keep the replica's place by time heard.
+	// contacts, prev and next are its position in the order of last contact.
 	contacts   *contactList
 	prev, next *replica
 
-	// tier, point, in and at are its place among the candidates: at is the index
-	// in the list it is in, if any.
-	tier           *tier
-	ringPoint      uint64
-	candidates     *replicaList
-	candidateIndex int
-	// quota is how many requests this entry may have there while it is cold.
+	// tier, ringPoint, list and listIndex are its position among the candidates,
+	// listIndex being the index in list, if any.
+	tier      *tier
+	ringPoint uint64
+	list      *replicaList
+	listIndex int
+	// quota is how many requests this entry may run on it while it is cold.
 	quota int
 
-	// inflight are this entry's own requests that are not done.
+	// inflight are this entry's requests that are not done.
 	inflight []*Choice
-	// covered is the time up to which the last report counts our picks; fresh is
-	// how many of inflight are later, settled how many earlier ones are done.
+	// coveredUntil is the time up to which the last report includes our picks;
+	// uncovered counts the later ones in inflight, coveredDone earlier ones done.
 	coveredUntil           time.Time
 	uncovered, coveredDone int
 
-	// refusedUntil and failedUntil are how long it is passed over.
+	// refusedUntil and failedUntil are when it stops being skipped.
 	refusedUntil, failedUntil time.Time
 	failures                  int
-	// load and counted are the estimate and the limit in the tier's sums.
+	// tierLoad and tierLimit are its parts of the tier's sums.
 	tierLoad, tierLimit int
 }
 
@@ -48,18 +48,18 @@
 	return &replica{state: s, ringPoint: xxhash.Sum64String(s.ID)}
 }
 
-// maxGone is how many earlier incarnations are remembered.
+// maxEarlierIncarnations is how many earlier incarnations are kept.
 const maxEarlierIncarnations = 8
 
-// succeed takes over what must outlive the incarnation before.
+// inheritFrom takes over the state that outlives the earlier incarnation.
 func (p *replica) inheritFrom(old *replica) {
 	p.earlierIncarnations = append([]string{old.state.Incarnation}, old.earlierIncarnations...)
 	p.earlierIncarnations = p.earlierIncarnations[:min(maxEarlierIncarnations, len(p.earlierIncarnations))]
 }
 
-// newer tells whether a report is later than the one at hand. One of an earlier
-// incarnation is not, whatever its sequence: relayed by another entry it would
-// come after its successor's, and requests would go to what is no longer there.
+// newer reports whether a report is later than the last one. A report of an
+// earlier incarnation is not, whatever its sequence: relayed by another entry it
+// may arrive after its successor's and direct requests to a process that is gone.
 func (p *replica) newer(s messenger.AgentState) bool {
 	if s.Incarnation == p.state.Incarnation {
 		return s.Sequence > p.state.Sequence
@@ -67,8 +67,8 @@
 	return !slices.Contains(p.earlierIncarnations, s.Incarnation)
 }
 
-// take replaces the state by a newer report, which counts our picks up to the
-// given time.
+// applyReport replaces the state by a newer report, which includes our picks up
+// to coveredUntil.
 func (p *replica) applyReport(s messenger.AgentState, now, coveredUntil time.Time) {
 	p.state = s
 	p.lastContact = now
@@ -86,16 +86,15 @@
 	return p.state.Gate != messenger.GateClosed && p.state.Gate != "" && !p.state.Leaving && p.state.Limit > 0
 }
 
-// estimate is how many requests run there now, as far as can be told: what was
-// reported, plus our picks since, less our covered ones that are done since; and
-// never less than our own.
+// estimate is the estimated number of running requests: those reported, plus our
+// later picks, less our covered ones that are done since; but at least our own.
 func (p *replica) estimate() int {
 	return max(len(p.inflight), p.state.Running+p.uncovered-p.coveredDone)
 }
 
 func (p *replica) freeSlots() int { return p.state.Limit - p.estimate() }
 
-// update brings the tier in line with the replica's load.
+// updateTier updates the tier with the replica's load.
 func (p *replica) updateTier() {
 	if p.tier != nil {
 		p.tier.update(p)
@@ -108,7 +107,7 @@
 	}
 }
 
-// serves tells whether the replica fits what the request asks for beyond its
+// serves reports whether the replica meets the request's conditions besides the
 // model or service.
 func (p *replica) serves(q *Request) bool {
 	s := &p.state
@@ -125,7 +124,7 @@
 	return true
 }
 
-// refused tells whether the replica would most likely refuse the request again.
+// likelyRefuses reports whether the replica would probably refuse again.
 func (p *replica) likelyRefuses(q *Request, now time.Time) bool {
 	return now.Before(p.refusedUntil) || slices.Contains(q.Avoid, p.state.ID)
 }
--- a/internal/router/list.go
+++ b/internal/router/replica_list.go
@@ -1,14 +1,14 @@
 package router
 
-// list holds replicas in no order; each is in at most one. A nil list holds
-// nothing.
+// replicaList is an unordered list; each replica is in at most one. A nil list
+// stays empty.
 type replicaList []*replica
 
 func (l *replicaList) add(p *replica) {
 	if l == nil {
 		return
 	}
-	p.candidates, p.candidateIndex = l, len(*l)
+	p.list, p.listIndex = l, len(*l)
 	*l = append(*l, p)
 }
 
@@ -18,9 +18,9 @@
 	}
 	end := len(*l) - 1
 	last := (*l)[end]
-	(*l)[p.candidateIndex] = last
-	last.candidateIndex = p.candidateIndex
+	(*l)[p.listIndex] = last
+	last.listIndex = p.listIndex
 	(*l)[end] = nil
 	*l = (*l)[:end]
-	p.candidates = nil
+	p.list = nil
 }
--- a/internal/router/report_to.go
+++ b/internal/router/report_to.go
@@ -9,9 +9,9 @@
 	"github.com/oriolecroft/oriolecroft/internal/messenger"
 )
 
-// ReportTo gives the k entries that an agent reports to, best first: by
-// rendezvous hash, those of its own region before others, leaving ones not at
-// all. Every process that sees the same entries works out the same ones, and the
+// ReportTo returns the k entries that an agent reports to, best first: by
+// rendezvous hash, those of its own region before others, and no draining ones.
+// All processes with the same list of entries compute the same ones, and the
 // loss of an entry moves only the agents that reported to it.
 func ReportTo(agentID, region string, entries []messenger.EntryState, k int) []messenger.EntryState {
 	es := slices.DeleteFunc(slices.Clone(entries), func(e messenger.EntryState) bool { return e.Leaving })
--- a/internal/router/report_to_test.go
+++ b/internal/router/report_to_test.go
@@ -11,8 +11,8 @@
 	"github.com/oriolecroft/oriolecroft/internal/router"
 )
 
-// An entry dies in a region of 80. Were agents dealt out anew, all 2,400 would
-// connect elsewhere at once, and no entry would know its replicas for a while.
+// One of 80 entries of a region fails. If agents were redistributed from scratch,
+// all 2,400 would reconnect, and no entry would know its replicas for a while.
 func TestLossOfEntryMovesOnlyItsAgents(t *testing.T) {
 	var entries []messenger.EntryState
 	for i := range 80 {
--- a/internal/router/ring.go
+++ b/internal/router/ring.go
@@ -2,9 +2,9 @@
 
 import "slices"
 
-// ring holds replicas in the order of their points, for consistent hashing: a
-// prefix has the same home for all entries of a region, and a replica that comes
-// or goes moves only the prefixes next to it.
+// ring holds replicas in the order of their points for consistent hashing: a
+// prefix has the same home for all entries of a region, and adding or removing a
+// replica moves only the adjacent prefixes.
 type ring []*replica
 
 func byPoint(p *replica, point uint64) int {
@@ -30,7 +30,7 @@
 	*g = slices.Delete(*g, i, i+1)
 }
 
-// home is the replica that a hash falls to; nil when the ring is empty.
+// home is the replica for a hash; nil if the ring is empty.
 func (g ring) home(hash uint64) *replica {
 	if len(g) == 0 {
 		return nil
--- a/internal/router/router.go
+++ b/internal/router/router.go
@@ -1,7 +1,6 @@
-// Package router chooses the replica that a request is sent to, from the bundle
-// and from what agents reported some time ago. It may be wrong: the agent has
-// the last word, and a wrong choice costs a truthful "not run" and another
-// attempt.
+// Package router chooses the replica for a request, based on the bundle and on
+// earlier reports of the agents. Its view may be outdated: the agent decides,
+// and a wrong choice costs a correct "not run" and another attempt.
 package router
 
 import (
@@ -28,35 +27,33 @@
 	DefaultAffinityGain = 0.6
 )
 
-// forgetAfter times StaleAfter is how long a silent agent stays known.
+// forgetFactor times StaleAfter is how long an unresponsive agent is kept.
 const forgetFactor = 20
 
-// Router knows the agents of its entry. Set the exported fields before use. It
+// Router tracks the agents of its entry. Set the exported fields before use. It
 // is safe for concurrent use.
 type Router struct {
-	// FailureDomain and Region are the entry's own.
+	// FailureDomain and Region are those of the entry.
 	FailureDomain, Region string
 	Clock                 clock.PassiveClock
-	// StaleAfter is how long an agent's report counts; 0 means
-	// DefaultStaleAfter.
+	// StaleAfter is how long an agent's report is valid; 0 means DefaultStaleAfter.
 	StaleAfter time.Duration
-	// ReportLag is how old a report's count of running requests may be when it
-	// arrives, so that a pick within it is not taken to be covered; 0 means
-	// DefaultReportLag.
+	// ReportLag is how old a report's count of running requests may be on arrival.
+	// Picks within it are not taken to be covered; 0 means DefaultReportLag.
 	ReportLag time.Duration
-	// RefusedFor and FailedFor are how long a replica is passed over after it
-	// refused a request or an attempt's outcome is unknown, before the spread of
-	// as much again; 0 means DefaultRefusedFor and DefaultFailedFor.
+	// RefusedFor and FailedFor are how long a replica is skipped after it refused a
+	// request or an attempt's outcome is unknown, plus up to as much at random; 0
+	// means DefaultRefusedFor and DefaultFailedFor.
 	RefusedFor, FailedFor time.Duration
-	// DomainCost and RegionCost are what the link to another failure domain of
-	// the region and to another region costs, as a part of a replica's limit;
-	// 0 means DefaultDomainCost and DefaultRegionCost.
+	// DomainCost and RegionCost are the costs of the link to another failure domain
+	// of the region and to another region, as a share of a replica's limit; 0 means
+	// DefaultDomainCost and DefaultRegionCost.
 	DomainCost, RegionCost float64
-	// AffinityGain is what a likely cached prefix is worth, in the same unit; 0
+	// AffinityGain is the value of a probably cached prefix in the same unit; 0
 	// means DefaultAffinityGain, below 0 none.
 	AffinityGain float64
-	// Sharing is how many entries route to each agent when not all do; 0 means all
-	// that SetEntries names.
+	// Sharing is how many entries route to each agent if not all do; 0 means all
+	// passed to SetEntries.
 	Sharing int
 	// Random drives all choices; the caller seeds it and uses it nowhere else.
 	Random *rand.Rand
@@ -71,7 +68,7 @@
 	entries  []string
 }
 
-// SetBundle takes a bundle over; one older than the present is ignored.
+// SetBundle replaces the bundle; an older one is ignored.
 func (r *Router) SetBundle(b *bundler.Bundle) {
 	r.mu.Lock()
 	defer r.mu.Unlock()
@@ -82,9 +79,8 @@
 	r.placeAll()
 }
 
-// Report takes an agent's account of itself over and tells whether it was news.
-// A late report of the same incarnation is dropped, and so is one of an earlier
-// incarnation.
+// Report applies an agent's report and returns whether it was newer. Late
+// reports of the same incarnation and those of earlier incarnations are dropped.
 func (r *Router) Report(s messenger.AgentState) bool {
 	r.mu.Lock()
 	defer r.mu.Unlock()
@@ -104,8 +100,8 @@
 	return true
 }
 
-// replace makes the record of a new agent or incarnation. What ran under the old
-// one is over: its choices count no more.
+// addReplica adds the replica of a new agent or incarnation. The choices of an
+// earlier incarnation are not counted any more.
 func (r *Router) addReplica(old *replica, s messenger.AgentState) *replica {
 	p := newReplica(s)
 	if old != nil {
@@ -120,7 +116,7 @@
 	return p
 }
 
-// Remove forgets an agent, such as one that the list of VMs no longer shows.
+// Remove removes an agent, such as one missing from the list of VMs.
 func (r *Router) Remove(id string) {
 	r.mu.Lock()
 	defer r.mu.Unlock()
@@ -135,7 +131,7 @@
 	delete(r.replicas, p.state.ID)
 }
 
-// Agents lists the last reports of the agents heard within StaleAfter.
+// Agents lists the last reports of agents with a contact within StaleAfter.
 func (r *Router) Agents() []messenger.AgentState {
 	r.mu.Lock()
 	defer r.mu.Unlock()
@@ -147,8 +143,8 @@
 	return states
 }
 
-// SetEntries names this entry and all live ones, itself included, so that a cold
-// replica's few places can be divided among them.
+// SetEntries sets this entry and all live ones, including itself, so that a cold
+// replica's few slots can be divided among them.
 func (r *Router) SetEntries(self string, ids []string) {
 	r.mu.Lock()
 	defer r.mu.Unlock()
@@ -160,8 +156,8 @@
 	r.placeAll()
 }
 
-// sweep sets agents aside that have been silent for too long. Reports are kept
-// in the order of arrival, so that each costs this only once.
+// sweep sets unresponsive agents aside. Replicas are kept in the order of their
+// last report, so that each is handled only once.
 func (r *Router) sweep(now time.Time) {
 	staleAfter := orDuration(r.StaleAfter, DefaultStaleAfter)
 	for p := r.live.first; p != nil && now.Sub(p.lastContact) > staleAfter; p = r.live.first {
@@ -180,8 +176,8 @@
 	}
 }
 
-// place puts a live replica where Pick finds it, according to its state. Most
-// reports only change its load, which leaves it on the same ring.
+// place puts a live replica where Pick finds it. Most reports change only its
+// load, so it stays on the same ring.
 func (r *Router) place(p *replica) {
 	if r.bundle == nil || !p.acceptsWork() || !r.bundle.allowsWork(p.state) {
 		p.removeFromTier()
@@ -214,7 +210,7 @@
 	return l
 }
 
-// distance is the tier that an agent belongs to, seen from this entry.
+// distance is the tier of an agent relative to this entry.
 func (r *Router) distance(s messenger.AgentState) tierIndex {
 	switch {
 	case s.FailureDomain == r.FailureDomain:
--- a/internal/router/router_test.go
+++ b/internal/router/router_test.go
@@ -21,8 +21,8 @@
 
 const manifest = "sha256:0000000000000000000000000000000000000000000000000000000000000001"
 
-// threeDomains serves one model and one service in north and south of region
-// one and east of region two.
+// threeDomains serves one model and one service in north and south of region one
+// and east of region two.
 func threeDomains() *bundler.Bundle {
 	return &bundler.Bundle{
 		Revision: 1,
@@ -42,7 +42,7 @@
 	return r, c
 }
 
-// engine is an idle open replica of the model in the nth domain.
+// engine is an idle open replica of the model in the given domain.
 func engine(n int, domain string) messenger.AgentState {
 	region := map[string]string{"north": "one", "south": "one", "east": "two"}[domain]
 	return messenger.AgentState{
