--- a/internal/router/bench_drain_test.go
+++ b/internal/router/bench_drain_test.go
@@ -31,10 +31,10 @@
 func simulateDrain(gated bool, seed uint64, t *tally) {
 	w := newSimulation(gated, seed, t)
 	b := bundleWith(1, "")
-	servers := w.servers(b)
+	entries := w.simulatedEntries(b)
 	roll := func(b *bundler.Bundle, drained bool) {
 		w.setDrained("south", drained)
-		for _, s := range servers {
+		for _, s := range entries {
 			w.after(time.Duration(w.random.Int64N(int64(time.Second))), func() { s.setBundle(b) })
 		}
 	}
@@ -42,7 +42,7 @@
 	w.after(returnAt, func() { roll(bundleWith(3, ""), false) })
 	w.after(time.Second, func() {
 		w.arrivals(offeredRate, drainEnd, func() {
-			servers[w.random.IntN(len(servers))].submit(w.newCall(b.Workspaces[w.random.IntN(10)].Name))
+			entries[w.random.IntN(len(entries))].submit(w.newCall(b.Workspaces[w.random.IntN(10)].Name))
 		})
 	})
 	w.run(returnAt - time.Second)
@@ -50,15 +50,15 @@
 	w.run(drainEnd + 10*time.Second)
 }
 
-func (w *simulation) servers(b *bundler.Bundle) []simulatedEntry {
+func (w *simulation) simulatedEntries(b *bundler.Bundle) []simulatedEntry {
 	if w.gated {
 		return w.newEntries(9, b)
 	}
-	var servers []simulatedEntry
+	var entries []simulatedEntry
 	for i := range 9 {
-		servers = append(servers, &naiveEntry{sim: w, bundle: b, turn: i})
+		entries = append(entries, &naiveEntry{sim: w, bundle: b, turn: i})
 	}
-	return servers
+	return entries
 }
 
 func (w *simulation) lastWorkIn(domain string) time.Time {
--- a/internal/router/bench_rush_test.go
+++ b/internal/router/bench_rush_test.go
@@ -20,7 +20,7 @@
 func simulateRush(gated bool, load float64, seed uint64, t *tally) int {
 	before := t.served
 	w := newSimulation(gated, seed, t)
-	servers := w.servers(bundleWith(1, ""))
+	entries := w.simulatedEntries(bundleWith(1, ""))
 	w.retry = func(c *call, after time.Duration) bool {
 		if c.returns == 2 {
 			return false
@@ -28,7 +28,7 @@
 		w.after(after, func() {
 			returned := w.newCall(c.workspace)
 			returned.returns = c.returns + 1
-			servers[w.random.IntN(len(servers))].submit(returned)
+			entries[w.random.IntN(len(entries))].submit(returned)
 		})
 		return true
 	}
@@ -41,7 +41,7 @@
 			}
 			c := w.newCall(fmt.Sprintf("w%d", n))
 			t.askedOf[c.workspace]++
-			servers[w.random.IntN(len(servers))].submit(c)
+			entries[w.random.IntN(len(entries))].submit(c)
 		})
 	})
 	w.run(rushEnd)
@@ -62,9 +62,9 @@
 	return smallShare, min(a, b) / max(a, b)
 }
 
-// BenchmarkFridayRush reports, in virtual time, goodput at three times the
+// BenchmarkRush reports, in virtual time, goodput at three times the
 // capacity relative to that at capacity, in the same run.
-func BenchmarkFridayRush(b *testing.B) {
+func BenchmarkRush(b *testing.B) {
 	for b.Loop() {
 		for gated, prefix := range map[bool]string{true: "", false: "naive-"} {
 			once, thrice := newTally(), newTally()
--- a/internal/router/model_entry_test.go
+++ b/internal/router/model_entry_test.go
@@ -31,7 +31,7 @@
 }
 
 func (w *simulation) newEntries(n int, b *bundler.Bundle) []simulatedEntry {
-	var servers []simulatedEntry
+	var entries []simulatedEntry
 	var ids []string
 	for i := range n {
 		ids = append(ids, fmt.Sprintf("e%d", i))
@@ -52,10 +52,10 @@
 		for _, u := range w.upstreams {
 			e.receiveReports(u)
 		}
-		servers = append(servers, e)
-		e.exchangeDemand(servers)
+		entries = append(entries, e)
+		e.exchangeDemand(entries)
 	}
-	return servers
+	return entries
 }
 
 func (e *entry) setBundle(b *bundler.Bundle) {
@@ -63,8 +63,7 @@
 	e.limiter.SetBundle(b)
 }
 
-// exchangeDemand exchanges the demand with the entries created earlier each
-// second.
+// exchangeDemand exchanges demand with the earlier entries every second.
 func (e *entry) exchangeDemand(others []simulatedEntry) {
 	for _, o := range others {
 		if o := o.(*entry); o != e {
