--- a/internal/gossiper/exchanger.go
+++ b/internal/gossiper/exchanger.go
@@ -141,9 +141,9 @@
 }
 
 // relays returns the entries of this region that poll the store while the others
-// poll them, selected by hash without any agreement. A multiple of the square
-// root balances the calls to the store with the load of each relay. An entry
-// that wrongly considers itself a relay only costs some calls.
+// poll them, selected by hash without any agreement. Their number, a multiple of
+// the square root of all, balances the calls to the store with the load of each
+// relay. An entry that wrongly considers itself a relay only costs some calls.
 func (e *Exchanger) relays() []messenger.EntryState {
 	self := e.Self()
 	candidates := []messenger.EntryState{self}
--- a/internal/gossiper/failure_test.go
+++ b/internal/gossiper/failure_test.go
@@ -255,8 +255,8 @@
 }
 
 // An entry's VM is suspended during two revisions and resumes with old messages
-// unread in its sockets. If it took them for new, or relied on a
-// monotonic clock, which stops meanwhile, it would serve two revisions behind.
+// unread in its sockets. If it took them for new, or relied on a monotonic clock,
+// which stops meanwhile, it would serve two revisions behind.
 func TestSuspendedDuringTwoRevisions(t *testing.T) {
 	c := testclock.NewFakePassiveClock(start)
 	s := &gossiper.State{Keyring: keyring(), Clock: c, Entries: 3, ID: "e0"}
--- a/internal/gossiper/state.go
+++ b/internal/gossiper/state.go
@@ -55,8 +55,7 @@
 	lastReached time.Time
 	// lastFailed is when a call of this process to the store last failed.
 	lastFailed time.Time
-	// outageConfirmed is when entries counted the held revision as the highest
-	// during an outage.
+	// outageConfirmed is when entries saw an outage with the held revision highest.
 	outageConfirmed time.Time
 	reports         map[uint32]storeReport
 	alarms          map[AlarmKind]*Alarm
