--- a/internal/gossiper/alarms.go
+++ b/internal/gossiper/alarms.go
@@ -6,7 +6,7 @@
 	"time"
 )
 
-// AlarmKind names a kind of alarm in logs, metrics and status output.
+// AlarmKind is the name of an alarm in logs, metrics and status output.
 type AlarmKind string
 
 // The kinds of alarm.
@@ -17,18 +17,18 @@
 	AlarmBadRecord  AlarmKind = "badRecord"
 )
 
-// Alarm is something that must not happen in a sound deployment and that an
-// operator has to look into.
+// Alarm counts one kind of fault that never occurs in a sound deployment and
+// needs an operator's attention.
 type Alarm struct {
 	Kind AlarmKind
-	// Err is the last error of the kind.
+	// Err is the latest error of the kind.
 	Err error
-	// Count is how often it happened, Last when it last did.
+	// Count is the number of occurrences, Last the time of the latest.
 	Count int
 	Last  time.Time
 }
 
-// Alarms lists what was counted since the start, by kind.
+// Alarms returns the alarms since the start, sorted by kind.
 func (s *State) Alarms() []Alarm {
 	s.mu.Lock()
 	defer s.mu.Unlock()
@@ -40,12 +40,12 @@
 	return list
 }
 
-// alarm counts the error and gives it back.
-func (s *State) alarm(err error) error {
+// raiseAlarm counts the error and returns it.
+func (s *State) raiseAlarm(err error) error {
 	if s.alarms == nil {
 		s.alarms = map[AlarmKind]*Alarm{}
 	}
-	kind := kindOf(err)
+	kind := alarmKindOf(err)
 	a := s.alarms[kind]
 	if a == nil {
 		a = &Alarm{Kind: kind}
@@ -57,7 +57,7 @@
 	return err
 }
 
-func kindOf(err error) AlarmKind {
+func alarmKindOf(err error) AlarmKind {
 	switch err.(type) { //nolint:errorlint // only called with errors made here, never wrapped
 	case *RolledBackError:
 		return AlarmRolledBack
--- a/internal/gossiper/watcher.go
+++ b/internal/gossiper/watcher.go
@@ -24,10 +24,10 @@
 )
 
 // Head is the highest revision that may have been accepted. It is written before
-// the compare-and-swap that accepts the bundle. So an entry that holds just this
-// one knows, from a hundred bytes in place of the whole record, that there is
-// nothing newer. The other way round, an operator's client that died between the
-// two writes would leave entries confirming a superseded bundle.
+// the compare-and-swap that accepts the bundle, so a hundred bytes instead of
+// the whole record show an entry with this revision that none is newer. In the
+// reverse order, an operator's client that died between the writes would leave
+// entries confirming a superseded bundle.
 type Head struct {
 	Revision uint64 `json:"revision"`
 	Digest   string `json:"digest"`
@@ -40,39 +40,39 @@
 	DefaultBackoff = 8 * time.Second
 )
 
-// Watcher keeps an entry's State current from the store. It waits in a long poll
-// for changes and asks the store directly when no confirmation, its own or a
-// peer's, is young enough. It is a suture service.
+// Watcher updates an entry's State from the store. It waits for changes in a
+// long poll, and calls the store directly when no confirmation, its own or a
+// peer's, is recent enough. It is a suture service.
 type Watcher struct {
 	Store storer.Store
 	State *State
 	Clock clock.WithDelayedExecution
 	// Key is the bundle's key; empty means BundleKey.
 	Key string
-	// Wait is how long one long poll lasts.
+	// Wait is the duration of one long poll.
 	Wait time.Duration
-	// ProbeAge is the age of the last confirmation at which the store is asked;
-	// up to half as much is added at random. 0 means a fifth of FreshFor.
+	// ProbeAge is the age of the last confirmation at which the store is probed; up
+	// to half as much is added at random. 0 means a fifth of FreshFor.
 	ProbeAge time.Duration
-	// Relay tells whether this entry asks the store for others too; nil means it
-	// does. One that does not waits until the confirmation is half of FreshFor
-	// old, to hear of a younger one from a relay.
+	// Relay reports whether this entry also probes the store for others; nil means
+	// it does. Other entries wait for a newer confirmation from a relay until theirs
+	// is half of FreshFor old.
 	Relay func() bool
-	// Rearm bounds the random pause before a watch that brought a change is put
-	// up again, Backoff the pause after watches that failed.
+	// Rearm is the longest random delay before a watch that returned a change is
+	// restarted, Backoff the longest delay after failed watches.
 	Rearm, Backoff time.Duration
-	// Jitter picks a duration in [0, d); nil means uniformly at random.
+	// Jitter returns a duration in [0, d); nil means uniformly at random.
 	Jitter func(d time.Duration) time.Duration
 
-	version atomic.Uint64
-	dead    atomic.Int64
-	mu      sync.Mutex
-	rearm   context.CancelFunc
-	armed   armed
+	version     atomic.Uint64
+	deadWatches atomic.Int64
+	mu          sync.Mutex
+	cancelPoll  context.CancelFunc
+	poll        longPoll
 }
 
-// armed is the long poll under way.
-type armed struct {
+// longPoll describes the current long poll.
+type longPoll struct {
 	after uint64
 	since time.Time
 }
@@ -86,15 +86,15 @@
 	return ctx.Err()
 }
 
-// StoreReachable tells whether this process itself lately heard the store.
+// StoreReachable reports whether this process recently reached the store.
 func (w *Watcher) StoreReachable() bool { return w.State.StoreReachable() }
 
 // DeadWatches counts the long polls that missed a change.
-func (w *Watcher) DeadWatches() int64 { return w.dead.Load() }
+func (w *Watcher) DeadWatches() int64 { return w.deadWatches.Load() }
 
-// probeLoop asks the store whenever the last confirmation grows old. The first
-// question waits a moment too: after a restart of all entries most of them then
-// learn the bundle from a peer, and the store is not hit by all at once.
+// probeLoop probes the store whenever the last confirmation is too old. The
+// first probe is delayed as well: after a restart of all entries most of them
+// then get the bundle from a peer, and the store is spared a burst of calls.
 func (w *Watcher) probeLoop(ctx context.Context) {
 	w.sleep(ctx, w.jitter(w.probeAge()))
 	for ctx.Err() == nil {
@@ -103,130 +103,130 @@
 			continue
 		}
 		if err := w.Probe(ctx); err != nil {
-			klog.V(2).InfoS("Store not confirmed", "err", err)
+			klog.V(2).InfoS("Store probe failed", "err", err)
 		}
 		w.sleep(ctx, w.probeAge()/2+w.jitter(w.probeAge()))
 	}
 }
 
-// UntilProbe is how long not to ask the store, as the last confirmation, wherever
-// it came from, is young enough.
+// UntilProbe is the delay before the next probe; it is positive while the last
+// confirmation from any source is recent enough.
 func (w *Watcher) UntilProbe() time.Duration {
-	a := w.State.Age()
-	due := w.probeAge()
+	age := w.State.ConfirmationAge()
+	maxAge := w.probeAge()
 	if w.Relay != nil && !w.Relay() {
-		due = w.State.freshFor() / 2
+		maxAge = w.State.freshFor() / 2
 	}
-	if a < 0 || a >= due {
+	if age < 0 || age >= maxAge {
 		return 0
 	}
-	return due - a + w.jitter(w.probeAge()/2)
+	return maxAge - age + w.jitter(w.probeAge()/2)
 }
 
-// Probe asks the store once for the bundle. A long poll alone would not do: one
-// that died without an error looks just like one that waits for a change.
+// Probe reads the bundle from the store once. A long poll alone is not enough:
+// one that died without an error looks like one that waits for a change.
 func (w *Watcher) Probe(ctx context.Context) error {
-	defer w.failEvery(w.State.ReachFor() / 4)()
+	defer w.markFailedEvery(w.State.ReachableFor() / 4)()
 	if done, err := w.probeHead(ctx); done {
 		return err
 	}
-	asked := w.Clock.Now()
-	i, err := w.Store.Get(ctx, w.key())
-	if err := w.observe(i, err, asked); err != nil {
-		w.State.Fail()
+	askedAt := w.Clock.Now()
+	item, err := w.Store.Get(ctx, w.key())
+	if err := w.observe(item, err, askedAt); err != nil {
+		w.State.MarkStoreFailed()
 		return err
 	}
-	w.checkWatch(i.Version, asked)
+	w.endOutdatedWatch(item.Version, askedAt)
 	return nil
 }
 
-// probeHead reads the head alone. It is done if that confirms the held bundle, or
-// if the store fails; otherwise the record is to be read.
+// probeHead reads only the head. It is done if that confirms the held bundle or
+// the store fails; otherwise the record has to be read.
 func (w *Watcher) probeHead(ctx context.Context) (done bool, err error) {
 	_, r := w.State.Current()
 	if r == nil {
 		return false, nil
 	}
-	asked := w.Clock.Now()
-	i, err := w.Store.Get(ctx, HeadKey)
+	askedAt := w.Clock.Now()
+	item, err := w.Store.Get(ctx, HeadKey)
 	var missing *storer.NotFoundError
 	if errors.As(err, &missing) {
 		return false, nil
 	}
 	if err != nil {
-		w.State.Fail()
+		w.State.MarkStoreFailed()
 		return true, err
 	}
 	var h Head
-	if json.Unmarshal(i.Value, &h) != nil || h.Digest != r.Digest() {
+	if json.Unmarshal(item.Value, &h) != nil || h.Digest != r.Digest() {
 		return false, nil
 	}
-	w.State.Confirm(h.Revision, h.Digest, asked)
+	w.State.Confirm(h.Revision, h.Digest, askedAt)
 	return true, nil
 }
 
-// failEvery counts the store as failed while it is still being waited for, until
-// stopped. A store that swallows calls would otherwise be noticed only by the
-// timeout, when the last confirmation has lapsed and all refuse work already.
-func (w *Watcher) failEvery(d time.Duration) (stop func()) {
+// markFailedEvery marks the store as failed at intervals of d until stopped. A
+// store that never answers would otherwise be detected only by the timeout,
+// after the last confirmation has expired and all entries refuse work.
+func (w *Watcher) markFailedEvery(d time.Duration) (stop func()) {
 	var stopped atomic.Bool
-	var fail func()
-	fail = func() {
+	var markFailed func()
+	markFailed = func() {
 		if stopped.Load() {
 			return
 		}
-		w.State.Fail()
-		w.Clock.AfterFunc(d, fail)
+		w.State.MarkStoreFailed()
+		w.Clock.AfterFunc(d, markFailed)
 	}
-	t := w.Clock.AfterFunc(d, fail)
+	t := w.Clock.AfterFunc(d, markFailed)
 	return func() {
 		stopped.Store(true)
 		t.Stop()
 	}
 }
 
-// observe hands what the store answered to the state.
-func (w *Watcher) observe(i storer.Item, err error, asked time.Time) error {
+// observe passes the store's answer to the state.
+func (w *Watcher) observe(item storer.Item, err error, askedAt time.Time) error {
 	var missing *storer.NotFoundError
 	if errors.As(err, &missing) {
 		w.version.Store(0)
-		w.State.Confirm(0, "", asked)
+		w.State.Confirm(0, "", askedAt)
 		return nil
 	}
 	if err != nil {
 		return err
 	}
-	w.version.Store(i.Version)
-	r, err := bundler.DecodeRecord(i.Value)
+	w.version.Store(item.Version)
+	r, err := bundler.DecodeRecord(item.Value)
 	if err != nil {
 		return w.State.Reject(err)
 	}
-	changed, err := w.State.Observe(r, asked)
+	changed, err := w.State.Observe(r, askedAt)
 	if changed {
 		b, _ := w.State.Current()
-		klog.InfoS("Bundle from the store", "revision", b.Revision, "changeId", b.ChangeID)
+		klog.InfoS("Received bundle from store", "revision", b.Revision, "changeId", b.ChangeID)
 	}
 	return err
 }
 
-// checkWatch ends a long poll that has missed a change, or that waits for
-// versions which a restored store will only reach again much later. Without this
-// the process would hear of changes only as often as it probes.
-func (w *Watcher) checkWatch(version uint64, asked time.Time) {
+// endOutdatedWatch cancels a long poll that missed a change, or that waits for
+// versions which a restored store reaches only much later. Without it the
+// process would learn of changes only as often as it probes.
+func (w *Watcher) endOutdatedWatch(version uint64, askedAt time.Time) {
 	w.mu.Lock()
 	defer w.mu.Unlock()
-	if w.rearm == nil || version == w.armed.after || asked.Before(w.armed.since.Add(w.probeAge())) {
+	if w.cancelPoll == nil || version == w.poll.after || askedAt.Before(w.poll.since.Add(w.probeAge())) {
 		return
 	}
-	w.dead.Add(1)
-	klog.InfoS("Watch missed a change", "after", w.armed.after, "version", version)
-	w.rearm()
+	w.deadWatches.Add(1)
+	klog.InfoS("Watch missed a change", "after", w.poll.after, "version", version)
+	w.cancelPoll()
 }
 
 func (w *Watcher) watchLoop(ctx context.Context) {
 	failures := 0
 	for ctx.Err() == nil {
-		if !w.ready() {
+		if !w.mayWatch() {
 			w.sleep(ctx, w.probeAge()/2+w.jitter(w.probeAge()))
 			continue
 		}
@@ -243,44 +243,44 @@
 	}
 }
 
-// ready tells whether to put up a watch: only relays do, since each watch brings
-// the whole record over the link between regions, and only if this process
-// lately reached the store or heard of it.
-func (w *Watcher) ready() bool {
+// mayWatch reports whether to start a watch. Only relays do, as each watch
+// transfers the whole record over the link between regions, and only if the
+// store was recently reachable for this process or a peer.
+func (w *Watcher) mayWatch() bool {
 	if w.Relay != nil && !w.Relay() {
 		return false
 	}
 	if w.State.StoreReachable() {
 		return true
 	}
-	a := w.State.Age()
-	return w.version.Load() > 0 && a >= 0 && a <= w.State.ReachFor()
+	age := w.State.ConfirmationAge()
+	return w.version.Load() > 0 && age >= 0 && age <= w.State.ReachableFor()
 }
 
-// watchOnce is one long poll.
+// watchOnce performs one long poll.
 func (w *Watcher) watchOnce(ctx context.Context) error {
 	ctx, cancel := context.WithCancel(ctx)
 	defer cancel()
-	asked := w.Clock.Now()
+	askedAt := w.Clock.Now()
 	after := w.version.Load()
-	w.arm(cancel, armed{after: after, since: asked})
-	defer w.arm(nil, armed{})
-	i, err := w.Store.Watch(ctx, w.key(), after, orDefault(w.Wait, DefaultWait))
-	return w.observe(i, err, asked)
+	w.setPoll(cancel, longPoll{after: after, since: askedAt})
+	defer w.setPoll(nil, longPoll{})
+	item, err := w.Store.Watch(ctx, w.key(), after, orDefault(w.Wait, DefaultWait))
+	return w.observe(item, err, askedAt)
 }
 
-func (w *Watcher) arm(cancel context.CancelFunc, a armed) {
+func (w *Watcher) setPoll(cancel context.CancelFunc, poll longPoll) {
 	w.mu.Lock()
 	defer w.mu.Unlock()
-	w.rearm, w.armed = cancel, a
+	w.cancelPoll, w.poll = cancel, poll
 }
 
-// backoff doubles with each failure up to a bound; half of it is random.
+// backoff doubles with each failure up to a limit; half of it is random.
 func (w *Watcher) backoff(failures int) time.Duration {
-	most := orDefault(w.Backoff, DefaultBackoff)
+	maxBackoff := orDefault(w.Backoff, DefaultBackoff)
 	d := w.probeAge()
 	for range failures {
-		d = min(2*d, most)
+		d = min(2*d, maxBackoff)
 	}
 	return d/2 + w.jitter(d/2)
 }
@@ -315,9 +315,9 @@
 	return errors.As(err, &unchanged)
 }
 
-func orDefault(d, otherwise time.Duration) time.Duration {
+func orDefault(d, fallback time.Duration) time.Duration {
 	if d > 0 {
 		return d
 	}
-	return otherwise
+	return fallback
 }
--- a/internal/router/bench_rush_test.go
+++ b/internal/router/bench_rush_test.go
@@ -8,27 +8,27 @@
 
 const (
 	rushEnd = 60 * time.Second
-	// rushSeeds is how many worlds a figure is taken over.
+	// rushSeeds is the number of simulations per figure.
 	rushSeeds = 5
-	// rushCapacity is the requests a second that all upstreams bear together.
+	// rushCapacity is the capacity of all upstreams in requests per second.
 	rushCapacity = 12 * 8
 )
 
-// rush offers load times the capacity: two large workspaces with 0.4 of it each,
-// eight small ones with the rest. Refused callers come back twice when told to.
-// It gives the number served by the end of the rush.
-func rush(gated bool, load float64, seed uint64, t *tally) int {
+// simulateRush offers load times the capacity: two large workspaces with 0.4 of
+// it each, eight small ones with the rest. Refused callers return up to twice
+// after the advised delay. It returns the number served by the end of the rush.
+func simulateRush(gated bool, load float64, seed uint64, t *tally) int {
 	before := t.served
-	w := newWorld(gated, seed, t)
-	servers := w.servers(bundleWith(1, ""))
+	w := newSimulation(gated, seed, t)
+	entries := w.simulatedEntries(bundleWith(1, ""))
 	w.retry = func(c *call, after time.Duration) bool {
 		if c.returns == 2 {
 			return false
 		}
 		w.after(after, func() {
-			again := w.newCall(c.workspace)
-			again.returns = c.returns + 1
-			servers[w.random.IntN(len(servers))].ask(again)
+			returned := w.newCall(c.workspace)
+			returned.returns = c.returns + 1
+			entries[w.random.IntN(len(entries))].submit(returned)
 		})
 		return true
 	}
@@ -41,7 +41,7 @@
 			}
 			c := w.newCall(fmt.Sprintf("w%d", n))
 			t.askedOf[c.workspace]++
-			servers[w.random.IntN(len(servers))].ask(c)
+			entries[w.random.IntN(len(entries))].submit(c)
 		})
 	})
 	w.run(rushEnd)
@@ -50,8 +50,8 @@
 	return goodput
 }
 
-// smallShare is the least part of a small workspace's requests that was served,
-// largeRatio the one large workspace's served requests to the other's.
+// fairness returns the smallest served share of a small workspace's requests,
+// and the ratio of the served requests of the two large workspaces.
 func (t *tally) fairness() (smallShare, largeRatio float64) {
 	smallShare = 1
 	for i := 2; i < 10; i++ {
@@ -62,21 +62,21 @@
 	return smallShare, min(a, b) / max(a, b)
 }
 
-// BenchmarkFridayRush reports, in virtual time, goodput at three times the
-// capacity against that at capacity, in the same run.
-func BenchmarkFridayRush(b *testing.B) {
+// BenchmarkRush reports, in virtual time, goodput at three times the
+// capacity relative to that at capacity, in the same run.
+func BenchmarkRush(b *testing.B) {
 	for b.Loop() {
 		for gated, prefix := range map[bool]string{true: "", false: "naive-"} {
 			once, thrice := newTally(), newTally()
-			atOnce, atThrice := 0, 0
+			goodputOnce, goodputThrice := 0, 0
 			for seed := range uint64(rushSeeds) {
-				atOnce += rush(gated, 1, seed, once)
-				atThrice += rush(gated, 3, seed, thrice)
+				goodputOnce += simulateRush(gated, 1, seed, once)
+				goodputThrice += simulateRush(gated, 3, seed, thrice)
 			}
 			small, large := thrice.fairness()
 			seconds := rushSeeds * (rushEnd - time.Second).Seconds()
-			b.ReportMetric(float64(atThrice)/float64(atOnce), prefix+"goodput-3x/1x")
-			b.ReportMetric(float64(atOnce)/seconds/rushCapacity, prefix+"goodput-1x/capacity")
+			b.ReportMetric(float64(goodputThrice)/float64(goodputOnce), prefix+"goodput-3x/1x")
+			b.ReportMetric(float64(goodputOnce)/seconds/rushCapacity, prefix+"goodput-1x/capacity")
 			b.ReportMetric(small, prefix+"small-share")
 			b.ReportMetric(large, prefix+"large-ratio")
 			b.ReportMetric(float64(thrice.wasted)/float64(thrice.served+thrice.wasted), prefix+"wasted-runs")
--- a/internal/router/pool.go
+++ b/internal/router/pool.go
@@ -9,7 +9,7 @@
 	"github.com/oriolecroft/oriolecroft/internal/retrier"
 )
 
-// tierIndex orders replicas by how far they are.
+// tierIndex orders replicas by distance.
 type tierIndex int
 
 const (
@@ -19,7 +19,7 @@
 	tierCount
 )
 
-// poolKey names what a pool's replicas serve.
+// poolKey identifies the model or service that a pool serves.
 type poolKey struct {
 	kind messenger.Kind
 	name string
@@ -27,36 +27,36 @@
 
 func (k poolKey) String() string { return string(k.kind) + " " + k.name }
 
-func keyFor(model, service string) poolKey {
+func poolKeyFor(model, service string) poolKey {
 	if service != "" {
 		return poolKey{kind: messenger.KindService, name: service}
 	}
 	return poolKey{kind: messenger.KindEngine, name: model}
 }
 
-func keyOf(s messenger.AgentState) poolKey {
+func poolKeyOf(s messenger.AgentState) poolKey {
 	if s.Kind == messenger.KindService {
-		return keyFor("", s.Service)
+		return poolKeyFor("", s.Service)
 	}
-	return keyFor(s.Model, "")
+	return poolKeyFor(s.Model, "")
 }
 
-// pool holds the replicas of one model or service that may get new work.
+// pool holds the replicas of one model or service that accept new work.
 type pool struct {
 	tiers [tierCount]tier
 	// near is the ring of this entry's region, far that of the others.
 	near, far ring
-	// rate is the smoothed number of requests done per second.
+	// rate is the smoothed number of completed requests per second.
 	rate retrier.Rate
-	// inflight is how many of this entry's own requests are not done, waiting how
-	// many wait; parts divides the pool among entries by these.
+	// inflight and waiting are how many of this entry's requests run and wait; parts
+	// divides the pool among entries by them.
 	inflight, waiting int
 	parts             limiter.Parts
 	returns           retrier.Returns
 }
 
-// home is the replica that a prefix falls to: in this region if it has any, so
-// that a popular prefix does not draw all requests over the link between regions.
+// home is the replica for a prefix: in this region if it has any, so that a
+// popular prefix doesn't draw all requests over the link between regions.
 func (l *pool) home(hash uint64) *replica {
 	if len(l.near) > 0 {
 		return l.near.home(hash)
@@ -64,55 +64,55 @@
 	return l.far.home(hash)
 }
 
-// retryAfter is when a caller refused now should come back.
+// retryAfter is when a caller refused at now should return.
 func (l *pool) retryAfter(now time.Time, random *rand.Rand) time.Duration {
-	each := l.rate.Gap(now)
-	return l.returns.Next(now, each, each, random)
+	gap := l.rate.Gap(now)
+	return l.returns.Next(now, gap, gap, random)
 }
 
-// tier is the replicas of a pool at one distance.
+// tier holds the replicas of a pool at one distance.
 type tier struct {
-	// free are those with room, spare the cold ones whose places are not this
-	// entry's but may be unused.
-	free, spare list
-	// ring is the ring that the tier's replicas are on, link what the way to them
-	// costs.
-	ring *ring
-	link float64
-	// load and limit are sums over all.
+	// free are those with free slots, spare the cold ones whose free slots belong
+	// to other entries but may be unused.
+	free, spare replicaList
+	// ring is the ring of the tier's replicas, linkCost the cost of the link to
+	// them.
+	ring     *ring
+	linkCost float64
+	// load and limit are sums over all replicas.
 	load, limit int
 }
 
 func (t *tier) add(p *replica) {
 	t.ring.add(p)
 	p.tier = t
-	p.load, p.counted = 0, 0
+	p.tierLoad, p.tierLimit = 0, 0
 }
 
 func (t *tier) remove(p *replica) {
 	t.ring.remove(p)
-	t.limit -= p.counted
-	t.load -= p.load
-	p.in.remove(p)
+	t.limit -= p.tierLimit
+	t.load -= p.tierLoad
+	p.list.remove(p)
 	p.tier = nil
 }
 
-// update brings the sums and the list of free ones in line with the replica.
+// update adjusts the sums and lists to the replica's load and limit.
 func (t *tier) update(p *replica) {
 	n := p.estimate()
-	t.load += n - p.load
-	t.limit += p.state.Limit - p.counted
-	p.load, p.counted = n, p.state.Limit
-	to := t.listFor(p)
-	if p.in != to {
-		p.in.remove(p)
-		to.add(p)
+	t.load += n - p.tierLoad
+	t.limit += p.state.Limit - p.tierLimit
+	p.tierLoad, p.tierLimit = n, p.state.Limit
+	target := t.listFor(p)
+	if p.list != target {
+		p.list.remove(p)
+		target.add(p)
 	}
 }
 
-func (t *tier) listFor(p *replica) *list {
+func (t *tier) listFor(p *replica) *replicaList {
 	switch {
-	case p.room() <= 0:
+	case p.freeSlots() <= 0:
 		return nil
 	case p.state.Gate == messenger.GateCold && len(p.inflight) >= p.quota:
 		return &t.spare
@@ -121,8 +121,8 @@
 	}
 }
 
-// mean is the load of the tier as a part of its limit.
-func (t *tier) mean() float64 {
+// meanUsage is the load of the tier as a share of its limit.
+func (t *tier) meanUsage() float64 {
 	if t.limit == 0 {
 		return 0
 	}
--- a/internal/router/router.go
+++ b/internal/router/router.go
@@ -1,7 +1,6 @@
-// Package router chooses the replica that a request is sent to, from the bundle
-// and from what agents reported some time ago. It may be wrong: the agent has
-// the last word, and a wrong choice costs a truthful "not run" and another
-// attempt.
+// Package router chooses the replica for a request, based on the bundle and on
+// earlier reports of the agents. Its view may be outdated: the agent decides,
+// and a wrong choice costs a correct "not run" and another attempt.
 package router
 
 import (
@@ -28,35 +27,33 @@
 	DefaultAffinityGain = 0.6
 )
 
-// forgetAfter times StaleAfter is how long a silent agent stays known.
-const forgetAfter = 20
+// forgetFactor times StaleAfter is how long an unresponsive agent is kept.
+const forgetFactor = 20
 
-// Router knows the agents of its entry. Set the exported fields before use. It
+// Router tracks the agents of its entry. Set the exported fields before use. It
 // is safe for concurrent use.
 type Router struct {
-	// FailureDomain and Region are the entry's own.
+	// FailureDomain and Region are those of the entry.
 	FailureDomain, Region string
 	Clock                 clock.PassiveClock
-	// StaleAfter is how long an agent's report counts; 0 means
-	// DefaultStaleAfter.
+	// StaleAfter is how long an agent's report is valid; 0 means DefaultStaleAfter.
 	StaleAfter time.Duration
-	// ReportLag is how old a report's count of running requests may be when it
-	// arrives, so that a pick within it is not taken to be covered; 0 means
-	// DefaultReportLag.
+	// ReportLag is how old a report's count of running requests may be on arrival.
+	// Picks within it are not taken to be covered; 0 means DefaultReportLag.
 	ReportLag time.Duration
-	// RefusedFor and FailedFor are how long a replica is passed over after it
-	// refused a request or an attempt's outcome is unknown, before the spread of
-	// as much again; 0 means DefaultRefusedFor and DefaultFailedFor.
+	// RefusedFor and FailedFor are how long a replica is skipped after it refused a
+	// request or an attempt's outcome is unknown, plus up to as much at random; 0
+	// means DefaultRefusedFor and DefaultFailedFor.
 	RefusedFor, FailedFor time.Duration
-	// DomainCost and RegionCost are what the link to another failure domain of
-	// the region and to another region costs, as a part of a replica's limit;
-	// 0 means DefaultDomainCost and DefaultRegionCost.
+	// DomainCost and RegionCost are the costs of the link to another failure domain
+	// of the region and to another region, as a share of a replica's limit; 0 means
+	// DefaultDomainCost and DefaultRegionCost.
 	DomainCost, RegionCost float64
-	// AffinityGain is what a likely cached prefix is worth, in the same unit; 0
+	// AffinityGain is the value of a probably cached prefix in the same unit; 0
 	// means DefaultAffinityGain, below 0 none.
 	AffinityGain float64
-	// Sharing is how many entries route to each agent when not all do; 0 means all
-	// that SetEntries names.
+	// Sharing is how many entries route to each agent if not all do; 0 means all
+	// passed to SetEntries.
 	Sharing int
 	// Random drives all choices; the caller seeds it and uses it nowhere else.
 	Random *rand.Rand
@@ -65,13 +62,13 @@
 	bundle   *index
 	replicas map[string]*replica
 	pools    map[poolKey]*pool
-	live     heardList
-	quiet    heardList
+	live     contactList
+	stale    contactList
 	self     string
 	entries  []string
 }
 
-// SetBundle takes a bundle over; one older than the present is ignored.
+// SetBundle replaces the bundle; an older one is ignored.
 func (r *Router) SetBundle(b *bundler.Bundle) {
 	r.mu.Lock()
 	defer r.mu.Unlock()
@@ -82,9 +79,8 @@
 	r.placeAll()
 }
 
-// Report takes an agent's account of itself over and tells whether it was news.
-// A late report of the same incarnation is dropped, and so is one of an earlier
-// incarnation.
+// Report applies an agent's report and returns whether it was newer. Late
+// reports of the same incarnation and those of earlier incarnations are dropped.
 func (r *Router) Report(s messenger.AgentState) bool {
 	r.mu.Lock()
 	defer r.mu.Unlock()
@@ -95,22 +91,22 @@
 		return false
 	}
 	if p == nil || p.state.Incarnation != s.Incarnation {
-		p = r.replace(p, s)
+		p = r.addReplica(p, s)
 	}
-	p.take(s, now, now.Add(-orDuration(r.ReportLag, DefaultReportLag)))
-	p.list.remove(p)
+	p.applyReport(s, now, now.Add(-orDuration(r.ReportLag, DefaultReportLag)))
+	p.contacts.remove(p)
 	r.live.push(p)
 	r.place(p)
 	return true
 }
 
-// replace makes the record of a new agent or incarnation. What ran under the old
-// one is over: its choices count no more.
-func (r *Router) replace(old *replica, s messenger.AgentState) *replica {
+// addReplica adds the replica of a new agent or incarnation. The choices of an
+// earlier incarnation are not counted any more.
+func (r *Router) addReplica(old *replica, s messenger.AgentState) *replica {
 	p := newReplica(s)
 	if old != nil {
-		p.succeed(old)
-		r.drop(old)
+		p.inheritFrom(old)
+		r.removeReplica(old)
 	}
 	if r.replicas == nil {
 		r.replicas = map[string]*replica{}
@@ -120,35 +116,35 @@
 	return p
 }
 
-// Remove forgets an agent, such as one that the list of VMs no longer shows.
+// Remove removes an agent, such as one missing from the list of VMs.
 func (r *Router) Remove(id string) {
 	r.mu.Lock()
 	defer r.mu.Unlock()
 	if p := r.replicas[id]; p != nil {
-		r.drop(p)
+		r.removeReplica(p)
 	}
 }
 
-func (r *Router) drop(p *replica) {
-	p.list.remove(p)
-	p.unplace()
+func (r *Router) removeReplica(p *replica) {
+	p.contacts.remove(p)
+	p.removeFromTier()
 	delete(r.replicas, p.state.ID)
 }
 
-// Agents lists the last reports of the agents heard within StaleAfter.
+// Agents lists the last reports of agents with a contact within StaleAfter.
 func (r *Router) Agents() []messenger.AgentState {
 	r.mu.Lock()
 	defer r.mu.Unlock()
 	r.sweep(r.Clock.Now())
 	states := make([]messenger.AgentState, 0, len(r.replicas))
-	for p := r.live.first; p != nil; p = p.after {
+	for p := r.live.first; p != nil; p = p.next {
 		states = append(states, p.state)
 	}
 	return states
 }
 
-// SetEntries names this entry and all live ones, itself included, so that a cold
-// replica's few places can be divided among them.
+// SetEntries sets this entry and all live ones, including itself, so that a cold
+// replica's few slots can be divided among them.
 func (r *Router) SetEntries(self string, ids []string) {
 	r.mu.Lock()
 	defer r.mu.Unlock()
@@ -160,38 +156,38 @@
 	r.placeAll()
 }
 
-// sweep sets agents aside that have been silent for too long. Reports are kept
-// in the order of arrival, so that each costs this only once.
+// sweep sets unresponsive agents aside. Replicas are kept in the order of their
+// last report, so that each is handled only once.
 func (r *Router) sweep(now time.Time) {
-	stale := orDuration(r.StaleAfter, DefaultStaleAfter)
-	for p := r.live.first; p != nil && now.Sub(p.heard) > stale; p = r.live.first {
+	staleAfter := orDuration(r.StaleAfter, DefaultStaleAfter)
+	for p := r.live.first; p != nil && now.Sub(p.lastContact) > staleAfter; p = r.live.first {
 		r.live.remove(p)
-		r.quiet.push(p)
-		p.unplace()
+		r.stale.push(p)
+		p.removeFromTier()
 	}
-	for p := r.quiet.first; p != nil && now.Sub(p.heard) > forgetAfter*stale; p = r.quiet.first {
-		r.drop(p)
+	for p := r.stale.first; p != nil && now.Sub(p.lastContact) > forgetFactor*staleAfter; p = r.stale.first {
+		r.removeReplica(p)
 	}
 }
 
 func (r *Router) placeAll() {
-	for p := r.live.first; p != nil; p = p.after {
+	for p := r.live.first; p != nil; p = p.next {
 		r.place(p)
 	}
 }
 
-// place puts a live replica where Pick finds it, according to its state. Most
-// reports only change its load, which leaves it on the same ring.
+// place puts a live replica where Pick finds it. Most reports change only its
+// load, so it stays on the same ring.
 func (r *Router) place(p *replica) {
-	if r.bundle == nil || !p.takesWork() || !r.bundle.serves(p.state) {
-		p.unplace()
+	if r.bundle == nil || !p.acceptsWork() || !r.bundle.allowsWork(p.state) {
+		p.removeFromTier()
 		return
 	}
-	p.current = r.bundle.current(p.state)
+	p.currentWeights = r.bundle.holdsAnnouncedWeights(p.state)
 	p.quota = r.quota(p)
-	t := &r.pool(keyOf(p.state)).tiers[r.distance(p.state)]
+	t := &r.pool(poolKeyOf(p.state)).tiers[r.distance(p.state)]
 	if p.tier != t {
-		p.unplace()
+		p.removeFromTier()
 		t.add(p)
 	}
 	t.update(p)
@@ -207,14 +203,14 @@
 }
 
 func (r *Router) newPool() *pool {
-	l := &pool{parts: limiter.Parts{Even: evenPart}}
+	l := &pool{parts: limiter.Parts{Even: evenShare}}
 	l.tiers[sameDomain] = tier{ring: &l.near}
-	l.tiers[sameRegion] = tier{ring: &l.near, link: orDefault(r.DomainCost, DefaultDomainCost)}
-	l.tiers[otherRegion] = tier{ring: &l.far, link: orDefault(r.RegionCost, DefaultRegionCost)}
+	l.tiers[sameRegion] = tier{ring: &l.near, linkCost: orDefault(r.DomainCost, DefaultDomainCost)}
+	l.tiers[otherRegion] = tier{ring: &l.far, linkCost: orDefault(r.RegionCost, DefaultRegionCost)}
 	return l
 }
 
-// distance is the tier that an agent belongs to, seen from this entry.
+// distance is the tier of an agent relative to this entry.
 func (r *Router) distance(s messenger.AgentState) tierIndex {
 	switch {
 	case s.FailureDomain == r.FailureDomain:
--- a/internal/router/router_test.go
+++ b/internal/router/router_test.go
@@ -21,8 +21,8 @@
 
 const manifest = "sha256:0000000000000000000000000000000000000000000000000000000000000001"
 
-// threeDomains serves one model and one service in north and south of region
-// one and east of region two.
+// threeDomains serves one model and one service in north and south of region one
+// and east of region two.
 func threeDomains() *bundler.Bundle {
 	return &bundler.Bundle{
 		Revision: 1,
@@ -42,7 +42,7 @@
 	return r, c
 }
 
-// engine is an idle open replica of the model in the nth domain.
+// engine is an idle open replica of the model in the given domain.
 func engine(n int, domain string) messenger.AgentState {
 	region := map[string]string{"north": "one", "south": "one", "east": "two"}[domain]
 	return messenger.AgentState{
@@ -52,22 +52,22 @@
 	}
 }
 
-var ask = router.Request{Workspace: "farm", Model: "rota"}
+var modelRequest = router.Request{Workspace: "farm", Model: "rota"}
 
 func TestPickNearestWithRoom(t *testing.T) {
 	r, _ := newRouter(threeDomains())
 	r.Report(engine(1, "north"))
 	r.Report(engine(2, "east"))
-	c, err := r.Pick(ask)
+	c, err := r.Pick(modelRequest)
 	must.NoError(t, err)
 	must.EqOp(t, "vm-1", c.AgentID)
 	c.Done(retrier.Ran)
 	c.Done(retrier.Ran)
 	for range 8 {
-		_, err = r.Pick(ask)
+		_, err = r.Pick(modelRequest)
 		must.NoError(t, err)
 	}
-	_, err = r.Pick(ask)
+	_, err = r.Pick(modelRequest)
 	e := wantError[*router.FullError](t, err)
 	must.Positive(t, e.RetryAfter)
 }
