--- a/internal/admitter/admitter.go
+++ b/internal/admitter/admitter.go
@@ -1,8 +1,7 @@
-// Package admitter is an agent's gate: the one place that decides whether a
-// request may pass to the upstream on the same VM. It counts exactly, because
-// nothing reaches the upstream but through it, and it takes every unexplained
-// sign for a restart. It is pure: it knows no network and reads no clock but the
-// one it is given.
+// Package admitter is an agent's gate: it alone decides whether a request may
+// pass to the upstream on the same VM. Its count is exact because the upstream
+// is reached only through it, and it treats every unexplained sign as a restart.
+// It has no network access and reads only the given clock.
 package admitter
 
 import (
@@ -10,10 +9,10 @@
 	"time"
 )
 
-// Work is a request that asks to pass. Empty fields ask for nothing particular.
-type Work struct {
-	// Priority is the request's for the upstream and the logs. The gate holds no
-	// queue, so that it has nothing to put in order: entries shed by priority.
+// Request is a request for admission. Empty fields impose no condition.
+type Request struct {
+	// Priority is the request's priority for the upstream and the logs. The gate
+	// has no queue to order: entries shed by priority.
 	Priority int
 	// Deadline is when the caller gives up; zero for never.
 	Deadline time.Time
@@ -23,70 +22,78 @@
 	EngineStart string
 }
 
-// Result is how a request that passed has ended.
+// Result is how an admitted request ended.
 type Result struct {
 	Outcome Outcome
 	// Latency is the time from admission to the end of the reply.
 	Latency time.Duration
 }
 
-// Outcome is the end of a request as seen from the upstream's wire.
+// Outcome is how a request ended, as observed on the connection to the
+// upstream.
 type Outcome int
 
 // The outcomes of a request.
 const (
-	// Served is a whole reply.
+	// Served means that the reply was complete.
 	Served Outcome = iota
-	// Failed is an honest error of the request itself, from a sound upstream.
+	// Failed means that a healthy upstream reported an error of the request
+	// itself.
 	Failed
-	// Refused is an upstream that would not take the request or the connection.
+	// Refused means that the upstream refused the request or the connection.
 	Refused
-	// Cut is a reply without its end.
+	// Cut means that the reply ended early.
 	Cut
-	// Cancelled is a request that its caller gave up: it proves nothing.
+	// Cancelled means that the caller gave up, which shows nothing about the
+	// upstream.
 	Cancelled
 )
 
-// Reason says why a request was not let through.
+// Reason is why a request was refused.
 type Reason string
 
-// The reasons for a refusal, and those to hold the gate closed.
+// The reasons for a refusal. The first group are also reasons to close the
+// gate.
 const (
-	// Booting holds every new gate until its agent opens it.
+	// Booting closes every new gate until its agent opens it.
 	Booting Reason = "booting"
-	// Drained is a failure domain that operators have taken out.
+	// Drained means that operators have drained the failure domain.
 	Drained Reason = "drained"
-	// Leaving is an agent that shuts down.
+	// Leaving means that the agent is shutting down.
 	Leaving Reason = "leaving"
-	// Listed is a VM that the platform lists as leaving.
-	Listed Reason = "listedLeaving"
-	// Switching is an engine that is put to other weights.
+	// ListedLeaving means that the platform lists the VM as leaving.
+	ListedLeaving Reason = "listedLeaving"
+	// Switching means that the engine is switching to other weights.
 	Switching Reason = "switching"
-	// Stale is an agent without fresh word of the bundle in force.
-	Stale Reason = "staleBundle"
-	// Unproven is an engine not yet known to hold the weights it should.
+	// StaleBundle means that the agent has no recent confirmation of the bundle
+	// in force.
+	StaleBundle Reason = "staleBundle"
+	// Unproven means that the engine has not been verified to hold its assigned
+	// weights.
 	Unproven Reason = "unproven"
-	// Gone is an upstream that does not answer at all.
-	Gone Reason = "upstreamGone"
+	// UpstreamGone means that the upstream does not answer at all.
+	UpstreamGone Reason = "upstreamGone"
 
-	// Full is a gate at its present limit.
+	// Full means that the gate is at its current limit.
 	Full Reason = "full"
-	// Unconfirmed is a gate that waits for a probe before it lets more through.
+	// Unconfirmed means that the gate admits no more requests until the next
+	// probe.
 	Unconfirmed Reason = "unconfirmed"
-	// Expired is a request whose deadline has passed.
+	// Expired means that the request's deadline has passed.
 	Expired Reason = "expired"
-	// WrongWeights is a request for weights that the engine does not hold.
+	// WrongWeights means that the engine does not hold the requested weights.
 	WrongWeights Reason = "wrongWeights"
-	// WrongStart is a request bound to another start of the engine.
+	// WrongStart means that the request is bound to another start of the
+	// engine.
 	WrongStart Reason = "wrongStart"
 )
 
-// RefusedError reports a request that was not passed on: it certainly has not
+// RefusedError reports a request that was not admitted: it has certainly not
 // run here.
 type RefusedError struct {
 	Reason Reason
-	// RetryAfter is when this agent is likely to take the request; 0 when it is
-	// better to ask another.
+	// RetryAfter is when this agent is likely to admit the request; 0 if
+	// another agent is the better choice.
 	RetryAfter time.Duration
 }
 
@@ -94,11 +101,11 @@
 	return fmt.Sprintf("gate refused: %s", e.Reason)
 }
 
-// Probe is what asking the upstream for its state gave.
+// Probe is the result of querying the upstream's state.
 type Probe struct {
-	// Mark is what Gate.Mark gave before the probe was sent.
+	// Mark is the result of Gate.Mark before the probe was sent.
 	Mark Mark
-	// Err is set when the probe failed; the other fields are then ignored.
+	// Err is set if the probe failed; the other fields are then ignored.
 	Err error
 	// Latency is how long the answer took.
 	Latency time.Duration
@@ -109,8 +116,8 @@
 	Model, Version, Manifest string
 }
 
-// Mark is a point in the gate's own order of events: it tells what a probe's
-// answer can prove, whenever that answer arrives.
+// Mark is a point in the gate's sequence of events. It determines what the
+// answer to a probe can confirm, regardless of when it arrives.
 type Mark struct {
-	connected, narrowed uint64
+	connected, resets uint64
 }
--- a/internal/admitter/gate.go
+++ b/internal/admitter/gate.go
@@ -16,71 +16,72 @@
 	defaultStep      = 100 * time.Millisecond
 )
 
-// Gate lets requests through to one upstream. Set the exported fields before
-// the first call. A new gate is held for Booting. All methods may be called
+// Gate admits requests to one upstream. Set the exported fields before the
+// first call. A new gate is closed for Booting. All methods may be called
 // concurrently.
 type Gate struct {
 	Clock clock.PassiveClock
-	// ColdLimit is how many requests a cold upstream bears at once; 0 means 1.
+	// ColdLimit is how many concurrent requests a cold upstream can handle; 0
+	// means 1.
 	ColdLimit int
-	// Limit is how many it bears when warm.
+	// Limit is how many it can handle when warm.
 	Limit int
-	// Slow is the latency from which a probe's answer counts as a bad sign; 0
-	// means one second.
+	// Slow is the latency from which a probe counts as failed; 0 means one
+	// second.
 	Slow time.Duration
-	// Step is the least time between two steps by which the limit widens; 0 means
-	// 100 ms.
+	// Step is the least time between two increments of the limit; 0 means 100 ms.
 	Step time.Duration
-	// Confirm bounds what an upstream can get that has turned cold since its last
-	// probe: beyond ColdLimit, a request passes only once probes sent after the
-	// others were connected have found the upstream warm. Whoever sets it calls
-	// Ticket.Connected, probes whenever Wanted says so, and admits by Enter.
+	// Confirm bounds the load on an upstream that turned cold since its last
+	// probe: beyond ColdLimit, a request is admitted only after probes sent once
+	// the others were connected have found the upstream warm. It requires calls
+	// of Ticket.Connected, a probe whenever ProbeWanted signals, and admission by
+	// AdmitWait.
 	Confirm bool
 
-	mu      sync.Mutex
-	begun   bool
-	holds   []Reason
-	running int
-	changed chan struct{}
-	idle    chan struct{}
-
-	// width is the present limit, widened when it last grew.
-	width   int
-	widened time.Time
-	// latency is the moving average of replies.
+	mu          sync.Mutex
+	initialized bool
+	holds       []Reason
+	running     int
+	changed     chan struct{}
+	idle        chan struct{}
+
+	// currentLimit is the present limit, limitRaisedAt when it last grew.
+	currentLimit  int
+	limitRaisedAt time.Time
+	// latency is the moving average of reply latencies.
 	latency time.Duration
-	// fresh are the running requests that no probe has confirmed yet.
-	fresh     map[*Ticket]struct{}
-	connected uint64
-	narrowed  uint64
-	wanted    chan struct{}
-
-	// proved is set once a probe was answered; the rest is from the last answer.
-	proved  bool
-	cold    bool
-	startID string
-	uptime  time.Duration
-	asOf    time.Time
-	held    weights
+	// unconfirmed are the running requests not yet confirmed by a probe.
+	unconfirmed map[*Ticket]struct{}
+	connected   uint64
+	resets      uint64
+	probeWanted chan struct{}
+
+	// probed is set once a probe was answered; the rest is from the last answer.
+	probed   bool
+	cold     bool
+	startID  string
+	uptime   time.Duration
+	probedAt time.Time
+	loaded   weights
 }
 
-// Ticket is the right of one request to be with the upstream.
+// Ticket is the admission of one request to the upstream.
 type Ticket struct {
 	gate *Gate
 	done bool
-	// narrowed is the gate's count of narrowings at admission: what a request
-	// proves of the upstream holds only when none came between.
-	narrowed uint64
-	// connected is the gate's count of connections at this one; 0 before it.
+	// resets is the gate's count of limit resets at admission: the request's
+	// result is evidence only if there was none since.
+	resets uint64
+	// connected is the gate's connection count at this connection; 0 before it.
 	connected uint64
 }
 
-// begin fills in what the zero value of Gate leaves out. Callers hold g.mu.
-func (g *Gate) begin() {
-	if g.begun {
+// initialize sets the defaults of a zero Gate. Callers hold g.mu.
+func (g *Gate) initialize() {
+	if g.initialized {
 		return
 	}
-	g.begun = true
+	g.initialized = true
 	g.holds = append(g.holds, Booting)
 	g.ColdLimit = max(g.ColdLimit, defaultColdLimit)
 	g.Limit = max(g.Limit, 1)
@@ -90,20 +91,20 @@
 	if g.Step <= 0 {
 		g.Step = defaultStep
 	}
-	g.width = g.floor()
+	g.currentLimit = g.coldLimit()
 	g.cold = true
-	g.fresh = map[*Ticket]struct{}{}
-	g.wanted = make(chan struct{}, 1)
+	g.unconfirmed = map[*Ticket]struct{}{}
+	g.probeWanted = make(chan struct{}, 1)
 	g.changed = make(chan struct{})
 	g.idle = make(chan struct{})
 	close(g.idle)
 }
 
 // Admit decides at once whether w may pass. A refusal is a *RefusedError.
-func (g *Gate) Admit(w Work) (*Ticket, error) {
+func (g *Gate) Admit(w Request) (*Ticket, error) {
 	g.mu.Lock()
 	defer g.mu.Unlock()
-	g.begin()
+	g.initialize()
 	if err := g.refusal(w); err != nil {
 		return nil, err
 	}
@@ -111,47 +112,45 @@
 		g.idle = make(chan struct{})
 	}
 	g.running++
-	t := &Ticket{gate: g, narrowed: g.narrowed}
+	t := &Ticket{gate: g, resets: g.resets}
 	if g.Confirm {
-		g.fresh[t] = struct{}{}
+		g.unconfirmed[t] = struct{}{}
 	}
 	return t, nil
 }
 
-// refusal says what keeps w out, nil when nothing does.
-func (g *Gate) refusal(w Work) error {
+// refusal returns why w is not admitted; nil if it is.
+func (g *Gate) refusal(w Request) error {
 	switch {
 	case len(g.holds) > 0:
 		return &RefusedError{Reason: g.holds[0]}
 	case !w.Deadline.IsZero() && !g.Clock.Now().Before(w.Deadline):
 		return &RefusedError{Reason: Expired}
-	case !g.held.suit(w):
+	case !g.loaded.satisfies(w):
 		return &RefusedError{Reason: WrongWeights}
 	case w.EngineStart != "" && w.EngineStart != g.startID:
 		return &RefusedError{Reason: WrongStart}
-	case g.running >= g.width:
+	case g.running >= g.currentLimit:
 		return &RefusedError{Reason: Full, RetryAfter: g.retryAfter()}
-	case len(g.fresh) >= g.floor():
-		// Between two probes the upstream may have been restarted, with nothing
-		// running whose connection would have broken. A full load would then meet a
-		// cold upstream, which falls over; one would see it by its start id
-		// changing again and again under load. What is not confirmed is therefore
-		// kept to what a cold upstream bears.
-		g.want()
+	case len(g.unconfirmed) >= g.coldLimit():
+		// Between two probes an idle upstream may have restarted without breaking
+		// any connection. A full load on the cold upstream would crash it, which
+		// shows as start ids that keep changing under load. Unconfirmed requests
+		// are therefore limited to what a cold upstream can handle.
+		g.requestProbe()
 		return &RefusedError{Reason: Unconfirmed, RetryAfter: g.Slow}
 	}
 	return nil
 }
 
-// retryAfter is when the next of the running requests should be through.
+// retryAfter is when the next of the running requests should end.
 func (g *Gate) retryAfter() time.Duration {
-	return g.latency / time.Duration(max(g.width, 1))
+	return g.latency / time.Duration(max(g.currentLimit, 1))
 }
 
-// Enter is Admit that waits out a probe which is asked for now. It returns once
-// the gate has decided otherwise or ctx is done; in both cases the error is the
-// gate's.
-func (g *Gate) Enter(ctx context.Context, w Work) (*Ticket, error) {
+// AdmitWait is Admit that waits for a pending probe if one is required. It returns
+// once the gate has decided or ctx is done; in both cases the error is the gate's.
+func (g *Gate) AdmitWait(ctx context.Context, w Request) (*Ticket, error) {
 	for {
 		changed := g.Changed()
 		t, err := g.Admit(w)
@@ -167,9 +166,9 @@
 	}
 }
 
-// Connected notes that the request has its connection: should the upstream be
-// restarted from now on, that connection breaks and Done hears of it. Calls
-// after the first do nothing.
+// Connected records that the request has its connection: a restart of the
+// upstream from this point on breaks it and is reported to Done. Calls after
+// the first do nothing.
 func (t *Ticket) Connected() {
 	g := t.gate
 	g.mu.Lock()
@@ -179,8 +178,8 @@
 	}
 	g.connected++
 	t.connected = g.connected
-	if len(g.fresh) >= g.floor() && !g.cold {
-		g.want()
+	if len(g.unconfirmed) >= g.coldLimit() && !g.cold {
+		g.requestProbe()
 	}
 }
 
@@ -193,31 +192,31 @@
 		return
 	}
 	t.done = true
-	delete(g.fresh, t)
+	delete(g.unconfirmed, t)
 	g.running--
-	g.learn(t, r)
+	g.applyResult(t, r)
 	if g.running == 0 {
 		close(g.idle)
 	}
-	g.announce()
+	g.notifyChanged()
 }
 
-// learn takes the end of a request as a sign of how the upstream is.
-func (g *Gate) learn(t *Ticket, r Result) {
+// applyResult adjusts the limit to the result of a request.
+func (g *Gate) applyResult(t *Ticket, r Result) {
 	switch r.Outcome {
 	case Served, Failed:
-		g.observe(r.Latency)
-		if t.narrowed == g.narrowed {
-			g.widen()
+		g.updateLatency(r.Latency)
+		if t.resets == g.resets {
+			g.raiseLimit()
 		}
 	case Refused, Cut:
-		g.narrow()
+		g.resetLimit()
 	case Cancelled:
 	}
 }
 
-// observe follows the latency of replies with a moving average.
-func (g *Gate) observe(d time.Duration) {
+// updateLatency updates the moving average of reply latencies.
+func (g *Gate) updateLatency(d time.Duration) {
 	const weight = 8
 	if g.latency == 0 {
 		g.latency = d
--- a/internal/admitter/probe.go
+++ b/internal/admitter/probe.go
@@ -2,101 +2,102 @@
 
 import "time"
 
-// weights are what the last good probe found in the engine.
+// weights are those that the last successful probe found in the engine.
 type weights struct {
 	model, version, manifest string
 }
 
-func (h weights) suit(w Work) bool {
+func (h weights) satisfies(w Request) bool {
 	return (w.Model == "" || w.Model == h.model) &&
 		(w.Version == "" || w.Version == h.version) &&
 		(w.Manifest == "" || w.Manifest == h.manifest)
 }
 
-// Mark is to be taken before a probe is sent and put into Probe.Mark.
+// Mark must be called before a probe is sent; its result goes into Probe.Mark.
 func (g *Gate) Mark() Mark {
 	g.mu.Lock()
 	defer g.mu.Unlock()
-	g.begin()
-	return Mark{connected: g.connected, narrowed: g.narrowed}
+	g.initialize()
+	return Mark{connected: g.connected, resets: g.resets}
 }
 
-// Wanted gives a channel that asks for a probe now, besides the regular ones.
-func (g *Gate) Wanted() <-chan struct{} {
+// ProbeWanted returns a channel that requests a probe besides the regular ones.
+func (g *Gate) ProbeWanted() <-chan struct{} {
 	g.mu.Lock()
 	defer g.mu.Unlock()
-	g.begin()
-	return g.wanted
+	g.initialize()
+	return g.probeWanted
 }
 
-// want asks for a probe; one request for it is as good as many.
-func (g *Gate) want() {
+// requestProbe requests a probe; pending requests are merged.
+func (g *Gate) requestProbe() {
 	select {
-	case g.wanted <- struct{}{}:
+	case g.probeWanted <- struct{}{}:
 	default:
 	}
 }
 
-// Probe takes in what a probe of the upstream gave.
+// Probe applies the result of a probe of the upstream.
 func (g *Gate) Probe(p Probe) {
 	g.mu.Lock()
 	defer g.mu.Unlock()
-	g.begin()
-	defer g.announce()
+	g.initialize()
+	defer g.notifyChanged()
 	if p.Err != nil || p.Latency >= g.Slow {
-		g.narrow()
+		g.resetLimit()
 		return
 	}
 	now := g.Clock.Now()
 	if p.Cold || g.restarted(p, now) {
-		g.narrow()
+		g.resetLimit()
 	}
-	g.proved = true
-	g.startID, g.uptime, g.asOf = p.StartID, p.Uptime, now
-	g.held = weights{model: p.Model, version: p.Version, manifest: p.Manifest}
-	// A probe sent before the last bad sign says nothing of the time after it.
-	if !p.Cold && p.Mark.narrowed == g.narrowed {
+	g.probed = true
+	g.startID, g.uptime, g.probedAt = p.StartID, p.Uptime, now
+	g.loaded = weights{model: p.Model, version: p.Version, manifest: p.Manifest}
+	// A probe sent before the last failure shows nothing about the time after
+	// it.
+	if !p.Cold && p.Mark.resets == g.resets {
 		g.cold = false
 		g.confirm(p.Mark)
-		g.widen()
+		g.raiseLimit()
 	}
 }
 
-// restarted tells whether the upstream may be another one than at the last
-// probe: its start id has changed, or it has been up for less long than it must
-// have been.
+// restarted reports whether the upstream may have restarted since the last
+// probe: its start id changed, or its uptime is shorter than the time since
+// then requires.
 func (g *Gate) restarted(p Probe, now time.Time) bool {
-	least := g.uptime + now.Sub(g.asOf) - g.Slow
-	return !g.proved || p.StartID != g.startID || p.Uptime < max(g.uptime, least)
+	minUptime := g.uptime + now.Sub(g.probedAt) - g.Slow
+	return !g.probed || p.StartID != g.startID || p.Uptime < max(g.uptime, minUptime)
 }
 
-// confirm takes those requests for confirmed that had their connection before
-// the probe was sent.
+// confirm marks those requests as confirmed that were connected before the
+// probe was sent.
 func (g *Gate) confirm(m Mark) {
-	for t := range g.fresh {
+	for t := range g.unconfirmed {
 		if t.connected > 0 && t.connected <= m.connected {
-			delete(g.fresh, t)
+			delete(g.unconfirmed, t)
 		}
 	}
 }
 
-// floor is the limit of a gate that knows nothing good of its upstream.
-func (g *Gate) floor() int { return min(g.ColdLimit, g.Limit) }
+// coldLimit is the limit while the upstream is not known to be warm.
+func (g *Gate) coldLimit() int { return min(g.ColdLimit, g.Limit) }
 
-// widen adds one to the limit for a good sign, at most once per Step. While the
-// upstream calls itself cold nothing counts as a good sign.
-func (g *Gate) widen() {
+// raiseLimit increments the limit, at most once per Step and only while the
+// upstream does not report itself cold.
+func (g *Gate) raiseLimit() {
 	now := g.Clock.Now()
-	if g.cold || g.width >= g.Limit || now.Sub(g.widened) < g.Step {
+	if g.cold || g.currentLimit >= g.Limit || now.Sub(g.limitRaisedAt) < g.Step {
 		return
 	}
-	g.width++
-	g.widened = now
+	g.currentLimit++
+	g.limitRaisedAt = now
 }
 
-// narrow takes the gate back to the cold limit.
-func (g *Gate) narrow() {
-	g.narrowed++
-	g.width = g.floor()
+// resetLimit reduces the limit to that of a cold upstream.
+func (g *Gate) resetLimit() {
+	g.resets++
+	g.currentLimit = g.coldLimit()
 	g.cold = true
 }
--- a/internal/admitter/service_test.go
+++ b/internal/admitter/service_test.go
@@ -24,44 +24,44 @@
 	"github.com/oriolecroft/oriolecroft/standins/imitator"
 )
 
-// rig is a gate before a stand-in service, over HTTP.
-type rig struct {
+// harness is a gate in front of a stand-in service, over HTTP.
+type harness struct {
 	gate    *admitter.Gate
 	clock   *testingclock.FakeClock // nil with the real clock
 	service driver.Service
 	url     string
 }
 
-func newRig(t *testing.T) *rig {
+func newHarness(t *testing.T) *harness {
 	t.Helper()
 	c := testingclock.NewFakeClock(epoch)
 	s := &imitator.Service{Clock: c, Time: time.Second, Limit: 16, ColdLimit: 2, ColdFor: time.Hour}
-	r := connect(t, c, s, true)
+	r := startHarness(t, c, s, true)
 	r.clock = c
 	return r
 }
 
-// connect puts a gate before the service.
-func connect(t testing.TB, c clock.PassiveClock, s *imitator.Service, confirm bool) *rig {
+// startHarness puts a gate in front of the service.
+func startHarness(t testing.TB, c clock.PassiveClock, s *imitator.Service, confirm bool) *harness {
 	t.Helper()
 	server := httptest.NewServer(s.Handler())
 	t.Cleanup(server.Close)
 	g := &admitter.Gate{Clock: c, ColdLimit: 2, Limit: 6, Confirm: confirm}
 	g.Open(admitter.Booting)
 	address := netip.MustParseAddrPort(server.Listener.Addr().String())
-	return &rig{gate: g, service: driver.Service{Address: address}, url: server.URL}
+	return &harness{gate: g, service: driver.Service{Address: address}, url: server.URL}
 }
 
-// probe asks the service for its state and tells the gate.
-func (r *rig) probe(ctx context.Context) {
+// probe queries the service's state and passes the result to the gate.
+func (r *harness) probe(ctx context.Context) {
 	mark := r.gate.Mark()
 	h, err := driver.Check(ctx, &r.service)
 	r.gate.Probe(admitter.Probe{Mark: mark, Err: err, StartID: h.StartID, Uptime: h.Uptime, Cold: h.Cold})
 }
 
-// call passes one booking through the gate, as an agent does.
-func (r *rig) call(ctx context.Context) error {
-	k, err := r.gate.Enter(ctx, admitter.Work{})
+// call sends one booking through the gate, as an agent does.
+func (r *harness) call(ctx context.Context) error {
+	k, err := r.gate.AdmitWait(ctx, admitter.Request{})
 	if err != nil {
 		return err
 	}
@@ -78,13 +78,13 @@
 	return err
 }
 
-// A booking service is restarted in a quiet minute, so that no broken connection
-// tells of it, and then the shed leads' swaps arrive together, before the next
-// regular probe. A gate that still trusts the last one sends them all; the cold
-// service falls over, and every one of those bookings is in doubt.
-func TestColdServiceIsSparedAfterAnUnheardRestart(t *testing.T) {
+// Guards against overloading a booking service that restarted while idle,
+// without breaking a connection. Many calls arrive together before the next
+// regular probe; if all were admitted, the cold service would crash and leave
+// the outcome of every booking unknown.
+func TestColdServiceIsNotOverloadedAfterUndetectedRestart(t *testing.T) {
 	const calls = 6
-	r := newRig(t)
+	r := newHarness(t)
 	r.clock.Step(time.Hour)
 	for range calls {
 		r.probe(t.Context())
@@ -100,7 +100,7 @@
 	served, full, doubtful := 0, 0, 0
 	for served+full+doubtful < calls {
 		select {
-		case <-r.gate.Wanted():
+		case <-r.gate.ProbeWanted():
 			r.probe(t.Context())
 		case err := <-results:
 			var refused *admitter.RefusedError
@@ -113,17 +113,17 @@
 				doubtful++
 			}
 		default:
-			r.pass(t, calls-served-full-doubtful)
+			r.advance(t, calls-served-full-doubtful)
 		}
 	}
 	test.Eq(t, 0, doubtful)
 	test.Eq(t, 2, served)
-	test.Eq(t, imitated{WorstCold: 2}, r.counts(t))
+	test.Eq(t, serviceCounts{WorstCold: 2}, r.counts(t))
 }
 
-// pass lets time go on once all that are left are running at the service: any
-// sooner, one could end before the other has arrived.
-func (r *rig) pass(t *testing.T, left int) {
+// advance steps the clock once all remaining calls are running at the service.
+// Earlier, one could end before another has arrived.
+func (r *harness) advance(t *testing.T, left int) {
 	t.Helper()
 	state, err := r.service.State(t.Context())
 	must.NoError(t, err)
@@ -133,7 +133,7 @@
 	runtime.Gosched()
 }
 
-func (r *rig) fault(t *testing.T, faults string) {
+func (r *harness) fault(t *testing.T, faults string) {
 	t.Helper()
 	resp, err := http.Post(r.url+"/admin/faults", "application/json", strings.NewReader(faults))
 	must.NoError(t, err)
@@ -141,28 +141,28 @@
 	must.Eq(t, http.StatusOK, resp.StatusCode)
 }
 
-// imitated is what the stand-in counts of a cold start.
-type imitated struct {
+// serviceCounts are the stand-in's counters for a cold start.
+type serviceCounts struct {
 	FellOver  int `json:"fellOver"`
 	WorstCold int `json:"worstCold"`
 }
 
-func (r *rig) counts(t *testing.T) imitated {
+func (r *harness) counts(t *testing.T) serviceCounts {
 	t.Helper()
 	resp, err := http.Get(r.url + "/admin/counts")
 	must.NoError(t, err)
 	defer resp.Body.Close()
-	var c imitated
+	var c serviceCounts
 	must.NoError(t, json.NewDecoder(resp.Body).Decode(&c))
 	return c
 }
 
-// BenchmarkConfirm is what the probes between calls cost: six callers at a
-// service that takes 20 ms for a call and has no cold start.
+// BenchmarkConfirm measures the cost of the probes between calls: six callers
+// of a service that takes 20 ms for a call and has no cold start.
 func BenchmarkConfirm(b *testing.B) {
 	for _, confirm := range []bool{false, true} {
 		b.Run(fmt.Sprint(confirm), func(b *testing.B) {
-			r := connect(b, clock.RealClock{}, &imitator.Service{Time: 20 * time.Millisecond}, confirm)
+			r := startHarness(b, clock.RealClock{}, &imitator.Service{Time: 20 * time.Millisecond}, confirm)
 			ctx, cancel := context.WithCancel(b.Context())
 			defer cancel()
 			go r.keepProbing(ctx)
@@ -186,8 +186,8 @@
 	}
 }
 
-// keepProbing probes every 100 ms and whenever the gate asks for it.
-func (r *rig) keepProbing(ctx context.Context) {
+// keepProbing probes every 100 ms and whenever the gate requests it.
+func (r *harness) keepProbing(ctx context.Context) {
 	t := time.NewTicker(100 * time.Millisecond)
 	defer t.Stop()
 	for ctx.Err() == nil {
@@ -195,7 +195,7 @@
 		select {
 		case <-ctx.Done():
 		case <-t.C:
-		case <-r.gate.Wanted():
+		case <-r.gate.ProbeWanted():
 		}
 	}
 }
--- a/internal/admitter/world_test.go
+++ b/internal/admitter/world_test.go
@@ -12,7 +12,7 @@
 	"github.com/oriolecroft/oriolecroft/internal/messenger"
 )
 
-// Sizes of the upstream in the model.
+// Limits of the upstream in the model.
 const (
 	coldLimit = 2
 	warmLimit = 6
@@ -21,13 +21,14 @@
 // picker chooses a number from 0 to n-1: rapid's draw or a seeded generator.
 type picker func(n int) int
 
-// request is one that the gate let through.
+// request is an admitted request.
 type request struct {
 	ticket ticket
-	// start is the upstream's start at which it got its connection; 0 before.
+	// start is the upstream's start at which it was connected; 0 before.
 	start int
-	// old requests were there before the upstream turned cold in place.
-	old bool
+	// olderThanCold requests were running before the upstream turned cold
+	// without a restart.
+	olderThanCold bool
 }
 
 // ticket is *admitter.Ticket or that of a naive gate.
@@ -36,8 +37,8 @@
 	Done(admitter.Result)
 }
 
-// subject is the gate under test.
-type subject interface {
+// gate is the gate under test.
+type gate interface {
 	enter() (ticket, bool)
 	Mark() admitter.Mark
 	Probe(admitter.Probe)
@@ -46,23 +47,23 @@
 	State() (state messenger.GateState, limit, running int)
 }
 
-// ours is the real gate.
-type ours struct{ *admitter.Gate }
+// realGate is the production gate.
+type realGate struct{ *admitter.Gate }
 
-func (o ours) enter() (ticket, bool) {
-	t, err := o.Admit(admitter.Work{})
+func (o realGate) enter() (ticket, bool) {
+	t, err := o.Admit(admitter.Request{})
 	return t, err == nil
 }
 
-// naive believes the last probe until the next one and does not read broken
-// connections as a sign.
-type naive struct {
+// naiveGate trusts the last probe until the next one and ignores broken
+// connections.
+type naiveGate struct {
 	*admitter.Gate
 	limit, running int
 	held           bool
 }
 
-func (n *naive) enter() (ticket, bool) {
+func (n *naiveGate) enter() (ticket, bool) {
 	if n.held || n.running >= n.limit {
 		return nil, false
 	}
@@ -70,9 +71,9 @@
 	return naiveTicket{n}, true
 }
 
-func (n *naive) Mark() admitter.Mark { return admitter.Mark{} }
+func (n *naiveGate) Mark() admitter.Mark { return admitter.Mark{} }
 
-func (n *naive) Probe(p admitter.Probe) {
+func (n *naiveGate) Probe(p admitter.Probe) {
 	switch {
 	case p.Err != nil:
 	case p.Cold:
@@ -82,41 +83,41 @@
 	}
 }
 
-func (n *naive) Close(admitter.Reason) { n.held = true }
-func (n *naive) Open(admitter.Reason)  { n.held = false }
+func (n *naiveGate) Close(admitter.Reason) { n.held = true }
+func (n *naiveGate) Open(admitter.Reason)  { n.held = false }
 
-func (n *naive) State() (state messenger.GateState, limit, running int) {
+func (n *naiveGate) State() (state messenger.GateState, limit, running int) {
 	return messenger.GateOpen, n.limit, n.running
 }
 
-// naiveTicket counts one request back.
-type naiveTicket struct{ *naive }
+// naiveTicket is the ticket of a naiveGate.
+type naiveTicket struct{ *naiveGate }
 
 func (naiveTicket) Connected()             {}
 func (t naiveTicket) Done(admitter.Result) { t.running-- }
 
-// question is a probe on its way.
-type question struct {
+// pendingProbe is a probe whose result the gate has not received.
+type pendingProbe struct {
 	mark     admitter.Mark
 	answered bool
-	answer   admitter.Probe
+	result   admitter.Probe
 }
 
-// world is an upstream and its gate. The upstream is restarted, turns cold and
-// warms up when it likes; its answers and broken connections are heard late and
-// out of order.
+// world is an upstream and its gate. The upstream restarts, turns cold and
+// warms up at random; its answers and broken connections arrive late and out of
+// order.
 type world struct {
-	gate      subject
+	gate      gate
 	clock     *testingclock.FakePassiveClock
 	start     int
 	startedAt time.Time
 	cold      bool
 	held      bool
 	requests  []*request
-	questions []*question
-	// worst is the most that the upstream had of new work while it was cold.
-	worst int
-	// admitted counts all that passed.
+	probes    []*pendingProbe
+	// maxColdLoad is the most new requests that the upstream had while cold.
+	maxColdLoad int
+	// admitted counts all admitted requests.
 	admitted int
 }
 
@@ -128,30 +129,31 @@
 		Slow: time.Second, Step: time.Millisecond, Confirm: true,
 	}
 	g.Open(admitter.Booting)
-	w.gate = ours{g}
+	w.gate = realGate{g}
 	return w
 }
 
 func newNaiveWorld() *world {
 	w := newWorld()
-	w.gate = &naive{limit: coldLimit}
+	w.gate = &naiveGate{limit: coldLimit}
 	return w
 }
 
-// step does one thing that can happen.
+// step performs one random event.
 func (w *world) step(pick picker) error {
 	before := len(w.requests)
 	actions := []func(picker){
 		w.admit, w.admit, w.admit, w.connect, w.connect, w.connect, w.finish, w.finish,
-		w.hear, w.hear, w.ask, w.ask, w.answer, w.answer, w.warm, w.advance,
-		w.notice, w.rarely(w.restart), w.rarely(w.turnCold), w.rarely(w.fail), w.rarely(w.hold),
+		w.deliverAnswer, w.deliverAnswer, w.sendProbe, w.sendProbe, w.answerProbe, w.answerProbe, w.warm, w.advance,
+		w.detectBrokenConnection, w.rarely(w.restart), w.rarely(w.turnCold), w.rarely(w.failProbe), w.rarely(w.toggleHold),
 	}
 	actions[pick(len(actions))](pick)
-	w.worst = max(w.worst, w.load())
+	w.maxColdLoad = max(w.maxColdLoad, w.load())
 	return w.check(before)
 }
 
-// rarely thins out an action, so that the gate has time to widen.
+// rarely makes an action less frequent, so that the gate has time to raise its
+// limit.
 func (w *world) rarely(action func(picker)) func(picker) {
 	return func(pick picker) {
 		if pick(4) == 0 {
@@ -175,11 +177,12 @@
 	return nil
 }
 
-// load is the new work of a cold upstream; a warm one bears all the gate gives.
+// load is the number of new requests at a cold upstream; a warm one can handle
+// all that the gate admits.
 func (w *world) load() int {
 	n := 0
 	for _, r := range w.requests {
-		if w.cold && !r.old && r.start == w.start {
+		if w.cold && !r.olderThanCold && r.start == w.start {
 			n++
 		}
 	}
@@ -195,8 +198,8 @@
 	w.requests = append(w.requests, &request{ticket: t})
 }
 
-// where picks one of the requests for which want holds.
-func (w *world) where(pick picker, want func(*request) bool) *request {
+// randomRequest picks one of the requests for which want is true.
+func (w *world) randomRequest(pick picker, want func(*request) bool) *request {
 	var rs []*request
 	for _, r := range w.requests {
 		if want(r) {
@@ -210,7 +213,7 @@
 }
 
 func (w *world) connect(pick picker) {
-	r := w.where(pick, func(r *request) bool { return r.start == 0 })
+	r := w.randomRequest(pick, func(r *request) bool { return r.start == 0 })
 	if r == nil {
 		return
 	}
@@ -219,12 +222,13 @@
 }
 
 func (w *world) finish(pick picker) {
-	w.end(w.where(pick, func(r *request) bool { return r.start == w.start }), admitter.Served)
+	w.end(w.randomRequest(pick, func(r *request) bool { return r.start == w.start }), admitter.Served)
 }
 
-// notice is the agent reading the end of a connection that a restart broke.
-func (w *world) notice(pick picker) {
-	w.end(w.where(pick, func(r *request) bool { return r.start > 0 && r.start != w.start }), admitter.Cut)
+// detectBrokenConnection ends a request whose connection was broken by a
+// restart.
+func (w *world) detectBrokenConnection(pick picker) {
+	w.end(w.randomRequest(pick, func(r *request) bool { return r.start > 0 && r.start != w.start }), admitter.Cut)
 }
 
 func (w *world) end(r *request, o admitter.Outcome) {
@@ -244,7 +248,7 @@
 func (w *world) turnCold(picker) {
 	w.cold = true
 	for _, r := range w.requests {
-		r.old = r.old || r.start == w.start
+		r.olderThanCold = r.olderThanCold || r.start == w.start
 	}
 }
 
@@ -254,43 +258,43 @@
 	w.clock.SetTime(w.clock.Now().Add(time.Duration(1+pick(50)) * time.Millisecond))
 }
 
-func (w *world) ask(picker) {
-	if len(w.questions) < 3 {
-		w.questions = append(w.questions, &question{mark: w.gate.Mark()})
+func (w *world) sendProbe(picker) {
+	if len(w.probes) < 3 {
+		w.probes = append(w.probes, &pendingProbe{mark: w.gate.Mark()})
 	}
 }
 
-func (w *world) answer(pick picker) {
-	if len(w.questions) == 0 {
+func (w *world) answerProbe(pick picker) {
+	if len(w.probes) == 0 {
 		return
 	}
-	q := w.questions[pick(len(w.questions))]
+	q := w.probes[pick(len(w.probes))]
 	if q.answered {
 		return
 	}
 	q.answered = true
-	q.answer = admitter.Probe{
+	q.result = admitter.Probe{
 		Mark: q.mark, StartID: fmt.Sprint(w.start), Cold: w.cold,
 		Uptime: w.clock.Now().Sub(w.startedAt),
 	}
 }
 
-func (w *world) hear(pick picker) {
-	if len(w.questions) == 0 {
+func (w *world) deliverAnswer(pick picker) {
+	if len(w.probes) == 0 {
 		return
 	}
-	i := pick(len(w.questions))
-	q := w.questions[i]
+	i := pick(len(w.probes))
+	q := w.probes[i]
 	if !q.answered {
 		return
 	}
-	w.gate.Probe(q.answer)
-	w.questions = slices.Delete(w.questions, i, i+1)
+	w.gate.Probe(q.result)
+	w.probes = slices.Delete(w.probes, i, i+1)
 }
 
-func (w *world) fail(picker) { w.gate.Probe(admitter.Probe{Err: errors.New("timeout")}) }
+func (w *world) failProbe(picker) { w.gate.Probe(admitter.Probe{Err: errors.New("timeout")}) }
 
-func (w *world) hold(picker) {
+func (w *world) toggleHold(picker) {
 	w.held = !w.held
 	if w.held {
 		w.gate.Close(admitter.Drained)
--- a/internal/agent/agent.go
+++ b/internal/agent/agent.go
@@ -122,7 +122,7 @@
 	klog.InfoS("Leaving", "agent", a.ID)
 	a.Gate.Close(admitter.Leaving)
 	a.links.announce()
-	if err := a.Gate.Drained(ctx); err != nil {
+	if err := a.Gate.WaitIdle(ctx); err != nil {
 		klog.ErrorS(err, "Leaving with work under way", "agent", a.ID)
 	}
 	t := a.Clock.NewTimer(linger)
@@ -187,11 +187,11 @@
 	})
 	if err != nil {
 		a.proof.clear()
-		a.Gate.Close(admitter.Gone)
+		a.Gate.Close(admitter.UpstreamGone)
 		return
 	}
 	a.proof.set(h)
-	a.Gate.Open(admitter.Gone)
+	a.Gate.Open(admitter.UpstreamGone)
 }
 
 // state is the agent's account of itself.
@@ -234,7 +234,7 @@
 
 func (a *Agent) leaving() bool {
 	for _, r := range a.Gate.Holds() {
-		if r == admitter.Leaving || r == admitter.Listed {
+		if r == admitter.Leaving || r == admitter.ListedLeaving {
 			return true
 		}
 	}
--- a/internal/agent/calls.go
+++ b/internal/agent/calls.go
@@ -97,7 +97,7 @@
 	if !ok || o.Service != r.agent.Service {
 		return nil, &forwarder.NotRunError{Reason: "no service " + o.Service + " here"}
 	}
-	w := admitter.Work{Priority: o.Priority, Deadline: r.deadline(o.DeadlineMS)}
+	w := admitter.Request{Priority: o.Priority, Deadline: r.deadline(o.DeadlineMS)}
 	t, err := r.admit(ctx, w, func(b *bundler.Bundle) ([]string, bool) {
 		s, ok := b.Service(o.Service)
 		return s.FailureDomains, ok
--- a/internal/agent/holds.go
+++ b/internal/agent/holds.go
@@ -34,9 +34,9 @@
 func (a *Agent) hold(context.Context) {
 	b, _ := a.State.Current()
 	a.holdIf(admitter.Booting, b == nil)
-	a.holdIf(admitter.Stale, a.State.MayServe() != nil)
+	a.holdIf(admitter.StaleBundle, a.State.MayServe() != nil)
 	a.holdIf(admitter.Drained, b != nil && !a.placed(b))
-	a.holdIf(admitter.Listed, a.listed.within(a.Clock.Now(), listedFor))
+	a.holdIf(admitter.ListedLeaving, a.listed.within(a.Clock.Now(), listedFor))
 	a.holdIf(admitter.Unproven, b == nil || !a.proven(b))
 }
 
--- a/internal/agent/prober.go
+++ b/internal/agent/prober.go
@@ -22,7 +22,7 @@
 		case <-ctx.Done():
 			return ctx.Err()
 		case <-t.C():
-		case <-p.agent.Gate.Wanted():
+		case <-p.agent.Gate.ProbeWanted():
 		}
 	}
 }
--- a/internal/agent/runner.go
+++ b/internal/agent/runner.go
@@ -67,7 +67,7 @@
 			return g, nil
 		}
 	}
-	w := admitter.Work{
+	w := admitter.Request{
 		Priority:    o.Priority,
 		Deadline:    r.deadline(o.DeadlineMS),
 		Model:       o.Model,
@@ -86,8 +86,8 @@
 
 // admit lets new work through the gate, which may wait for a probe. What the
 // bundle allows is checked after the wait: it may have changed meanwhile.
-func (r *runner) admit(ctx context.Context, w admitter.Work, placed func(*bundler.Bundle) ([]string, bool)) (*admitter.Ticket, error) {
-	t, err := r.agent.Gate.Enter(ctx, w)
+func (r *runner) admit(ctx context.Context, w admitter.Request, placed func(*bundler.Bundle) ([]string, bool)) (*admitter.Ticket, error) {
+	t, err := r.agent.Gate.AdmitWait(ctx, w)
 	if err != nil {
 		return nil, refused(err)
 	}
--- a/internal/agent/switcher.go
+++ b/internal/agent/switcher.go
@@ -248,7 +248,7 @@
 	klog.InfoS("Switch", "agent", a.ID, "model", m.Name, "version", m.Version, "revision", revision)
 	a.Gate.Close(admitter.Switching)
 	a.links.announce()
-	if err := a.Gate.Drained(ctx); err != nil {
+	if err := a.Gate.WaitIdle(ctx); err != nil {
 		return err
 	}
 	a.Loader.Keep(manifests(m)...)
--- a/internal/dispatcher/call.go
+++ b/internal/dispatcher/call.go
@@ -79,7 +79,7 @@
 		return nil, err
 	}
 	defer c.dispatcher.drop()
-	c.dispatcher.Policy.Budget.First()
+	c.dispatcher.Policy.Budget.RecordFirstAttempt()
 	for {
 		c.attempts++
 		reply, err := c.attempt(ctx)
--- a/internal/dispatcher/generation.go
+++ b/internal/dispatcher/generation.go
@@ -51,7 +51,7 @@
 )
 
 func (g *generation) run(ctx context.Context) error {
-	g.dispatcher.Policy.Budget.First()
+	g.dispatcher.Policy.Budget.RecordFirstAttempt()
 	for {
 		g.attempts++
 		err := g.attempt(ctx)
@@ -86,7 +86,7 @@
 		Now:        g.dispatcher.Clock.Now(),
 		Deadline:   g.deadline,
 	})
-	g.earlier = retrier.Join(g.earlier, outcome)
+	g.earlier = retrier.Combine(g.earlier, outcome)
 	if decision.Retry && sleep(ctx, g.dispatcher.Clock, decision.Delay) {
 		return nil
 	}
@@ -120,7 +120,7 @@
 		f.Outcome = retrier.Ran
 		return f
 	}
-	f.Outcome = retrier.Join(f.Outcome, g.earlier)
+	f.Outcome = retrier.Combine(f.Outcome, g.earlier)
 	return f
 }
 
--- a/internal/dispatcher/waiting.go
+++ b/internal/dispatcher/waiting.go
@@ -126,7 +126,7 @@
 			q.Next()
 			return c, pickErr
 		}
-		w, err = q.Return(w)
+		w, err = q.Requeue(w)
 	}
 	return nil, err
 }
@@ -153,7 +153,7 @@
 	case <-w.Ready():
 		return w.Err()
 	case <-ctx.Done():
-		if !w.Leave() && w.Err() == nil {
+		if !w.Cancel() && w.Err() == nil {
 			q.Next()
 		}
 		return refuse(http.StatusServiceUnavailable, "given up while waiting in line", pause())
--- a/internal/entry/exchange.go
+++ b/internal/entry/exchange.go
@@ -104,7 +104,7 @@
 			klog.ErrorS(err, "Bundle from peer refused", "entry", e.ID, "peer", x.State.ID)
 		}
 	}
-	e.Limiter.Hear(x.State.ID, x.Asked)
+	e.Limiter.SetPeerDemand(x.State.ID, x.Asked)
 	e.Router.HearDemand(x.State.ID, x.Demand)
 	e.Tracker.Introduce(x.OriginFetchers)
 }
--- a/internal/entry/members.go
+++ b/internal/entry/members.go
@@ -155,7 +155,7 @@
 func (m *members) mine(theirs uint64) messenger.Exchange {
 	x := messenger.Exchange{
 		State:          m.self(),
-		Asked:          m.entry.Limiter.Asked(),
+		Asked:          m.entry.Limiter.Demand(),
 		Demand:         m.entry.Router.Demand(),
 		OriginFetchers: m.entry.Tracker.OriginFetchers(),
 	}
--- a/internal/limiter/bucket.go
+++ b/internal/limiter/bucket.go
@@ -2,7 +2,7 @@
 
 import "time"
 
-// bucketDepth is how long a rate can be saved up.
+// bucketDepth is the time for which unused rate accumulates.
 const bucketDepth = time.Second
 
 // bucket is a token bucket whose rate may change at any time. A rate of 0 means
@@ -13,10 +13,10 @@
 	last  time.Time
 }
 
-// depth is how much can be saved up: at least one request.
+// depth is the most that can accumulate: at least one request.
 func (b *bucket) depth() float64 { return max(1, b.rate*bucketDepth.Seconds()) }
 
-// fill adds what the new rate earned since the last call.
+// fill sets the rate and adds what it earned since the last call.
 func (b *bucket) fill(now time.Time, rate float64) {
 	fresh := b.last.IsZero()
 	b.rate = rate
@@ -31,9 +31,9 @@
 	b.saved = min(b.saved, b.depth())
 }
 
-// wait is how long until n can be taken; 0 for now. More than the depth can be
-// taken from a full bucket, which then goes into debt: otherwise a long prompt
-// would be refused for ever.
+// wait returns how long until n can be taken, 0 if n is available. A full
+// bucket also covers an n above its depth and goes into debt: otherwise a long
+// prompt would be refused forever.
 func (b *bucket) wait(n float64) time.Duration {
 	if b.rate == 0 {
 		return 0
--- a/internal/limiter/demand.go
+++ b/internal/limiter/demand.go
@@ -8,63 +8,64 @@
 )
 
 const (
-	// evenPart is the part of a limit that is divided evenly whatever is asked
-	// where, so that a workspace's first request at an entry finds something.
-	evenPart = 0.2
-	// growth is how much of the whole limit an entry's part gains a second. It
-	// falls at once but grows slowly, for a crowd that comes to all entries at
-	// the same moment is seen by each as its own alone until the next exchange.
-	growth = 0.05
+	// evenShare is the part of a limit that is divided evenly regardless of
+	// demand, so that a workspace's first request at an entry is admitted.
+	evenShare = 0.2
+	// shareGrowthPerSecond bounds how fast an entry's share of a limit grows. A
+	// share falls at once, but after a surge at all entries each of them counts
+	// only its own demand until the next exchange.
+	shareGrowthPerSecond = 0.05
 )
 
-// demand is what is asked for one workspace, here and at other entries.
+// demand is the request rate of one workspace, at this entry and at the others.
 type demand struct {
-	asked retrier.Rate
-	parts Parts
-	// part is this entry's part of the limits, as of at.
-	part float64
-	at   time.Time
+	requests retrier.Rate
+	shares   DemandShares
+	// share is this entry's share of the limits as of updated.
+	share   float64
+	updated time.Time
 }
 
-// reckon brings the part up to date for n live entries.
-func (d *demand) reckon(now time.Time, n int) {
-	if now.Sub(d.at) < reckonEvery {
+// update recomputes the share for n live entries.
+func (d *demand) update(now time.Time, n int) {
+	if now.Sub(d.updated) < shareInterval {
 		return
 	}
-	grown := d.part + growth*now.Sub(d.at).Seconds()
-	if now.Sub(d.at) > heardFor {
-		grown = 1 / float64(n)
+	maxShare := d.share + shareGrowthPerSecond*now.Sub(d.updated).Seconds()
+	if now.Sub(d.updated) > reportTTL {
+		maxShare = 1 / float64(n)
 	}
-	d.parts.Even = evenPart
-	d.part, d.at = min(grown, d.parts.Part(d.asked.At(now), n, now)), now
+	d.shares.Even = evenShare
+	d.share, d.updated = min(maxShare, d.shares.Share(d.requests.At(now), n, now)), now
 }
 
-// Asked is what is asked of this entry for each workspace with limits, in
-// requests a second, for other entries to Hear; workspaces without requests are
-// left out.
-func (l *Limiter) Asked() map[string]float64 {
+// Demand returns the request rate of each workspace with limits at this entry,
+// in requests a second, for SetPeerDemand of other entries. Workspaces without
+// requests are omitted.
+func (l *Limiter) Demand() map[string]float64 {
 	l.mu.Lock()
 	defer l.mu.Unlock()
 	now := l.Clock.Now()
-	asked := map[string]float64{}
+	rates := map[string]float64{}
 	for name, u := range l.workspaces {
-		if v := u.demand.asked.At(now); u.limits != (bundler.Limits{}) && v > negligible {
-			asked[name] = v
+		if v := u.demand.requests.At(now); u.limits != (bundler.Limits{}) && v > minDemand {
+			rates[name] = v
 		}
 	}
-	return asked
+	return rates
 }
 
-// negligible is a rate, in requests a second, not worth a word.
-const negligible = 0.01
+// minDemand is the rate, in requests a second, up to which a workspace is
+// omitted.
+const minDemand = 0.01
 
-// Hear takes another entry's Asked. It may be late or missing: the limits are
-// then divided a little wrong for as long.
-func (l *Limiter) Hear(entry string, asked map[string]float64) {
+// SetPeerDemand stores the Demand of another entry. While it is late or missing, the
+// limits are divided slightly wrong.
+func (l *Limiter) SetPeerDemand(entry string, rates map[string]float64) {
 	l.mu.Lock()
 	defer l.mu.Unlock()
 	now := l.Clock.Now()
 	for name, u := range l.workspaces {
-		u.demand.parts.Hear(entry, asked[name], now)
+		u.demand.shares.SetDemand(entry, rates[name], now)
 	}
 }
--- a/internal/limiter/errors.go
+++ b/internal/limiter/errors.go
@@ -5,12 +5,12 @@
 	"time"
 )
 
-// LimitedError refuses a request that is over its workspace's limit.
+// LimitedError reports a request beyond its workspace's limit.
 type LimitedError struct {
 	Workspace string
-	// Limit is the field of the bundle that was reached, such as "concurrent".
+	// Limit is the field of the bundle that was exceeded, such as "concurrent".
 	Limit string
-	// RetryAfter is when the limit is likely to have room again.
+	// RetryAfter is when the limit is likely to admit a request again.
 	RetryAfter time.Duration
 }
 
@@ -18,7 +18,7 @@
 	return fmt.Sprintf("workspace %s is at its limit of %s; retry after %s", e.Workspace, e.Limit, e.RetryAfter)
 }
 
-// UnknownWorkspaceError refuses a workspace that the bundle does not name.
+// UnknownWorkspaceError reports a workspace that is missing in the bundle.
 type UnknownWorkspaceError struct {
 	Workspace string
 }
@@ -27,14 +27,14 @@
 	return fmt.Sprintf("no workspace %q in the bundle", e.Workspace)
 }
 
-// ShedError refuses a request that could not be served in time, or whose place
-// went to one of a higher priority. It never ran.
+// ShedError reports a request that could not be served in time, or that was
+// displaced by one of a higher priority. It never ran.
 type ShedError struct {
 	// Reason is for the log line.
 	Reason string
 	// Wait is how long the request would have waited.
 	Wait time.Duration
-	// RetryAfter is when the backlog will have been worked off.
+	// RetryAfter is when the backlog will have been processed.
 	RetryAfter time.Duration
 }
 
--- a/internal/limiter/limiter.go
+++ b/internal/limiter/limiter.go
@@ -1,6 +1,6 @@
-// Package limiter holds each workspace to its limits over all entries without
-// any agreement between them, and shares an entry that is saturated fairly
-// between workspaces.
+// Package limiter enforces each workspace's limits over all entries without any
+// agreement between them, and divides a saturated entry fairly between
+// workspaces.
 package limiter
 
 import (
@@ -14,19 +14,19 @@
 	"github.com/oriolecroft/oriolecroft/pkg/bundler"
 )
 
-// DefaultBorrow is the default of Limiter's Borrow.
+// DefaultBorrow is the default of Limiter.Borrow.
 const DefaultBorrow = 0.1
 
 // Limiter enforces this entry's share of each workspace's limits. Set the fields
 // before use. It is safe for concurrent use.
 type Limiter struct {
 	Clock clock.PassiveClock
-	// Entries is the number of live entries, this one included.
+	// Entries is the number of live entries, including this one.
 	Entries func() int
-	// Borrow is how far an entry may go beyond its part of a limit, as a share of
-	// that part; 0 means DefaultBorrow, below 0 none.
+	// Borrow is how far an entry may exceed its share of a limit, as a fraction
+	// of that share; 0 means DefaultBorrow, below 0 none.
 	Borrow float64
-	// Random spreads the times to come back; nil means the process's own source.
+	// Random spreads retry times; nil means the process's own source.
 	Random *rand.Rand
 
 	mu         sync.Mutex
@@ -34,21 +34,21 @@
 	workspaces map[string]*usage
 }
 
-// usage is what one workspace uses of this entry.
+// usage is one workspace's usage of this entry.
 type usage struct {
 	limits   bundler.Limits
 	demand   demand
 	requests bucket
 	tokens   bucket
-	places   places
-	// done is the rate at which requests end, returns when refused callers were
-	// told to come back.
-	done    retrier.Rate
-	returns retrier.Returns
+	slots    slots
+	// completions is the rate at which requests end; retryTimes assigns retry
+	// times to refused callers.
+	completions retrier.Rate
+	retryTimes  retrier.RetryTimes
 }
 
-// SetBundle takes over the limits of a bundle; an older one is ignored. What
-// runs and what buckets hold stays counted.
+// SetBundle applies the limits of a bundle; an older one is ignored. Running
+// requests and bucket levels are kept.
 func (l *Limiter) SetBundle(b *bundler.Bundle) {
 	l.mu.Lock()
 	defer l.mu.Unlock()
@@ -75,30 +75,30 @@
 	once    sync.Once
 }
 
-// Done gives the request's place back. Further calls do nothing.
+// Done releases the request's slot. Further calls do nothing.
 func (t *Ticket) Done() {
 	t.once.Do(func() {
 		t.limiter.mu.Lock()
 		defer t.limiter.mu.Unlock()
-		t.limiter.end(t.usage)
+		t.limiter.release(t.usage)
 	})
 }
 
-func (l *Limiter) end(u *usage) {
+func (l *Limiter) release(u *usage) {
 	now := l.Clock.Now()
-	u.places.pass(now, l.share(u, now)*float64(u.limits.Concurrent))
-	u.places.running--
-	u.done.Add(now)
+	u.slots.advance(now, l.limitShare(u, now)*float64(u.limits.Concurrent))
+	u.slots.running--
+	u.completions.Add(now)
 }
 
-// share is this entry's part of each of a workspace's limits.
-func (l *Limiter) share(u *usage, now time.Time) float64 {
+// limitShare is this entry's share of each of a workspace's limits.
+func (l *Limiter) limitShare(u *usage, now time.Time) float64 {
 	n := l.entries()
-	u.demand.reckon(now, n)
+	u.demand.update(now, n)
 	if n == 1 {
 		return 1
 	}
-	return min(1, u.demand.part*(1+l.borrow()))
+	return min(1, u.demand.share*(1+l.borrow()))
 }
 
 func (l *Limiter) entries() int {
@@ -115,7 +115,7 @@
 	return max(0, l.Borrow)
 }
 
-// Admit counts a request of so many tokens against its workspace's limits. A
+// Admit counts a request of the given tokens against its workspace's limits. A
 // refusal is a *LimitedError or *UnknownWorkspaceError and counts nothing.
 func (l *Limiter) Admit(workspace string, tokens int, _ int) (*Ticket, error) {
 	l.mu.Lock()
@@ -125,38 +125,39 @@
 		return nil, &UnknownWorkspaceError{Workspace: workspace}
 	}
 	now := l.Clock.Now()
-	u.demand.asked.Add(now)
+	u.demand.requests.Add(now)
 	if err := l.check(workspace, u, tokens, now); err != nil {
 		return nil, err
 	}
 	u.requests.take(1)
 	u.tokens.take(float64(tokens))
-	u.places.running++
+	u.slots.running++
 	return &Ticket{limiter: l, usage: u}, nil
 }
 
-// check fills the buckets up and reports the first limit reached.
+// check fills the buckets and returns an error for the first limit exceeded.
 func (l *Limiter) check(workspace string, u *usage, tokens int, now time.Time) error {
-	share := l.share(u, now)
-	most := share * float64(u.limits.Concurrent)
-	u.places.pass(now, most)
+	share := l.limitShare(u, now)
+	maxRunning := share * float64(u.limits.Concurrent)
+	u.slots.advance(now, maxRunning)
 	u.requests.fill(now, share*u.limits.RequestsPerSecond)
 	u.tokens.fill(now, share*u.limits.TokensPerSecond)
-	if most > 0 && !u.places.free(most) {
-		return l.limited(workspace, u, "concurrent", u.done.Gap(now))
+	if maxRunning > 0 && !u.slots.hasFree(maxRunning) {
+		return l.limitedError(workspace, u, "concurrent", u.completions.Gap(now))
 	}
 	if wait := u.requests.wait(1); wait > 0 {
-		return l.limited(workspace, u, "requestsPerSecond", wait)
+		return l.limitedError(workspace, u, "requestsPerSecond", wait)
 	}
 	if wait := u.tokens.wait(float64(tokens)); wait > 0 {
-		return l.limited(workspace, u, "tokensPerSecond", wait)
+		return l.limitedError(workspace, u, "tokensPerSecond", wait)
 	}
 	return nil
 }
 
-// limited makes the refusal; gap is how long until the limit has room for one
-// more, which is also the time between those who are told to come back.
-func (l *Limiter) limited(workspace string, u *usage, limit string, gap time.Duration) error {
-	after := u.returns.Next(l.Clock.Now(), gap, gap, l.Random)
+// limitedError builds the refusal. gap is the time until the limit admits one
+// more request, which is also the interval between the retry times of refused
+// callers.
+func (l *Limiter) limitedError(workspace string, u *usage, limit string, gap time.Duration) error {
+	after := u.retryTimes.Next(l.Clock.Now(), gap, gap, l.Random)
 	return &LimitedError{Workspace: workspace, Limit: limit, RetryAfter: after}
 }
--- a/internal/limiter/limiter_test.go
+++ b/internal/limiter/limiter_test.go
@@ -15,15 +15,15 @@
 
 var epoch = time.Date(2026, 12, 2, 0, 0, 0, 0, time.UTC)
 
-// fleet is nine entries that tell each other once a second what they are asked.
-type fleet struct {
+// cluster is nine entries that exchange their demand once a second.
+type cluster struct {
 	clock    *clocktesting.FakePassiveClock
 	limiters []*limiter.Limiter
 	random   *rand.Rand
 }
 
-func newFleet(l bundler.Limits) *fleet {
-	f := &fleet{clock: clocktesting.NewFakePassiveClock(epoch), random: rand.New(rand.NewPCG(1, 1))}
+func newCluster(l bundler.Limits) *cluster {
+	f := &cluster{clock: clocktesting.NewFakePassiveClock(epoch), random: rand.New(rand.NewPCG(1, 1))}
 	for range 9 {
 		e := &limiter.Limiter{Clock: f.clock, Entries: func() int { return 9 }, Random: rand.New(rand.NewPCG(2, 2))}
 		e.SetBundle(&bundler.Bundle{Revision: 1, Workspaces: []bundler.Workspace{{Name: "farm", Limits: l}}})
@@ -32,18 +32,19 @@
 	return f
 }
 
-// run asks rate times a second, at the entry that pick gives, for so long, each
-// request running for the given time. It gives the number admitted a second over
-// the last half, the most in any second, and the mean number that ran.
-func (f *fleet) run(rate float64, pick func() int, long, each time.Duration) (mean float64, worst int, running float64) {
+// run sends rate requests a second for the given duration, each to the entry
+// that pick returns and each running for runTime. It returns the mean number
+// admitted a second over the last half, the most in any second, and the mean
+// number running.
+func (f *cluster) run(rate float64, pick func() int, duration, runTime time.Duration) (mean float64, worst int, running float64) {
 	const tick = 10 * time.Millisecond
 	var ends []time.Time
 	var tickets []*limiter.Ticket
 	seconds := map[int]int{}
 	total, busy := 0, 0
-	for at := time.Duration(0); at < long; at += tick {
+	for elapsed := time.Duration(0); elapsed < duration; elapsed += tick {
 		f.clock.SetTime(f.clock.Now().Add(tick))
-		if at%time.Second == 0 {
+		if elapsed%time.Second == 0 {
 			f.exchange()
 		}
 		for len(ends) > 0 && !ends[0].After(f.clock.Now()) {
@@ -52,11 +53,11 @@
 		}
 		for want := rate*tick.Seconds() - f.random.Float64(); want > 0; want-- {
 			if t, err := f.limiters[pick()].Admit("farm", 1, 0); err == nil {
-				ends, tickets = append(ends, f.clock.Now().Add(each)), append(tickets, t)
-				seconds[int(at/time.Second)]++
+				ends, tickets = append(ends, f.clock.Now().Add(runTime)), append(tickets, t)
+				seconds[int(elapsed/time.Second)]++
 			}
 		}
-		if at >= long/2 {
+		if elapsed >= duration/2 {
 			busy += len(ends)
 		}
 	}
@@ -65,29 +66,29 @@
 	}
 	for s, n := range seconds {
 		worst = max(worst, n)
-		if s >= int(long/2/time.Second) {
+		if s >= int(duration/2/time.Second) {
 			total += n
 		}
 	}
-	half := long / 2
+	half := duration / 2
 	return float64(total) / half.Seconds(), worst, float64(busy) / float64(half/tick)
 }
 
-func (f *fleet) exchange() {
+func (f *cluster) exchange() {
 	for i, from := range f.limiters {
 		for j, to := range f.limiters {
 			if i != j {
-				to.Hear(fmt.Sprint(i), from.Asked())
+				to.SetPeerDemand(fmt.Sprint(i), from.Demand())
 			}
 		}
 	}
 }
 
-// Callers of a workspace spread over all entries, keep to one, or move from one
-// to all at once. A workspace notices a wrong division as refusals far below its
-// limit, or as others' requests that crowd out its own.
+// Guards against a wrong division of limits: refusals far below a workspace's
+// limit, or requests of others that crowd out its own. Its callers spread over
+// all entries, keep to one, or move from one to all at once.
 func TestLimitOverEntries(t *testing.T) {
-	f := newFleet(bundler.Limits{RequestsPerSecond: 30})
+	f := newCluster(bundler.Limits{RequestsPerSecond: 30})
 	one := func() int { return 0 }
 	all := func() int { return f.random.IntN(9) }
 	for _, c := range []struct {
@@ -106,10 +107,10 @@
 	}
 }
 
-// Four requests of a workspace may run at once over nine entries. Rounded up at
-// each entry nine would run; rounded down none.
-func TestFewerPlacesThanEntries(t *testing.T) {
-	f := newFleet(bundler.Limits{Concurrent: 4})
+// Guards against rounding a limit of four concurrent requests at each of nine
+// entries: rounded up nine would run, rounded down none.
+func TestFewerSlotsThanEntries(t *testing.T) {
+	f := newCluster(bundler.Limits{Concurrent: 4})
 	_, _, running := f.run(20, func() int { return f.random.IntN(9) }, 20*time.Second, time.Second)
 	t.Log("all", running)
 	must.Between(t, 3.5, running, 4*1.25)
@@ -119,11 +120,12 @@
 	must.Between(t, 3, running, 4.4)
 }
 
-// An entry that had all callers is gone. Were its last word to count for ever,
-// the callers would be held to a tenth of their limit by those that are left.
-func TestWordOfSilentEntryLapses(t *testing.T) {
-	var p limiter.Parts
-	p.Hear("gone", 9, epoch)
-	must.EqOp(t, 0.1, p.Part(1, 2, epoch))
-	must.EqOp(t, 0.5, p.Part(1, 2, epoch.Add(6*time.Second)))
+// Guards against the last report of an entry that is gone counting forever: if
+// it had all the callers, the remaining entries would hold them to a tenth of
+// their limit.
+func TestDemandOfUnresponsiveEntryExpires(t *testing.T) {
+	var p limiter.DemandShares
+	p.SetDemand("gone", 9, epoch)
+	must.EqOp(t, 0.1, p.Share(1, 2, epoch))
+	must.EqOp(t, 0.5, p.Share(1, 2, epoch.Add(6*time.Second)))
 }
--- a/internal/limiter/parts.go
+++ b/internal/limiter/parts.go
@@ -3,64 +3,66 @@
 import "time"
 
 const (
-	// heardFor is how long another entry's word counts.
-	heardFor = 5 * time.Second
-	// reckonEvery is how often parts are worked out anew.
-	reckonEvery = 100 * time.Millisecond
+	// reportTTL is how long another entry's demand counts.
+	reportTTL = 5 * time.Second
+	// shareInterval is how often shares are recomputed.
+	shareInterval = 100 * time.Millisecond
 )
 
-// Parts divides something between entries by the demand at each, as far as they
-// have told each other. Words may be late or missing: an entry that said nothing
-// is taken to have as much as this one, which with no word at all gives even
-// parts. The zero value is ready. It is not safe for concurrent use.
-type Parts struct {
-	// Even is how much is divided evenly whatever the demand, as a part of one.
+// DemandShares divides a quantity between entries by the demand at each, as far as
+// they have reported it. Reports may be late or missing: an entry without a report is
+// assumed to have as much demand as this one, which gives even shares without any
+// reports. The zero value is ready to use. It is not safe for concurrent use.
+type DemandShares struct {
+	// Even is the fraction that is divided evenly regardless of demand.
 	Even float64
 
-	heard  map[string]word
-	others float64
-	at     time.Time
+	reports    map[string]report
+	peerDemand float64
+	summedAt   time.Time
 }
 
-// word is what another entry said.
-type word struct {
-	demand float64
-	at     time.Time
+// report is the demand that another entry reported.
+type report struct {
+	demand   float64
+	received time.Time
 }
 
-// Hear takes another entry's demand.
-func (p *Parts) Hear(entry string, demand float64, now time.Time) {
-	if p.heard == nil {
-		p.heard = map[string]word{}
+// SetDemand stores another entry's demand.
+func (s *DemandShares) SetDemand(entry string, demand float64, now time.Time) {
+	if s.reports == nil {
+		s.reports = map[string]report{}
 	}
-	p.heard[entry] = word{demand: demand, at: now}
-	p.at = time.Time{}
+	s.reports[entry] = report{demand: demand, received: now}
+	s.summedAt = time.Time{}
 }
 
-// Part is this entry's part of one, with a demand of own among n entries.
-func (p *Parts) Part(own float64, n int, now time.Time) float64 {
-	p.reckon(now)
-	even := 1 / float64(n)
-	silent := max(0, n-1-len(p.heard))
-	sum := own + p.others + own*float64(silent)
+// Share is this entry's share, from 0 to 1, with a demand of own among n
+// entries.
+func (s *DemandShares) Share(own float64, n int, now time.Time) float64 {
+	s.sumDemand(now)
+	evenly := 1 / float64(n)
+	unreported := max(0, n-1-len(s.reports))
+	sum := own + s.peerDemand + own*float64(unreported)
 	if sum == 0 {
-		return even
+		return evenly
 	}
-	return p.Even*even + (1-p.Even)*own/sum
+	return s.Even*evenly + (1-s.Even)*own/sum
 }
 
-// reckon adds up what others said, seldom: there may be hundreds.
-func (p *Parts) reckon(now time.Time) {
-	if now.Sub(p.at) < reckonEvery {
+// sumDemand adds up the demand of the other entries, rarely: there may be
+// hundreds.
+func (s *DemandShares) sumDemand(now time.Time) {
+	if now.Sub(s.summedAt) < shareInterval {
 		return
 	}
-	p.at = now
-	p.others = 0
-	for e, w := range p.heard {
-		if now.Sub(w.at) > heardFor {
-			delete(p.heard, e)
+	s.summedAt = now
+	s.peerDemand = 0
+	for e, r := range s.reports {
+		if now.Sub(r.received) > reportTTL {
+			delete(s.reports, e)
 			continue
 		}
-		p.others += w.demand
+		s.peerDemand += r.demand
 	}
 }
--- a/internal/limiter/places.go
+++ b/internal/limiter/places.go
@@ -5,37 +5,37 @@
 	"time"
 )
 
-// maxDebt is how many place-seconds, at most, a workspace has to wait off.
-const maxDebt = 30
+// maxDebtSlotSeconds bounds the overuse that a workspace has to compensate for.
+const maxDebtSlotSeconds = 30
 
-// places holds the requests that run at once to a part of a limit that need not
-// be whole: over time no more than share run on average. A share below one,
-// rounded up, would let nine entries run nine requests of a workspace that may
-// have four; rounded down it would get none.
-type places struct {
+// slots limits concurrent requests to a share of a limit that may be
+// fractional: over time at most share of them run on average. With shares below
+// one rounded up, nine entries would run nine requests of a workspace limited
+// to four; rounded down, none.
+type slots struct {
 	running int
-	// saved is place-seconds earned at share less those spent.
-	saved float64
-	last  time.Time
+	// balance is the slot-seconds earned at share less those used.
+	balance float64
+	last    time.Time
 }
 
-// pass lets the time up to now go by at the given share; 0 is no limit, under
-// which nothing is owed.
-func (p *places) pass(now time.Time, share float64) {
-	if !p.last.IsZero() {
-		p.saved += now.Sub(p.last).Seconds() * (share - float64(p.running))
+// advance accounts for the time up to now at the given share; 0 is no limit,
+// under which no debt accrues.
+func (s *slots) advance(now time.Time, share float64) {
+	if !s.last.IsZero() {
+		s.balance += now.Sub(s.last).Seconds() * (share - float64(s.running))
 	}
-	p.last = now
-	p.saved = max(-maxDebt, min(p.saved, share))
+	s.last = now
+	s.balance = max(-maxDebtSlotSeconds, min(s.balance, share))
 	if share == 0 {
-		p.saved = 0
+		s.balance = 0
 	}
 }
 
-// free tells whether one more may run.
-func (p *places) free(share float64) bool {
-	if p.running < int(share) {
+// hasFree reports whether one more request may run.
+func (s *slots) hasFree(share float64) bool {
+	if s.running < int(share) {
 		return true
 	}
-	return p.saved >= 0 && p.running < int(math.Ceil(share))
+	return s.balance >= 0 && s.running < int(math.Ceil(share))
 }
--- a/internal/limiter/queue_test.go
+++ b/internal/limiter/queue_test.go
@@ -18,7 +18,7 @@
 	"github.com/oriolecroft/oriolecroft/internal/retrier"
 )
 
-// TestMain fixes rapid's seed, so that each run gives the same verdict.
+// TestMain fixes rapid's seed, so that results are reproducible.
 func TestMain(m *testing.M) {
 	if err := errors.Join(flag.Set("rapid.seed", "1"), flag.Set("rapid.checks", "1000")); err != nil {
 		panic(err)
@@ -32,9 +32,9 @@
 	return &limiter.Queue{Clock: c, Capacity: capacity, Random: rand.New(rand.NewPCG(3, 3))}, c
 }
 
-func pass(c *clocktesting.FakePassiveClock, d time.Duration) { c.SetTime(c.Now().Add(d)) }
+func advance(c *clocktesting.FakePassiveClock, d time.Duration) { c.SetTime(c.Now().Add(d)) }
 
-// shedError is the refusal of a waiter that is no longer waiting; nil otherwise.
+// shedError is the error of a waiter that was shed; nil otherwise.
 func shedError(w *limiter.Waiter) *limiter.ShedError {
 	select {
 	case <-w.Ready():
@@ -45,13 +45,13 @@
 	}
 }
 
-// TestQueueAgainstOracle runs random requests past a queue and a plain list. A
-// caller would notice a fault as no answer at all, two, or one after the deadline.
+// TestQueueAgainstOracle compares a queue with a plain list under random requests.
+// Guards against requests that get no answer, two, or one after their deadline.
 func TestQueueAgainstOracle(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
 		q, c := newQueue(6)
 		var waiting []*limiter.Waiter
-		settle := func() {
+		syncWaiting := func() {
 			waiting = slices.DeleteFunc(waiting, func(w *limiter.Waiter) bool {
 				e := shedError(w)
 				must.True(t, e == nil || e.RetryAfter >= retrier.MinRetryAfter && e.RetryAfter <= retrier.MaxRetryAfter)
@@ -69,7 +69,7 @@
 			if err == nil {
 				waiting = append(waiting, w)
 			}
-			settle()
+			syncWaiting()
 			if err != nil && len(waiting) == 6 {
 				low := func(v *limiter.Waiter) bool { return v.Priority < i.Priority }
 				must.False(t, slices.ContainsFunc(waiting, low), must.Sprint("refused though a lower priority waits"))
@@ -84,13 +84,13 @@
 				must.True(t, c.Now().Before(w.Deadline), must.Sprint("served after its deadline"))
 				waiting = slices.Delete(waiting, at, at+1)
 			}
-			settle()
+			syncWaiting()
 			if w == nil {
 				must.SliceEmpty(t, waiting)
 				return
 			}
 			if rapid.IntRange(0, 3).Draw(t, "return") == 3 {
-				again, err := q.Return(w)
+				again, err := q.Requeue(w)
 				must.NoError(t, err)
 				waiting = append(waiting, again)
 				return
@@ -100,25 +100,25 @@
 		t.Repeat(map[string]func(*rapid.T){
 			"join": join, "join again": join, "next": next,
 			"wait": func(t *rapid.T) {
-				pass(c, time.Duration(rapid.IntRange(1, 500).Draw(t, "ms"))*time.Millisecond)
+				advance(c, time.Duration(rapid.IntRange(1, 500).Draw(t, "ms"))*time.Millisecond)
 				q.Expire()
-				settle()
+				syncWaiting()
 			},
 			"leave": func(t *rapid.T) {
 				if len(waiting) > 0 {
 					w := waiting[0]
 					waiting = waiting[1:]
-					must.True(t, w.Leave())
-					must.False(t, w.Leave())
+					must.True(t, w.Cancel())
+					must.False(t, w.Cancel())
 				}
-				settle()
+				syncWaiting()
 			},
 		})
 	})
 }
 
-// One workspace fills the line and another asks for little. Users of the small
-// one would wait behind all requests of the large one.
+// Guards against one workspace that fills the queue and delays the few requests
+// of another until all of its own have been served.
 func TestSmallWorkspaceIsServedInTurn(t *testing.T) {
 	q, _ := newQueue(0)
 	for range 100 {
@@ -131,9 +131,9 @@
 	must.SliceContains(t, []string{q.Next().Workspace, q.Next().Workspace}, "small")
 }
 
-// A small workspace's requests are shed in a rush. Were their turns still
-// counted, its next request would wait behind a large one's whole line.
-func TestShedRequestsCostNoTurn(t *testing.T) {
+// Guards against counting the turns of shed requests: the next request of a
+// small workspace would wait behind the whole backlog of a large one.
+func TestShedRequestsDoNotCountAsServed(t *testing.T) {
 	q, c := newQueue(0)
 	for range 50 {
 		_, err := q.Join(limiter.Item{Workspace: "large"})
@@ -141,7 +141,7 @@
 		_, err = q.Join(limiter.Item{Workspace: "small", Deadline: c.Now().Add(time.Second)})
 		must.NoError(t, err)
 	}
-	pass(c, 2*time.Second)
+	advance(c, 2*time.Second)
 	q.Expire()
 	must.EqOp(t, 50, q.Len())
 	_, err := q.Join(limiter.Item{Workspace: "small"})
@@ -149,9 +149,9 @@
 	must.SliceContains(t, []string{q.Next().Workspace, q.Next().Workspace}, "small")
 }
 
-// The upstreams were slow and have recovered while nobody waited. A rate that
-// was once low would refuse every user from then on.
-func TestLowRateDoesNotRefuseForEver(t *testing.T) {
+// Guards against a rate measured while the upstreams were slow that refuses
+// every request after they recovered with nothing queued.
+func TestLowRateDoesNotRefuseForever(t *testing.T) {
 	q, c := newQueue(0)
 	join := func() error {
 		_, err := q.Join(limiter.Item{Workspace: "farm", Deadline: c.Now().Add(time.Second)})
@@ -159,21 +159,21 @@
 	}
 	_, err := q.Join(limiter.Item{Workspace: "farm"})
 	must.NoError(t, err)
-	pass(c, 5*time.Second)
+	advance(c, 5*time.Second)
 	q.Finished(1)
 	must.NotNil(t, q.Next())
 	must.NoError(t, join(), must.Sprint("the first in line"))
 	must.Error(t, join(), must.Sprint("the second would start too late"))
 }
 
-// A hundred users are refused at the same moment. With one time to come back for
-// all of them they would return as a crowd and be refused again.
-func TestRefusedCallersReturnSpread(t *testing.T) {
+// Guards against one retry time for all of a hundred callers refused at the same
+// moment: they would come back together and be refused again.
+func TestRetryTimesOfRefusedCallersAreSpread(t *testing.T) {
 	q, c := newQueue(1)
 	_, err := q.Join(limiter.Item{Workspace: "farm"})
 	must.NoError(t, err)
 	for range 20 {
-		pass(c, 100*time.Millisecond)
+		advance(c, 100*time.Millisecond)
 		q.Finished(1)
 	}
 	perSecond := map[time.Duration]int{}
@@ -188,9 +188,9 @@
 	}
 }
 
-// A request had its turn, and the replica it was sent to was full. Sent to the
-// back of the line, its user waits a second time and is shed in the end, though
-// there was room for all.
+// Guards against moving a request that had its turn to the back of the queue
+// when its replica was full: it would wait a second time and be shed although
+// there was capacity for all.
 func TestRefusedByReplicaKeepsItsTurn(t *testing.T) {
 	q, _ := newQueue(0)
 	for i := range 20 {
--- a/internal/limiter/waiter.go
+++ b/internal/limiter/waiter.go
@@ -9,49 +9,48 @@
 type Waiter struct {
 	Item
 
-	queue *Queue
-	start float64
-	ready chan struct{}
-	err   error
+	queue    *Queue
+	startTag float64
+	ready    chan struct{}
+	err      error
 }
 
-func newWaiter(q *Queue, i Item, start float64) *Waiter {
-	return &Waiter{Item: i, queue: q, start: start, ready: make(chan struct{})}
+func newWaiter(q *Queue, i Item, startTag float64) *Waiter {
+	return &Waiter{Item: i, queue: q, startTag: startTag, ready: make(chan struct{})}
 }
 
-// Ready is closed when the wait is over, one way or the other.
+// Ready is closed when the wait is over, served or shed.
 func (w *Waiter) Ready() <-chan struct{} { return w.ready }
 
-// Err is nil when it is the request's turn, a *ShedError when it was given up.
-// It may be called once Ready is closed.
+// Err is nil if it is the request's turn, a *ShedError if it was shed. It may
+// be called once Ready is closed.
 func (w *Waiter) Err() error { return w.err }
 
-// Leave takes the request out when its caller is gone, and tells whether it was
-// still waiting. When it was not and Err is nil, the place is the caller's to
-// give on.
-func (w *Waiter) Leave() bool {
+// Cancel removes the request when its caller is gone, and reports whether it was
+// still waiting. If it was not and Err is nil, the caller must pass its slot on.
+func (w *Waiter) Cancel() bool {
 	q := w.queue
 	q.mu.Lock()
 	defer q.mu.Unlock()
 	if !slices.Contains(q.waiting, w) {
 		return false
 	}
-	q.forget(w, q.Clock.Now())
+	q.removeUnserved(w, q.Clock.Now())
 	return true
 }
 
-// before tells whether w is served before v, which joined earlier.
+// before reports whether w is served before v, which joined earlier.
 func (w *Waiter) before(v *Waiter) bool {
-	return w.start < v.start || w.start == v.start && w.Again && !v.Again
+	return w.startTag < v.startTag || w.startTag == v.startTag && w.Again && !v.Again
 }
 
-func (w *Waiter) wake(err error) {
+func (w *Waiter) finish(err error) {
 	w.err = err
 	close(w.ready)
 }
 
-// over tells whether the caller has given up.
-func (w *Waiter) over(now time.Time) bool {
+// expired reports whether the deadline has passed.
+func (w *Waiter) expired(now time.Time) bool {
 	return !w.Deadline.IsZero() && !now.Before(w.Deadline)
 }
 
--- a/internal/loader/adopt.go
+++ b/internal/loader/adopt.go
@@ -68,7 +68,7 @@
 			continue
 		}
 		for _, i := range s.places[digest] {
-			s.transfer.Gain(i)
+			s.transfer.AddChunk(i)
 		}
 	}
 }
--- a/internal/loader/holders.go
+++ b/internal/loader/holders.go
@@ -55,7 +55,7 @@
 	var hs []messenger.Holder
 	var rest []reportedHolder
 	for _, h := range all {
-		if originFetchers[h.Region]++; originFetchers[h.Region] <= planner.OriginFetchers {
+		if originFetchers[h.Region]++; originFetchers[h.Region] <= planner.OriginFetchersPerRegion {
 			hs = append(hs, h.Holder)
 		} else {
 			rest = append(rest, h)
--- a/internal/loader/loader.go
+++ b/internal/loader/loader.go
@@ -249,7 +249,7 @@
 // nearly there.
 func (l *Loader) finishes(s *set) bool {
 	t := s.transfer
-	return t != nil && !t.Whole() && float64(t.Count()) >= l.Nearly*float64(t.Chunks)
+	return t != nil && !t.Complete() && float64(t.Count()) >= l.Nearly*float64(t.Chunks)
 }
 
 // stop ends the fetches of a set. What arrived stays until its room is needed.
@@ -334,7 +334,7 @@
 	l.mu.Lock()
 	defer l.mu.Unlock()
 	s := l.sets[manifest]
-	if s == nil || s.transfer == nil || !s.transfer.Whole() {
+	if s == nil || s.transfer == nil || !s.transfer.Complete() {
 		return nil, false
 	}
 	return s.manifest, true
@@ -367,7 +367,7 @@
 	if s == nil || s.transfer == nil {
 		return nil, &NotWholeError{Manifest: manifest}
 	}
-	if !s.transfer.Whole() {
+	if !s.transfer.Complete() {
 		return nil, &NotWholeError{Manifest: manifest, Have: s.transfer.Count(), All: s.transfer.Chunks}
 	}
 	r := &reader{chunkSize: s.manifest.ChunkSize, size: s.manifest.Size}
@@ -441,7 +441,7 @@
 		}
 	}
 	for _, m := range l.want {
-		if s := l.sets[m]; s != nil && (s.transfer == nil || !s.transfer.Whole()) {
+		if s := l.sets[m]; s != nil && (s.transfer == nil || !s.transfer.Complete()) {
 			ss = append(ss, s)
 		}
 	}
@@ -458,7 +458,7 @@
 		klog.V(2).InfoS("Fetch planned", "agent", l.ID, "manifest", s.digest, "chunk", o.Chunk, "source", o.Source)
 		ctx, cancel := context.WithCancel(l.ctx)
 		l.cancels[fetch{s.digest, o}] = cancel
-		l.share(s, o.Chunk, (*planner.Transfer).Hold)
+		l.share(s, o.Chunk, (*planner.Transfer).Exclude)
 		l.running.Go(func() { l.run(ctx, s, o) })
 	}
 }
--- a/internal/loader/memory.go
+++ b/internal/loader/memory.go
@@ -46,7 +46,7 @@
 	s.learn(l.ID, l.Region, l.holders, l.reportedAt)
 	for f := range l.cancels {
 		if other := l.sets[f.manifest]; other != nil {
-			l.share(other, f.order.Chunk, (*planner.Transfer).Hold)
+			l.share(other, f.order.Chunk, (*planner.Transfer).Exclude)
 		}
 	}
 	klog.V(1).InfoS("Weights admitted", "agent", l.ID, "manifest", s.digest, "bytes", s.manifest.Size, "usedBytes", l.used)
--- a/internal/loader/set.go
+++ b/internal/loader/set.go
@@ -63,7 +63,7 @@
 func (s *set) learn(self, region string, known map[holderKey]reportedHolder, reportedAt time.Time) {
 	s.peers = choose(self, region, s.digest, known)
 	if s.transfer != nil {
-		s.transfer.Learn(plannerPeers(s.peers), reportedAt)
+		s.transfer.SetPeers(plannerPeers(s.peers), reportedAt)
 	}
 }
 
@@ -97,7 +97,7 @@
 		cancel()
 		delete(l.cancels, f)
 	}
-	l.share(s, o.Chunk, (*planner.Transfer).Release)
+	l.share(s, o.Chunk, (*planner.Transfer).Include)
 	if l.sets[s.digest] != s || s.transfer == nil {
 		return
 	}
@@ -151,7 +151,7 @@
 // observe takes over what a peer itself says that it holds.
 func (l *Loader) observe(s *set, id string, have []byte) {
 	if s.transfer != nil {
-		s.transfer.Saw(id, planner.Bitmap(have), l.Clock.Now())
+		s.transfer.SetHoldings(id, planner.Bitmap(have), l.Clock.Now())
 	}
 }
 
@@ -183,7 +183,7 @@
 	l.gain(digest, data)
 	l.announce()
 	l.logQuarter(s, before)
-	if s.transfer.Whole() {
+	if s.transfer.Complete() {
 		klog.InfoS("Weights whole", "agent", l.ID, "manifest", s.digest, "version", s.manifest.Version,
 			"fromPeers", s.fromPeers, "fromOrigin", s.fromOrigin, "after", l.Clock.Since(s.since))
 	}
@@ -234,7 +234,7 @@
 		return
 	}
 	s.polled = now
-	for _, id := range s.transfer.Ask(now) {
+	for _, id := range s.transfer.PeersToQuery(now) {
 		h, ok := s.peer(id)
 		key := s.digest + " " + id
 		if !ok || l.asking[key] {
@@ -266,7 +266,7 @@
 	case errors.As(err, &missing):
 		l.observe(s, id, nil)
 	case ctx.Err() == nil:
-		s.transfer.Silent(id, l.Clock.Now())
+		s.transfer.MarkUnresponsive(id, l.Clock.Now())
 	}
 }
 
@@ -312,7 +312,7 @@
 			higher++
 		}
 	}
-	return higher < planner.OriginFetchers
+	return higher < planner.OriginFetchersPerRegion
 }
 
 func (l *Loader) fetchManifest(ctx context.Context, s *set, peers []messenger.Holder, sources bool) {
--- a/internal/matcher/matcher_test.go
+++ b/internal/matcher/matcher_test.go
@@ -14,7 +14,7 @@
 	"github.com/oriolecroft/oriolecroft/internal/matcher"
 )
 
-// TestMain fixes rapid's seed, so that each run gives the same verdict.
+// TestMain fixes rapid's seed, so that results are reproducible.
 func TestMain(m *testing.M) {
 	if err := flag.Set("rapid.seed", "1"); err != nil {
 		panic(err)
@@ -23,8 +23,8 @@
 	os.Exit(m.Run())
 }
 
-// naive looks at all routes.
-func naive(t *matcher.Table, host, path string) *matcher.Route {
+// bruteForceMatch checks all routes.
+func bruteForceMatch(t *matcher.Table, host, path string) *matcher.Route {
 	var best *matcher.Route
 	for _, r := range t.Routes {
 		if r.Host == host && strings.HasPrefix(path, r.Prefix) && (best == nil || len(r.Prefix) > len(best.Prefix)) {
@@ -34,8 +34,9 @@
 	return best
 }
 
-// The operators add routes to many hosts, some within others. A request that is matched to a
-// shorter prefix than there is goes to the wrong service, or to a wrong farm's.
+// Guards against matching a shorter prefix than the longest one, which would send a request
+// to the wrong service, or to that of another farm. The table has routes of several hosts,
+// some within others.
 func TestMatchAgainstOracle(t *testing.T) {
 	segment := rapid.SampledFrom([]string{"a", "b", "ab", "", "é"})
 	path := rapid.Custom(func(t *rapid.T) string {
@@ -50,13 +51,13 @@
 		table.Index()
 		for range 20 {
 			h, p := host.Draw(t, "host"), path.Draw(t, "path")
-			must.Eq(t, naive(table, h, p), table.Match(strings.ToUpper(h)+":8443", p))
+			must.Eq(t, bruteForceMatch(table, h, p), table.Match(strings.ToUpper(h)+":8443", p))
 		}
 	})
 }
 
-// manyRoutes is a table of so many routes of one host, none within another.
-func manyRoutes(n int) *matcher.Table {
+// tableOfRoutes is a table of n routes of one host, none within another.
+func tableOfRoutes(n int) *matcher.Table {
 	t := &matcher.Table{}
 	for i := range n {
 		t.Routes = append(t.Routes, &matcher.Route{Name: fmt.Sprint(i), Host: "farm.example", Prefix: fmt.Sprintf("/farm%05d/rota/", i)})
@@ -68,7 +69,7 @@
 func BenchmarkMatch(b *testing.B) {
 	for _, n := range []int{10, 1_000, 20_000} {
 		b.Run(fmt.Sprint(n), func(b *testing.B) {
-			t := manyRoutes(n)
+			t := tableOfRoutes(n)
 			path := fmt.Sprintf("/farm%05d/rota/2026/12", n-1)
 			for b.Loop() {
 				if t.Match("farm.example", path) == nil {
@@ -81,16 +82,16 @@
 
 // Guards against a probe route or another service's objective that shortens queueing for all.
 func TestServiceHasTheShortestObjectiveOfItsOwnRoutes(t *testing.T) {
-	at := func(service string) []matcher.Target { return []matcher.Target{{Service: service, Weight: 1}} }
+	targets := func(service string) []matcher.Target { return []matcher.Target{{Service: service, Weight: 1}} }
 	table := &matcher.Table{
 		Services: map[string]*matcher.Service{"engines": {}, "others": {}, "bookings": {}},
 		Routes: []*matcher.Route{
-			{Generates: true, Objective: 500 * time.Millisecond, Targets: at("engines")},
-			{Generates: true, Objective: 400 * time.Millisecond, Targets: at("engines")},
-			{Generates: true, Targets: at("engines")},
-			{Objective: 100 * time.Millisecond, Targets: at("engines")},
-			{Generates: true, Objective: 50 * time.Millisecond, Targets: at("others")},
-			{Objective: 150 * time.Millisecond, Targets: at("bookings")},
+			{Generates: true, Objective: 500 * time.Millisecond, Targets: targets("engines")},
+			{Generates: true, Objective: 400 * time.Millisecond, Targets: targets("engines")},
+			{Generates: true, Targets: targets("engines")},
+			{Objective: 100 * time.Millisecond, Targets: targets("engines")},
+			{Generates: true, Objective: 50 * time.Millisecond, Targets: targets("others")},
+			{Objective: 150 * time.Millisecond, Targets: targets("bookings")},
 		},
 	}
 	table.Index()
--- a/internal/matcher/priority.go
+++ b/internal/matcher/priority.go
@@ -5,16 +5,17 @@
 	"slices"
 )
 
-// Priorities go from MostUrgent to LeastUrgent.
+// Priorities range from MostUrgent to LeastUrgent.
 const (
 	MostUrgent  = 0
 	LeastUrgent = 9
-	// UnstatedPriority is that of a route or workspace that states none, as engines count it.
+	// UnstatedPriority is the priority of a route or workspace without one, as engines count
+	// it.
 	UnstatedPriority = 5
 )
 
-// urgency orders requests: first by the priority of their workspace, then by that of their route. Workspaces of
-// equal priority would otherwise make all kinds of request equal.
+// urgency orders requests first by the priority of their workspace, then by that of their route. By the
+// workspace alone, all kinds of request of workspaces of equal priority would be equal.
 type urgency struct{ workspace, route int }
 
 func (u urgency) compare(other urgency) int {
@@ -35,16 +36,17 @@
 	return u
 }
 
-// Priority is a request's among those that may reach the service: its place in the order of urgencies, from
-// MostUrgent to Least. With more than ten urgencies neighbors share one. The workspace is nil for a request
-// without one.
+// Priority returns a request's rank in the order of the urgencies that may reach the service, from
+// MostUrgent to Least. With more than ten urgencies adjacent ones share a rank. The workspace is nil for a
+// request without one.
 func (s *Service) Priority(r *Route, w *Workspace) int {
 	if len(s.urgencies) == 0 {
 		return UnstatedPriority
 	}
 	i, found := slices.BinarySearchFunc(s.urgencies, urgencyOf(r, w), urgency.compare)
 	if !found {
-		// Of another table than the service: as urgent as the next one known.
+		// The urgency comes from another table than the service: use the next
+		// known one.
 		i = min(i, len(s.urgencies)-1)
 	}
 	return s.level(i)
@@ -58,16 +60,16 @@
 	return i
 }
 
-// notePriorities sets which urgencies the requests for each service may have.
-func (t *Table) notePriorities() {
-	reached := map[string]map[urgency]bool{}
-	workspaces := t.workspaces()
+// setPriorities sets the urgencies that the requests for each service may have.
+func (t *Table) setPriorities() {
+	urgenciesOf := map[string]map[urgency]bool{}
+	workspaces := t.workspacePerPriority()
 	for _, r := range t.Routes {
 		for _, target := range r.Targets {
-			us := reached[target.Service]
+			us := urgenciesOf[target.Service]
 			if us == nil {
 				us = map[urgency]bool{}
-				reached[target.Service] = us
+				urgenciesOf[target.Service] = us
 			}
 			if r.Public || t.Keys == nil {
 				us[urgencyOf(r, nil)] = true
@@ -78,7 +80,7 @@
 			}
 		}
 	}
-	for name, us := range reached {
+	for name, us := range urgenciesOf {
 		if s := t.Services[name]; s != nil {
 			s.urgencies = slices.SortedFunc(maps.Keys(us), urgency.compare)
 			s.Prioritized = len(s.urgencies) > 1
@@ -87,8 +89,8 @@
 	}
 }
 
-// workspaces has one workspace of each priority.
-func (t *Table) workspaces() []*Workspace {
+// workspacePerPriority returns one workspace of each priority.
+func (t *Table) workspacePerPriority() []*Workspace {
 	var ws []*Workspace
 	seen := map[int]bool{}
 	for _, w := range t.Keys {
--- a/internal/planner/bench_test.go
+++ b/internal/planner/bench_test.go
@@ -6,7 +6,7 @@
 	"time"
 )
 
-// bursts is the table of BenchmarkTimeToReplicas.
+// bursts are the cases of BenchmarkTimeToReplicas.
 func bursts() []burst {
 	var bs []burst
 	for _, n := range []int{10, 30, 100, 300, 730, 12000} {
@@ -28,23 +28,23 @@
 	return fmt.Sprintf("machines=%d/regions=%d/faults=%t", b.machines, max(1, b.regions), b.faults)
 }
 
-// BenchmarkTimeToReplicas plays bursts in virtual time through the real planner
-// and tracker, beside the naive version and the fluid bound.
+// BenchmarkTimeToReplicas runs bursts in virtual time through the real planner
+// and tracker, and compares them with the naive version and the fluid bound.
 func BenchmarkTimeToReplicas(b *testing.B) {
 	for _, row := range bursts() {
 		b.Run(row.name(), func(b *testing.B) {
 			for b.Loop() {
 				m := newModel(row)
-				began := time.Now()
+				started := time.Now()
 				took, stuck := m.run()
-				spent := time.Since(began)
+				spent := time.Since(started)
 				if stuck {
 					b.Errorf("%d machines still without the weights after %v", m.waiting, took)
 				}
 				b.ReportMetric(took.Seconds()/row.bound().Seconds(), "boundRatio")
-				b.ReportMetric(m.drawn/m.size, "originCopies")
-				b.ReportMetric(m.crossed/m.size/float64(max(1, row.regions-1)), "regionCopies")
-				b.ReportMetric(newModel(row).naive().Seconds()/took.Seconds(), "naiveRatio")
+				b.ReportMetric(m.originBytes/m.size, "originCopies")
+				b.ReportMetric(m.crossRegionBytes/m.size/float64(max(1, row.regions-1)), "regionCopies")
+				b.ReportMetric(newModel(row).naiveTime().Seconds()/took.Seconds(), "naiveRatio")
 				b.ReportMetric(float64(spent.Microseconds())/float64(row.machines), "cpu-µs/machine")
 			}
 		})
--- a/internal/planner/bitmap.go
+++ b/internal/planner/bitmap.go
@@ -1,19 +1,19 @@
-// Package planner decides which chunk an agent fetches next, and from whom. Its
-// decisions are pure: the state, the time and the random source come in, orders
-// come out, so that they run the same in an agent and in a benchmark without a
-// socket.
+// Package planner decides which chunk an agent fetches next, and from which
+// source. Its decisions are pure functions of the state, the time and the
+// random source, so that they run the same in an agent and, without sockets, in
+// a benchmark.
 package planner
 
 import "math/bits"
 
-// Bitmap is a set of chunk numbers, chunk i in bit i%8 of byte i/8: the form
-// that travels in messenger.Holding. Numbers beyond its end are not in it.
+// Bitmap is a set of chunk numbers, chunk i in bit i%8 of byte i/8: the form of
+// messenger.Holding. Numbers beyond its end are not in it.
 type Bitmap []byte
 
-// NewBitmap makes an empty set for n chunks.
+// NewBitmap returns an empty set for n chunks.
 func NewBitmap(n int) Bitmap { return make(Bitmap, (n+7)/8) }
 
-// Has tells whether chunk i is in the set.
+// Has reports whether chunk i is in the set.
 func (b Bitmap) Has(i int) bool { return i/8 < len(b) && b[i/8]&(1<<(i%8)) != 0 }
 
 // Set adds chunk i, which must be below the n of NewBitmap.
@@ -35,8 +35,8 @@
 	return n
 }
 
-// octet is byte i of the set, 0 beyond its end.
-func (b Bitmap) octet(i int) byte {
+// byteAt is byte i of the set, 0 beyond its end.
+func (b Bitmap) byteAt(i int) byte {
 	if i < len(b) {
 		return b[i]
 	}
--- a/internal/planner/flights.go
+++ b/internal/planner/flights.go
@@ -5,53 +5,53 @@
 	"time"
 )
 
-// slotsTaken is how many fetches hold a slot. Some that run for too long give theirs up:
-// with every slot at slow peers, an agent would stand still beside quick ones.
-func (t *Transfer) slotsTaken(now time.Time) int {
+// usedSlots is how many fetches occupy a slot. Up to Slots slow ones don't count: with
+// every slot at slow peers, an agent would make no progress beside fast ones.
+func (t *Transfer) usedSlots(now time.Time) int {
 	overrun := 0
-	for _, f := range t.flights {
-		if t.slow(f, now) {
+	for _, f := range t.fetches {
+		if t.isSlowFetch(f, now) {
 			overrun++
 		}
 	}
-	return len(t.flights) - min(overrun, t.Slots)
+	return len(t.fetches) - min(overrun, t.Slots)
 }
 
-// slow tells whether a fetch runs for much longer than is usual.
-func (t *Transfer) slow(f flight, now time.Time) bool {
-	return now.Sub(f.since) > t.patience()/2
+// isSlowFetch reports whether a fetch runs for much longer than usual.
+func (t *Transfer) isSlowFetch(f fetch, now time.Time) bool {
+	return now.Sub(f.started) > t.waitLimit()/2
 }
 
-func (t *Transfer) begin(o Order, now time.Time) {
-	f := flight{Order: o, since: now}
+func (t *Transfer) startFetch(o Order, now time.Time) {
+	f := fetch{Order: o, started: now}
 	t.inFlight.Set(o.Chunk)
 	switch s := o.Source.(type) {
 	case FromPeer:
 		if p := t.peer(s.ID); p != nil {
 			p.inFlight++
-			f.across = p.Region != t.Region
+			f.crossRegion = p.Region != t.Region
 		}
 	case FromOrigin:
-		t.drawing++
+		t.originFetches++
 	}
-	if f.across {
-		t.bringing++
+	if f.crossRegion {
+		t.crossRegionFetches++
 	}
-	t.flights = append(t.flights, f)
+	t.fetches = append(t.fetches, f)
 }
 
-// end takes a fetch out of the flights and gives how long it ran.
-func (t *Transfer) end(o Order, now time.Time) time.Duration {
-	i := slices.IndexFunc(t.flights, func(f flight) bool { return f.Order == o })
+// endFetch removes a fetch in progress and returns how long it ran.
+func (t *Transfer) endFetch(o Order, now time.Time) time.Duration {
+	i := slices.IndexFunc(t.fetches, func(f fetch) bool { return f.Order == o })
 	if i < 0 {
 		return 0
 	}
-	took := now.Sub(t.flights[i].since)
-	if t.flights[i].across {
-		t.bringing--
+	took := now.Sub(t.fetches[i].started)
+	if t.fetches[i].crossRegion {
+		t.crossRegionFetches--
 	}
-	t.flights = slices.Delete(t.flights, i, i+1)
-	if !slices.ContainsFunc(t.flights, func(f flight) bool { return f.Chunk == o.Chunk }) {
+	t.fetches = slices.Delete(t.fetches, i, i+1)
+	if !slices.ContainsFunc(t.fetches, func(f fetch) bool { return f.Chunk == o.Chunk }) {
 		t.inFlight.Clear(o.Chunk)
 	}
 	switch s := o.Source.(type) {
@@ -60,21 +60,21 @@
 			p.inFlight = max(0, p.inFlight-1)
 		}
 	case FromOrigin:
-		t.drawing--
+		t.originFetches--
 	}
 	return took
 }
 
-// Done notes a verified chunk. It tells whether the chunk is new: two sources
-// may have been asked for it.
+// Done records a verified chunk and reports whether it is new: it may have been
+// requested from two sources.
 func (t *Transfer) Done(o Order, now time.Time) bool {
-	took := t.end(o, now)
-	source := t.met(o.Source)
-	source.slow = took > t.patience()/2
+	took := t.endFetch(o, now)
+	source := t.sourceState(o.Source)
+	source.slow = took > t.waitLimit()/2
 	source.failures = 0
-	// One narrow link would else make the patience with all others several times as long.
-	t.pace += (min(took, t.patience()) - t.pace) / 8
-	t.lastGain = now
+	// A single narrow link would otherwise multiply the wait limit for all other sources.
+	t.meanFetchTime += (min(took, t.waitLimit()) - t.meanFetchTime) / 8
+	t.lastChunkAt = now
 	if t.have.Has(o.Chunk) {
 		return false
 	}
@@ -83,10 +83,10 @@
 	return true
 }
 
-// Failed notes a fetch that gave nothing.
+// Failed records a failed fetch.
 func (t *Transfer) Failed(o Order, cause Cause, now time.Time) {
-	t.end(o, now)
-	p := t.met(o.Source)
+	t.endFetch(o, now)
+	p := t.sourceState(o.Source)
 	switch cause {
 	case Busy:
 		p.busyUntil = now.Add(t.jitter(t.BusyBackoff))
@@ -94,27 +94,27 @@
 		if p.Have.Has(o.Chunk) {
 			p.Have = slices.Clone(p.Have)
 			p.Have.Clear(o.Chunk)
-			t.recount()
+			t.recountHolders()
 		}
 		p.busyUntil = now.Add(t.jitter(t.BusyBackoff))
 	case Unavailable:
 		if p == &t.origin {
-			t.originDown = now
+			t.originFailedAt = now
 		}
-		t.shun(p, now)
+		t.backOff(p, now)
 	case Corrupt:
-		p.avoidUntil = now.Add(t.jitter(t.distrust(o.Source)))
+		p.avoidUntil = now.Add(t.jitter(t.corruptBackoff(o.Source)))
 		p.failures++
 	}
 }
 
-// mostDoublings bounds the exponential backoff, so that a source which comes back
-// after a long outage is noticed soon.
-const mostDoublings = 3
+// maxDoublings bounds the exponential backoff, so that a source that recovers
+// after a long outage is used again soon.
+const maxDoublings = 3
 
-// shun leaves a source that doesn't answer alone, longer with each failure.
-func (t *Transfer) shun(p *peer, now time.Time) {
-	wait := t.Patience << min(p.failures, mostDoublings)
+// backOff avoids a source that doesn't answer, longer with each failure.
+func (t *Transfer) backOff(p *peer, now time.Time) {
+	wait := t.Patience << min(p.failures, maxDoublings)
 	if p == &t.origin && t.OriginBackoff > 0 {
 		wait = min(wait, t.OriginBackoff)
 	}
@@ -122,18 +122,19 @@
 	p.failures++
 }
 
-// distrust is how long a source that sent a corrupt chunk is avoided. A peer
-// with bad memory sends bad chunks again and again, while others have the same
-// chunk; the origin is the last resort and can't be left for long.
-func (t *Transfer) distrust(s Source) time.Duration {
+// corruptBackoff is how long a source that sent a corrupt chunk is avoided. A
+// peer with bad memory sends corrupt chunks repeatedly, while others have the
+// same chunk; the origin is the last resort and can't be avoided for long.
+func (t *Transfer) corruptBackoff(s Source) time.Duration {
 	if _, ok := s.(FromPeer); ok {
 		return t.AvoidFor
 	}
-	return t.BusyBackoff << min(t.origin.failures, mostDoublings)
+	return t.BusyBackoff << min(t.origin.failures, maxDoublings)
 }
 
-// met is what was met with a source; for a peer no longer known, a blank.
-func (t *Transfer) met(s Source) *peer {
+// sourceState is the state of a source; an empty one for a peer that was
+// removed.
+func (t *Transfer) sourceState(s Source) *peer {
 	switch s := s.(type) {
 	case FromPeer:
 		if p := t.peer(s.ID); p != nil {
@@ -145,8 +146,8 @@
 	}
 }
 
-// jitter spreads a wait over half to one and a half of d. Agents fail together,
-// as when the origin goes down, and would all come back at the same moment.
+// jitter returns a random wait from 0.5 to 1.5 times d. Agents fail together,
+// as when the origin goes down, and would otherwise retry at the same moment.
 func (t *Transfer) jitter(d time.Duration) time.Duration {
 	return d/2 + time.Duration(t.Rand.Int64N(int64(d)+1))
 }
--- a/internal/planner/model_test.go
+++ b/internal/planner/model_test.go
@@ -14,27 +14,28 @@
 	"github.com/oriolecroft/oriolecroft/internal/tracker"
 )
 
-// link is a limiter: what is sent over it leaves in the order of the calls, at
-// its rate, and not while it is stalled.
+// link is a rate-limited link: data leaves in the order of the calls, at its
+// rate, and not while it is stalled.
 type link struct {
 	rate           float64
-	free           time.Time
+	freeAt         time.Time
 	stall, resumed time.Time
 }
 
-// send gives the time at which the last of n bytes has passed.
+// send returns the time at which the last of n bytes has passed.
 func (l *link) send(now time.Time, n float64) time.Time {
-	if l.free.Before(now) {
-		l.free = now
+	if l.freeAt.Before(now) {
+		l.freeAt = now
 	}
-	l.free = l.free.Add(time.Duration(n / l.rate * float64(time.Second)))
-	if l.free.After(l.stall) && l.free.Before(l.resumed) {
-		l.free = l.resumed
+	l.freeAt = l.freeAt.Add(time.Duration(n / l.rate * float64(time.Second)))
+	if l.freeAt.After(l.stall) && l.freeAt.Before(l.resumed) {
+		l.freeAt = l.resumed
 	}
-	return l.free
+	return l.freeAt
 }
 
-// burst is one row of the table: who wants the weights, over which links.
+// burst is one benchmark case: the machines that want the weights, and their
+// links.
 type burst struct {
 	machines, chunks int
 	// size is one copy in bytes; the origin sends four of them in a window and
@@ -46,85 +47,85 @@
 	regionRate float64
 	faults     bool
 	seed       uint64
-	habits     habits
+	settings   agentSettings
 	// originCopies is how many copies the origin sends in a window; 0 means four.
 	originCopies float64
 	// originDown is from when to when the origin refuses all calls; zero for never.
 	originDown [2]time.Duration
-	// narrow is the rate, as a part of the others', of the links of the agents that rank
-	// first among the origin fetchers of the regions narrowIn. The burst is over without them.
-	narrow   float64
-	narrowIn []string
+	// narrowFactor is the rate, relative to the others', of the links of the highest-ranked
+	// origin fetchers of the regions narrowRegions. The burst doesn't wait for them.
+	narrowFactor  float64
+	narrowRegions []string
 }
 
-// habits are how agents behave.
-type habits struct {
-	slots, originSlots     int
-	patience, poll, settle time.Duration
+// agentSettings configure the agents.
+type agentSettings struct {
+	slots, originSlots           int
+	waitLimit, poll, originDelay time.Duration
 	// originBackoff is the planner's.
 	originBackoff time.Duration
-	// heartbeat is how often agents report to the tracker and hear of each other.
+	// heartbeat is how often agents report to the tracker and receive each
+	// other's holdings.
 	heartbeat time.Duration
-	// listens tells that each chunk brings word of what else its sender holds.
-	listens bool
-	// question is what asking a peer for its holdings costs on the links, in bytes each way;
-	// 0 for nothing.
-	question float64
-	// questions is the planner's Questions; reports has a request for a chunk report what the
-	// requester holds.
-	questions int
-	reports   bool
-	// requests is the part of a link that requests and their replies take.
-	requests float64
-	// uploadShare is the part of a link that chunks for other agents may take, not counting
+	// chunksReport has each chunk report its sender's other holdings.
+	chunksReport bool
+	// queryBytes is the size of a query for holdings, in bytes each way; 0 for nothing.
+	queryBytes float64
+	// maxQueries is the planner's Questions; requestsReport has a request for a chunk report
+	// the requester's holdings.
+	maxQueries     int
+	requestsReport bool
+	// requestShare is the part of a link that requests and their replies use.
+	requestShare float64
+	// uploadShare is the part of a link that chunks for other agents may use, not counting
 	// headers; 0 for all of it, headers included.
 	uploadShare float64
 }
 
-// chunkOverhead is how many bytes a chunk takes on a link for each of its own.
+// chunkOverhead is the number of bytes sent on a link for each byte of a chunk.
 const chunkOverhead = 1.03
 
-// usual are the loader's defaults.
-var usual = habits{slots: 4, originSlots: 2, patience: 3 * time.Second, poll: time.Second, settle: time.Second, heartbeat: time.Second}
+// defaultSettings are the loader's defaults.
+var defaultSettings = agentSettings{slots: 4, originSlots: 2, waitLimit: 3 * time.Second, poll: time.Second, originDelay: time.Second, heartbeat: time.Second}
 
 const (
 	uploadSlots = 4
 	callTimeout = 5 * time.Second
 )
 
-// overdue is when the loader cuts a fetch that trickles.
-func (h habits) overdue() time.Duration { return 10 * h.patience }
+// fetchTimeout is when the loader cancels a fetch that trickles.
+func (h agentSettings) fetchTimeout() time.Duration { return 10 * h.waitLimit }
 
 // machine is a VM with an agent.
 type machine struct {
 	*planner.Transfer
 	state    messenger.AgentState
 	up, down link
-	// pacer is the limit on what the machine uploads.
+	// pacer limits the machine's uploads.
 	pacer link
-	// asking are the peers whose answers are on their way.
-	asking map[string]bool
+	// pendingQueries are the peers whose answers are pending.
+	pendingQueries map[string]bool
 	// uploads and exports count the transfers to this region and to others.
 	uploads, exports int
 	peers            map[string]*machine
-	// dies is zero for a machine that lives.
-	dies time.Time
-	done time.Time
-	// unawaited machines may stay without the weights.
-	unawaited bool
+	// diesAt is zero for a machine that stays alive.
+	diesAt time.Time
+	doneAt time.Time
+	// excluded machines may stay without the weights.
+	excluded bool
 }
 
-func (m *machine) dead(now time.Time) bool { return !m.dies.IsZero() && !now.Before(m.dies) }
+func (m *machine) dead(now time.Time) bool { return !m.diesAt.IsZero() && !now.Before(m.diesAt) }
 
-// counter is the one of the upload counters on which a transfer to v counts.
-func (m *machine) counter(v *machine) *int {
+// uploadCounter is the counter for transfers to v.
+func (m *machine) uploadCounter(v *machine) *int {
 	if v.Region != m.Region {
 		return &m.exports
 	}
 	return &m.uploads
 }
 
-// model plays one burst in virtual time.
+// model runs one burst in virtual time.
 type model struct {
 	burst
 	clock    *clocktesting.FakePassiveClock
@@ -136,27 +137,28 @@
 	machines []*machine
 	byID     map[string]*machine
 	events   events
-	number   int
+	sequence int
 	waiting  int
-	// drawn and crossed are bytes from the origin and between regions.
-	drawn, crossed float64
+	// originBytes and crossRegionBytes are bytes from the origin and between
+	// regions.
+	originBytes, crossRegionBytes float64
 }
 
 type event struct {
-	at time.Time
-	// number orders events of the same time.
-	number int
-	run    func(now time.Time)
+	time time.Time
+	// sequence orders events of the same time.
+	sequence int
+	handle   func(now time.Time)
 }
 
 type events []event
 
 func (e events) Len() int { return len(e) }
 func (e events) Less(i, j int) bool {
-	if e[i].at.Equal(e[j].at) {
-		return e[i].number < e[j].number
+	if e[i].time.Equal(e[j].time) {
+		return e[i].sequence < e[j].sequence
 	}
-	return e[i].at.Before(e[j].at)
+	return e[i].time.Before(e[j].time)
 }
 func (e events) Swap(i, j int) { e[i], e[j] = e[j], e[i] }
 func (e *events) Push(x any)   { *e = append(*e, x.(event)) }
@@ -167,17 +169,17 @@
 	return last
 }
 
-func (m *model) at(t time.Time, run func(time.Time)) {
-	m.number++
-	heap.Push(&m.events, event{at: t, number: m.number, run: run})
+func (m *model) schedule(t time.Time, handle func(time.Time)) {
+	m.sequence++
+	heap.Push(&m.events, event{time: t, sequence: m.sequence, handle: handle})
 }
 
 const manifest = "sha256:burst"
 
 func newModel(b burst) *model {
 	start := time.Unix(1_800_000_000, 0)
-	if b.habits == (habits{}) {
-		b.habits = usual
+	if b.settings == (agentSettings{}) {
+		b.settings = defaultSettings
 	}
 	if b.originCopies == 0 {
 		b.originCopies = 4
@@ -194,32 +196,33 @@
 		m.out[name], m.in[name] = &link{rate: b.regionRate}, &link{rate: b.regionRate}
 	}
 	for i := range b.machines {
-		m.add(i)
+		m.addMachine(i)
 	}
-	m.squeeze()
+	m.narrowLinks()
 	return m
 }
 
-// squeeze narrows the links of the first origin fetchers of some regions.
-func (m *model) squeeze() {
-	for _, region := range m.narrowIn {
+// narrowLinks narrows the links of the highest-ranked origin fetchers of some
+// regions.
+func (m *model) narrowLinks() {
+	for _, region := range m.narrowRegions {
 		var first *machine
 		for _, v := range m.machines {
-			if v.Region != region || v.unawaited {
+			if v.Region != region || v.excluded {
 				continue
 			}
 			if first == nil || planner.Score(manifest, v.ID) > planner.Score(manifest, first.ID) {
 				first = v
 			}
 		}
-		first.up.rate *= m.narrow
-		first.down.rate *= m.narrow
-		first.unawaited = true
+		first.up.rate *= m.narrowFactor
+		first.down.rate *= m.narrowFactor
+		first.excluded = true
 		m.waiting--
 	}
 }
 
-func (m *model) add(i int) {
+func (m *model) addMachine(i int) {
 	region := fmt.Sprintf("region-%d", i%max(1, m.regions))
 	rate := 2 * m.size / m.window.Seconds()
 	v := &machine{
@@ -227,34 +230,34 @@
 			ID: fmt.Sprintf("vm-%d", i), FailureDomain: fmt.Sprintf("%s-%d", region, i%3), Region: region,
 			Address: netip.AddrPortFrom(netip.AddrFrom4([4]byte{10, byte(i >> 16), byte(i >> 8), byte(i)}), 1),
 		},
-		up: link{rate: rate * (1 - m.habits.requests)}, down: link{rate: rate * (1 - m.habits.requests)}, pacer: link{rate: rate * m.habits.uploadShare},
-		peers: map[string]*machine{}, asking: map[string]bool{},
+		up: link{rate: rate * (1 - m.settings.requestShare)}, down: link{rate: rate * (1 - m.settings.requestShare)}, pacer: link{rate: rate * m.settings.uploadShare},
+		peers: map[string]*machine{}, pendingQueries: map[string]bool{},
 	}
 	v.Transfer = &planner.Transfer{
 		ID: v.state.ID, FailureDomain: v.state.FailureDomain, Region: region,
 		Manifest: manifest, Chunks: m.chunks, SourceRegion: "region-0",
-		Slots: m.habits.slots, Questions: m.habits.questions, PeerSlots: max(1, m.habits.slots/2), OriginSlots: m.habits.originSlots, AcrossSlots: m.habits.slots - 1,
-		Patience: m.habits.patience, BusyBackoff: m.habits.poll / 4, AvoidFor: 5 * time.Minute,
-		OriginBackoff: m.habits.originBackoff, DrawAfter: m.start.Add(m.habits.settle), Rand: rand.New(rand.NewPCG(m.seed, uint64(i))),
+		Slots: m.settings.slots, Questions: m.settings.maxQueries, PeerSlots: max(1, m.settings.slots/2), OriginSlots: m.settings.originSlots, AcrossSlots: m.settings.slots - 1,
+		Patience: m.settings.waitLimit, BusyBackoff: m.settings.poll / 4, AvoidFor: 5 * time.Minute,
+		OriginBackoff: m.settings.originBackoff, DrawAfter: m.start.Add(m.settings.originDelay), Rand: rand.New(rand.NewPCG(m.seed, uint64(i))),
 	}
 	v.Start(m.start, nil)
 	if m.faults {
-		m.harm(v)
+		m.injectFaults(v)
 	}
 	m.machines = append(m.machines, v)
 	m.byID[v.state.ID] = v
-	if v.dies.IsZero() {
+	if v.diesAt.IsZero() {
 		m.waiting++
 	}
-	m.at(m.start.Add(m.upTo(m.habits.heartbeat)), func(now time.Time) { m.beat(v, now) })
-	m.at(m.start.Add(m.upTo(m.habits.poll/2)), func(now time.Time) { m.tick(v, true, now) })
+	m.schedule(m.start.Add(m.upTo(m.settings.heartbeat)), func(now time.Time) { m.sendHeartbeat(v, now) })
+	m.schedule(m.start.Add(m.upTo(m.settings.poll/2)), func(now time.Time) { m.tick(v, true, now) })
 }
 
-// harm lets a tenth of the machines die and a tenth of the links stall, some
-// time during the burst.
-func (m *model) harm(v *machine) {
+// injectFaults lets a tenth of the machines die and a tenth of the links stall,
+// some time during the burst.
+func (m *model) injectFaults(v *machine) {
 	if m.rand.IntN(10) == 0 {
-		v.dies = m.start.Add(m.upTo(m.window / 2))
+		v.diesAt = m.start.Add(m.upTo(m.window / 2))
 	}
 	if m.rand.IntN(10) == 0 {
 		v.up.stall = m.start.Add(m.upTo(m.window / 2))
@@ -264,36 +267,36 @@
 
 func (m *model) upTo(d time.Duration) time.Duration { return time.Duration(m.rand.Int64N(int64(d))) }
 
-// run plays until all machines that live have the weights, or for long enough
-// to call it stuck, and gives the time that it took.
+// run runs until all live machines have the weights, or for long enough to
+// consider it stuck, and returns the time it took.
 func (m *model) run() (took time.Duration, stuck bool) {
 	end := m.start.Add(20 * m.window)
 	for m.waiting > 0 {
 		e := heap.Pop(&m.events).(event)
-		if e.at.After(end) {
-			return e.at.Sub(m.start), true
+		if e.time.After(end) {
+			return e.time.Sub(m.start), true
 		}
-		m.clock.SetTime(e.at)
-		e.run(e.at)
+		m.clock.SetTime(e.time)
+		e.handle(e.time)
 	}
 	return m.clock.Now().Sub(m.start), false
 }
 
-// beat reports to the tracker and takes its news.
-func (m *model) beat(v *machine, now time.Time) {
+// sendHeartbeat reports to the tracker and applies its updates.
+func (m *model) sendHeartbeat(v *machine, now time.Time) {
 	if v.dead(now) {
 		return
 	}
 	v.state.Sequence++
 	v.state.Holdings = []messenger.Holding{{Manifest: manifest, Chunks: m.chunks, Have: append([]byte(nil), v.Have()...)}}
 	m.tracker.Report(v.state)
-	if !v.Whole() {
-		m.introduce(v)
+	if !v.Complete() {
+		m.updatePeers(v)
 	}
-	m.at(now.Add(m.habits.heartbeat), func(now time.Time) { m.beat(v, now) })
+	m.schedule(now.Add(m.settings.heartbeat), func(now time.Time) { m.sendHeartbeat(v, now) })
 }
 
-func (m *model) introduce(v *machine) {
+func (m *model) updatePeers(v *machine) {
 	hs := m.tracker.Holders(v.state, []string{manifest})
 	ps := make([]planner.Peer, 0, len(hs))
 	clear(v.peers)
@@ -301,53 +304,54 @@
 		v.peers[h.ID] = m.byID[h.ID]
 		ps = append(ps, planner.Peer{ID: h.ID, FailureDomain: h.FailureDomain, Region: h.Region, Have: h.Holding.Have})
 	}
-	v.Learn(ps, m.clock.Now())
+	v.SetPeers(ps, m.clock.Now())
 }
 
-// tick asks the peers what they hold, every second time, and starts fetches.
-func (m *model) tick(v *machine, ask bool, now time.Time) {
-	if v.dead(now) || v.Whole() {
+// tick queries the peers for their holdings, every second time, and starts
+// fetches.
+func (m *model) tick(v *machine, query bool, now time.Time) {
+	if v.dead(now) || v.Complete() {
 		return
 	}
-	if ask {
-		m.ask(v, now)
+	if query {
+		m.queryPeers(v, now)
 	}
-	m.order(v, now)
-	m.at(now.Add(m.habits.poll/2), func(now time.Time) { m.tick(v, !ask, now) })
+	m.startFetches(v, now)
+	m.schedule(now.Add(m.settings.poll/2), func(now time.Time) { m.tick(v, !query, now) })
 }
 
-func (m *model) ask(v *machine, now time.Time) {
-	for _, id := range v.Ask(now) {
+func (m *model) queryPeers(v *machine, now time.Time) {
+	for _, id := range v.PeersToQuery(now) {
 		switch p := v.peers[id]; {
 		case p.dead(now):
-			m.at(now.Add(callTimeout), func(now time.Time) { v.Silent(id, now) })
-		case m.habits.question > 0:
-			m.question(v, p, now)
+			m.schedule(now.Add(callTimeout), func(now time.Time) { v.MarkUnresponsive(id, now) })
+		case m.settings.queryBytes > 0:
+			m.query(v, p, now)
 		default:
-			v.Saw(id, append(planner.Bitmap(nil), p.Have()...), now)
+			v.SetHoldings(id, append(planner.Bitmap(nil), p.Have()...), now)
 		}
 	}
 }
 
-// question asks a peer for its holdings over the links.
-func (m *model) question(v, p *machine, now time.Time) {
-	if v.asking[p.ID] {
+// query queries a peer for its holdings over the links.
+func (m *model) query(v, p *machine, now time.Time) {
+	if v.pendingQueries[p.ID] {
 		return
 	}
-	v.asking[p.ID] = true
-	m.at(m.message(v, p, now), func(now time.Time) {
+	v.pendingQueries[p.ID] = true
+	m.schedule(m.queryArrival(v, p, now), func(now time.Time) {
 		have := append(planner.Bitmap(nil), p.Have()...)
-		m.at(m.message(p, v, now), func(now time.Time) {
-			delete(v.asking, p.ID)
-			v.Saw(p.ID, have, now)
-			m.order(v, now)
+		m.schedule(m.queryArrival(p, v, now), func(now time.Time) {
+			delete(v.pendingQueries, p.ID)
+			v.SetHoldings(p.ID, have, now)
+			m.startFetches(v, now)
 		})
 	})
 }
 
-// message is when a question or its answer arrives.
-func (m *model) message(from, to *machine, now time.Time) time.Time {
-	n := m.habits.question
+// queryArrival is when a query or its answer arrives.
+func (m *model) queryArrival(from, to *machine, now time.Time) time.Time {
+	n := m.settings.queryBytes
 	passed := later(from.up.send(now, n), to.down.send(now, n))
 	if from.Region != to.Region {
 		passed = later(passed, later(m.out[from.Region].send(now, n), m.in[to.Region].send(now, n)))
@@ -355,7 +359,7 @@
 	return passed
 }
 
-func (m *model) order(v *machine, now time.Time) {
+func (m *model) startFetches(v *machine, now time.Time) {
 	for {
 		o, ok := v.Next(now)
 		if !ok {
@@ -371,58 +375,58 @@
 	if !ok {
 		passed := now.Add(time.Duration(bytes / m.origin.rate * float64(time.Second)))
 		if m.originRefuses(now) || m.originRefuses(passed) {
-			m.at(now.Add(time.Millisecond), func(now time.Time) { m.end(v, o, planner.Unavailable, now) })
+			m.schedule(now.Add(time.Millisecond), func(now time.Time) { m.failFetch(v, o, planner.Unavailable, now) })
 			return
 		}
-		m.drawn += bytes
-		m.carry(v, nil, o, later(m.origin.send(now, bytes), m.cross("region-0", v, now, bytes)), now)
+		m.originBytes += bytes
+		m.finishTransfer(v, nil, o, later(m.origin.send(now, bytes), m.crossRegions("region-0", v, now, bytes)), now)
 		return
 	}
 	p := m.byID[from.ID]
-	if m.habits.reports && !p.dead(now) {
-		p.Saw(v.ID, append(planner.Bitmap(nil), v.Have()...), now)
+	if m.settings.requestsReport && !p.dead(now) {
+		p.SetHoldings(v.ID, append(planner.Bitmap(nil), v.Have()...), now)
 	}
 	switch {
 	case p.dead(now):
-		m.at(now.Add(callTimeout), func(now time.Time) { m.end(v, o, planner.Unavailable, now) })
-	case *p.counter(v) >= uploadSlots:
+		m.schedule(now.Add(callTimeout), func(now time.Time) { m.failFetch(v, o, planner.Unavailable, now) })
+	case *p.uploadCounter(v) >= uploadSlots:
 		v.Failed(o, planner.Busy, now)
 	case !p.Have().Has(o.Chunk):
 		v.Failed(o, planner.NotHeld, now)
-	case m.habits.uploadShare > 0:
-		*p.counter(v)++
+	case m.settings.uploadShare > 0:
+		*p.uploadCounter(v)++
 		m.upload(v, p, o, now)
 	default:
-		*p.counter(v)++
-		m.carry(v, p, o, later(p.up.send(now, bytes), m.cross(p.Region, v, now, bytes)), now)
+		*p.uploadCounter(v)++
+		m.finishTransfer(v, p, o, later(p.up.send(now, bytes), m.crossRegions(p.Region, v, now, bytes)), now)
 	}
 }
 
-// upload sends a chunk at the pace that its sender keeps to. The sender takes the next one as
-// soon as this one is handed to its link, whose queue may be long.
+// upload sends a chunk at its sender's pace. The sender starts the next one as soon as this
+// one is queued at its link, whose queue may be long.
 func (m *model) upload(v, p *machine, o planner.Order, now time.Time) {
 	bytes := m.size / float64(m.chunks)
 	paced := p.pacer.send(now, bytes)
-	m.at(paced, func(time.Time) { *p.counter(v)-- })
-	m.at(paced.Add(-time.Duration(bytes/p.pacer.rate*float64(time.Second))), func(now time.Time) {
+	m.schedule(paced, func(time.Time) { *p.uploadCounter(v)-- })
+	m.schedule(paced.Add(-time.Duration(bytes/p.pacer.rate*float64(time.Second))), func(now time.Time) {
 		bytes *= chunkOverhead
-		passed := later(p.up.send(now, bytes), m.cross(p.Region, v, now, bytes))
-		m.carry(v, p, o, passed, now)
+		passed := later(p.up.send(now, bytes), m.crossRegions(p.Region, v, now, bytes))
+		m.finishTransfer(v, p, o, passed, now)
 	})
 }
 
-// originRefuses tells whether the origin is down.
+// originRefuses reports whether the origin is down.
 func (m *model) originRefuses(now time.Time) bool {
-	at := now.Sub(m.start)
-	return at >= m.originDown[0] && at < m.originDown[1]
+	elapsed := now.Sub(m.start)
+	return elapsed >= m.originDown[0] && elapsed < m.originDown[1]
 }
 
-// cross passes the links between two regions.
-func (m *model) cross(from string, v *machine, now time.Time, bytes float64) time.Time {
+// crossRegions sends data over the links between two regions.
+func (m *model) crossRegions(from string, v *machine, now time.Time, bytes float64) time.Time {
 	if from == v.Region {
 		return now
 	}
-	m.crossed += bytes
+	m.crossRegionBytes += bytes
 	return later(m.out[from].send(now, bytes), m.in[v.Region].send(now, bytes))
 }
 
@@ -433,25 +437,25 @@
 	return b
 }
 
-// carry ends a transfer whose other links have passed it at the given time. p is
-// nil for the origin.
-func (m *model) carry(v, p *machine, o planner.Order, passed, now time.Time) {
+// finishTransfer ends a transfer that has passed its other links at the given
+// time. p is nil for the origin.
+func (m *model) finishTransfer(v, p *machine, o planner.Order, passed, now time.Time) {
 	passed = later(passed, v.down.send(now, m.size/float64(m.chunks)))
-	limit := now.Add(m.habits.overdue())
-	m.at(earlier(passed, limit), func(now time.Time) {
-		if p != nil && m.habits.uploadShare == 0 {
-			*p.counter(v)--
+	limit := now.Add(m.settings.fetchTimeout())
+	m.schedule(earlier(passed, limit), func(now time.Time) {
+		if p != nil && m.settings.uploadShare == 0 {
+			*p.uploadCounter(v)--
 		}
 		switch {
 		case p != nil && p.dead(now) || passed.After(limit):
-			m.end(v, o, planner.Unavailable, now)
+			m.failFetch(v, o, planner.Unavailable, now)
 		case m.faults && m.rand.IntN(100) == 0:
-			m.end(v, o, planner.Corrupt, now)
+			m.failFetch(v, o, planner.Corrupt, now)
 		default:
-			if p != nil && m.habits.listens {
-				v.Saw(p.ID, append(planner.Bitmap(nil), p.Have()...), now)
+			if p != nil && m.settings.chunksReport {
+				v.SetHoldings(p.ID, append(planner.Bitmap(nil), p.Have()...), now)
 			}
-			m.arrive(v, o, now)
+			m.completeFetch(v, o, now)
 		}
 	})
 }
@@ -463,40 +467,40 @@
 	return b
 }
 
-func (m *model) end(v *machine, o planner.Order, cause planner.Cause, now time.Time) {
+func (m *model) failFetch(v *machine, o planner.Order, cause planner.Cause, now time.Time) {
 	if v.dead(now) {
 		return
 	}
 	v.Failed(o, cause, now)
-	m.order(v, now)
+	m.startFetches(v, now)
 }
 
-func (m *model) arrive(v *machine, o planner.Order, now time.Time) {
+func (m *model) completeFetch(v *machine, o planner.Order, now time.Time) {
 	if v.dead(now) {
 		return
 	}
 	v.Done(o, now)
-	if !v.Whole() {
-		m.order(v, now)
+	if !v.Complete() {
+		m.startFetches(v, now)
 		return
 	}
-	if v.done.IsZero() {
-		v.done = now
-		if v.dies.IsZero() && !v.unawaited {
+	if v.doneAt.IsZero() {
+		v.doneAt = now
+		if v.diesAt.IsZero() && !v.excluded {
 			m.waiting--
 		}
 	}
 }
 
-// naive plays the same burst with everybody drawing from the origin.
-func (m *model) naive() time.Duration {
+// naiveTime runs the same burst with all machines fetching from the origin.
+func (m *model) naiveTime() time.Duration {
 	bytes := m.size / float64(m.chunks)
 	last := m.start
 	for range m.chunks {
 		for _, v := range m.machines {
 			last = later(last, later(m.origin.send(m.start, bytes), v.down.send(m.start, bytes)))
 			if v.Region != "region-0" {
-				last = later(last, m.cross("region-0", v, m.start, bytes))
+				last = later(last, m.crossRegions("region-0", v, m.start, bytes))
 			}
 		}
 	}
--- a/internal/planner/transfer.go
+++ b/internal/planner/transfer.go
@@ -11,26 +11,25 @@
 	"github.com/cespare/xxhash/v2"
 )
 
-// OriginFetchers is how many agents of a region share the work of drawing a manifest's
-// chunks from the origin or across a region link. A tracker puts these agents
-// into each list of holders, so that all agents agree on them while each knows
-// only a handful.
-const OriginFetchers = 6
+// OriginFetchersPerRegion is how many agents of a region share the work of fetching a
+// manifest's chunks from the origin or across a region link. A tracker includes these agents in
+// each list of holders, so that all agents agree on them while each knows only a few.
+const OriginFetchersPerRegion = 6
 
 // Peer is another agent that holds or wants the same manifest.
 type Peer struct {
 	ID, FailureDomain, Region string
-	// Have is what the peer has told to hold.
+	// Have is the set of chunks that the peer has reported.
 	Have Bitmap
 }
 
-// Source is where an order sends the agent.
+// Source is the source of an order's chunk.
 type Source interface{ source() }
 
-// FromPeer names another agent by its ID.
+// FromPeer identifies another agent by its ID.
 type FromPeer struct{ ID string }
 
-// FromOrigin stands for the weight store, and the origin after it.
+// FromOrigin stands for the weight store, and the origin behind it.
 type FromOrigin struct{}
 
 func (FromPeer) source()   {}
@@ -57,29 +56,30 @@
 	Corrupt
 )
 
-// peer is a Peer and what this agent has met with it.
+// peer is a Peer and this agent's record of it.
 type peer struct {
 	Peer
 	score    uint64
 	inFlight int
 	failures int
-	// slow tells that the last chunk from here took much longer than is usual.
+	// slow means that the last chunk from here took much longer than usual.
 	slow bool
-	// refreshed is when the peer was last asked, or itself reported, what it holds.
+	// refreshed is when the peer's holdings were last queried or reported by
+	// itself.
 	refreshed time.Time
-	// busyUntil and avoidUntil are in the past for a peer in good standing.
+	// busyUntil and avoidUntil are in the past for a usable peer.
 	busyUntil, avoidUntil time.Time
 }
 
-// flight is a fetch that runs.
-type flight struct {
+// fetch is an order in progress.
+type fetch struct {
 	Order
-	since time.Time
-	// across tells that the peer is of another region.
-	across bool
+	started time.Time
+	// crossRegion means that the peer is of another region.
+	crossRegion bool
 }
 
-// originFetcher is an agent that may bring chunks into its region.
+// originFetcher is an agent that may fetch chunks into its region.
 type originFetcher struct {
 	id   string
 	seed uint64
@@ -91,68 +91,68 @@
 	ID, FailureDomain, Region string
 	Manifest                  string
 	Chunks                    int
-	// SourceRegion is where the weight store and the origin stand; empty when
+	// SourceRegion is the region of the weight store and the origin; empty if
 	// they are equally near to all.
 	SourceRegion string
 	// Slots bounds the fetches in flight, PeerSlots those from one peer,
 	// OriginSlots those from the origin, AcrossSlots those from other regions.
 	Slots, PeerSlots, OriginSlots, AcrossSlots int
-	// Questions bounds the peers of this region, and those of others, that are asked at one time
-	// what they hold while chunks are on their way, each of which refreshes that as well; 0 for
-	// all.
+	// Questions bounds the peers of this region, and those of others, whose holdings are queried
+	// at one time while chunks, each of which refreshes them as well, are in flight; 0 for all.
 	Questions int
 	// Patience is how long an agent leaves a chunk to its designated origin fetcher
-	// before it thinks of drawing it itself, and how long a fetch may run before
-	// another source is asked too.
+	// before it may fetch it itself, and how long a fetch may run before the chunk
+	// is requested from another source too.
 	Patience time.Duration
-	// BusyBackoff is how long a peer without a free slot is left alone.
+	// BusyBackoff is how long a peer without a free slot is avoided.
 	BusyBackoff time.Duration
 	// OriginBackoff is the longest pause after the origin did not answer; 0 means that
-	// it grows like a peer's. All agents wait for the origin: what it costs to ask it in
-	// vain is little against the time that weights come late after its return.
+	// it grows like a peer's. All agents wait for the origin: a failed request costs
+	// little compared with weights that arrive late after its recovery.
 	OriginBackoff time.Duration
 	// AvoidFor is how long a peer that sent a corrupt chunk is avoided.
 	AvoidFor time.Duration
-	// DrawAfter is the time before which nothing is drawn from the origin: at
-	// first each agent knows no other and would think itself the only origin fetcher.
-	// News of others must have come after it, too, or be Patience late.
+	// DrawAfter is the time before which nothing is fetched from the origin: at first
+	// each agent knows no other and would act as the only origin fetcher. Updates of
+	// others must have arrived after it, too, or be Patience late.
 	DrawAfter time.Time
 	Rand      *rand.Rand
 
 	have, inFlight Bitmap
-	// held are chunks on their way for another transfer of the same agent.
-	held Bitmap
-	// count is of chunks held; drawing and bringing are of fetches in flight from
-	// the origin and from other regions.
-	count, drawing, bringing int
-	// pace is the usual duration of a fetch, smoothed.
-	pace    time.Duration
-	flights []flight
-	peers   []*peer
+	// excluded are chunks in flight for another transfer of the same agent.
+	excluded Bitmap
+	// count is the number of chunks held; originFetches and crossRegionFetches
+	// are the fetches in flight from the origin and from other regions.
+	count, originFetches, crossRegionFetches int
+	// meanFetchTime is the smoothed duration of a fetch.
+	meanFetchTime time.Duration
+	fetches       []fetch
+	peers         []*peer
 	// holders counts, for each chunk, the peers of this region that have it.
 	holders        []int
 	originFetchers map[string][]originFetcher
-	// regionSeeds divide the chunks among the regions when SourceRegion has no
+	// regionSeeds divide the chunks among the regions if SourceRegion has no
 	// origin fetcher.
 	regionSeeds map[string]uint64
-	// rank spreads the fallbacks of the agents that are no origin fetchers.
-	rank int
-	// remote tells whether agents of other regions are known.
-	remote   bool
-	scratch  Bitmap
-	lastGain time.Time
-	learned  time.Time
-	// originDown is when the origin last did not answer.
-	originDown time.Time
-	// drawIdle and bringIdle are since when this agent has had no chunk of its own to draw
-	// from the origin, or to bring from another region.
-	drawIdle, bringIdle idleness
-	origin              peer
+	// fallbackRank spreads the fallbacks of the agents that are no origin
+	// fetchers.
+	fallbackRank int
+	// hasRemotePeers reports whether agents of other regions are known.
+	hasRemotePeers bool
+	scratch        Bitmap
+	lastChunkAt    time.Time
+	peersSetAt     time.Time
+	// originFailedAt is when the origin last did not answer.
+	originFailedAt time.Time
+	// originIdle and crossRegionIdle record since when this agent has had no chunk of its
+	// own to fetch from the origin, or from another region.
+	originIdle, crossRegionIdle idleTimer
+	origin                      peer
 }
 
-// Score is an agent's rank among the origin fetchers of a manifest: the highest OriginFetchers
-// scores of a region draw. It is a rendezvous hash, so that a change of one agent
-// moves only that agent's chunks.
+// Score is an agent's rank among the origin fetchers of a manifest: those with the
+// OriginFetchersPerRegion highest scores of a region fetch. It is a rendezvous hash, so that a
+// change of one agent moves only that agent's chunks.
 func Score(manifest, id string) uint64 {
 	d := xxhash.New()
 	_, _ = d.WriteString(manifest)
@@ -161,24 +161,24 @@
 	return d.Sum64()
 }
 
-// mix is the rendezvous hash of a chunk with a seed.
-func mix(seed uint64, chunk int) uint64 {
+// chunkScore is the rendezvous hash of a chunk with a seed.
+func chunkScore(seed uint64, chunk int) uint64 {
 	var b [16]byte
 	binary.LittleEndian.PutUint64(b[:8], seed)
 	binary.LittleEndian.PutUint64(b[8:], uint64(chunk))
 	return xxhash.Sum64(b[:])
 }
 
-// Start notes the chunks that are already in memory.
+// Start initializes the transfer with the chunks that are already in memory.
 func (t *Transfer) Start(now time.Time, have Bitmap) {
 	t.have, t.inFlight = NewBitmap(t.Chunks), NewBitmap(t.Chunks)
-	t.held, t.scratch = NewBitmap(t.Chunks), NewBitmap(t.Chunks)
+	t.excluded, t.scratch = NewBitmap(t.Chunks), NewBitmap(t.Chunks)
 	copy(t.have, have)
 	t.count = t.have.Count()
-	t.lastGain = now
-	t.rank = OriginFetchers + t.Rand.IntN(4*OriginFetchers)
-	t.recount()
-	t.elect()
+	t.lastChunkAt = now
+	t.fallbackRank = OriginFetchersPerRegion + t.Rand.IntN(4*OriginFetchersPerRegion)
+	t.recountHolders()
+	t.selectOriginFetchers()
 }
 
 // Have is the set of chunks held. It must not be changed.
@@ -187,26 +187,26 @@
 // Count is the number of chunks held.
 func (t *Transfer) Count() int { return t.count }
 
-// Whole tells whether all chunks are held.
-func (t *Transfer) Whole() bool { return t.count == t.Chunks }
+// Complete reports whether all chunks are held.
+func (t *Transfer) Complete() bool { return t.count == t.Chunks }
 
-// FetchedFromOrigin tells whether the origin has delivered every chunk that this region fetches
-// from it, as far as its agents are known here.
+// FetchedFromOrigin reports whether the origin has delivered every chunk that this region
+// fetches from it, as far as its agents are known here.
 func (t *Transfer) FetchedFromOrigin() bool {
 	for i := range t.Chunks {
-		if t.home(i) == t.Region && !t.have.Has(i) && t.holders[i] == 0 {
+		if t.originRegion(i) == t.Region && !t.have.Has(i) && t.holders[i] == 0 {
 			return false
 		}
 	}
 	return true
 }
 
-// InFlight is the number of fetches that run.
-func (t *Transfer) InFlight() int { return len(t.flights) }
+// InFlight is the number of fetches in progress.
+func (t *Transfer) InFlight() int { return len(t.fetches) }
 
-// Learn replaces the known peers. What was met with those that stay is kept.
-func (t *Transfer) Learn(peers []Peer, now time.Time) {
-	t.learned = now
+// SetPeers replaces the known peers. The state of those that stay is kept.
+func (t *Transfer) SetPeers(peers []Peer, now time.Time) {
+	t.peersSetAt = now
 	next := make([]*peer, 0, len(peers))
 	for _, p := range peers {
 		if p.ID == t.ID {
@@ -222,12 +222,12 @@
 		next = append(next, q)
 	}
 	t.peers = next
-	t.recount()
-	t.elect()
+	t.recountHolders()
+	t.selectOriginFetchers()
 }
 
-// Saw notes what a peer itself says that it holds.
-func (t *Transfer) Saw(id string, have Bitmap, now time.Time) {
+// SetHoldings records the holdings that a peer itself reported.
+func (t *Transfer) SetHoldings(id string, have Bitmap, now time.Time) {
 	p := t.peer(id)
 	if p == nil {
 		return
@@ -235,15 +235,15 @@
 	p.refreshed = now
 	have = have[:min(len(have), len(t.have))]
 	if p.Region == t.Region {
-		t.adjust(p.Have, have)
+		t.updateHolders(p.Have, have)
 	}
 	p.Have = have
 }
 
-// adjust counts the difference between what a peer held and what it holds.
-func (t *Transfer) adjust(before, after Bitmap) {
+// updateHolders applies a change of a peer's holdings to the holder counts.
+func (t *Transfer) updateHolders(before, after Bitmap) {
 	for b := range max(len(before), len(after)) {
-		old, now := before.octet(b), after.octet(b)
+		old, now := before.byteAt(b), after.byteAt(b)
 		for diff := old ^ now; diff != 0; diff &= diff - 1 {
 			i := b*8 + bits.TrailingZeros8(diff)
 			if i >= t.Chunks {
@@ -258,46 +258,46 @@
 	}
 }
 
-// Silent notes a peer that didn't answer when asked what it holds.
-func (t *Transfer) Silent(id string, now time.Time) {
+// MarkUnresponsive records a peer that didn't answer a query for its holdings.
+func (t *Transfer) MarkUnresponsive(id string, now time.Time) {
 	if p := t.peer(id); p != nil {
-		t.shun(p, now)
+		t.backOff(p, now)
 	}
 }
 
-// Gain notes a chunk that came to memory by another way than an order, as when
-// two versions share it.
-func (t *Transfer) Gain(chunk int) {
+// AddChunk records a chunk obtained without an order, such as one shared by two
+// versions.
+func (t *Transfer) AddChunk(chunk int) {
 	if !t.have.Has(chunk) {
 		t.have.Set(chunk)
 		t.count++
 	}
 }
 
-// Hold leaves a chunk alone until Release: it is on its way for another transfer
-// of this agent that shares it.
-func (t *Transfer) Hold(chunk int) { t.held.Set(chunk) }
+// Exclude keeps a chunk from being ordered until Include: it is in flight for
+// another transfer of this agent that shares it.
+func (t *Transfer) Exclude(chunk int) { t.excluded.Set(chunk) }
 
-// Release undoes Hold.
-func (t *Transfer) Release(chunk int) { t.held.Clear(chunk) }
+// Include undoes Exclude.
+func (t *Transfer) Include(chunk int) { t.excluded.Clear(chunk) }
 
-// Ask gives the peers to ask now what they hold, and counts them as asked: those that this agent
-// may fetch from, that lack chunks as far as is known and that haven't failed lately, the one
-// whose holdings are the oldest first.
-func (t *Transfer) Ask(now time.Time) []string {
-	most := len(t.peers)
-	if t.Questions > 0 && len(t.flights) > 0 {
-		most = t.Questions
+// PeersToQuery returns the peers to query for their holdings now, and records them as queried: those that
+// this agent may fetch from, that lack chunks as far as is known and that haven't failed recently, the
+// one with the oldest holdings first.
+func (t *Transfer) PeersToQuery(now time.Time) []string {
+	limit := len(t.peers)
+	if t.Questions > 0 && len(t.fetches) > 0 {
+		limit = t.Questions
 	}
-	own := t.stalest(most, now, func(p *peer) bool { return p.Region == t.Region })
+	own := t.leastRecentlyRefreshed(limit, now, func(p *peer) bool { return p.Region == t.Region })
 	if !t.IsOriginFetcher() {
 		return own
 	}
-	return append(own, t.stalest(most, now, func(p *peer) bool { return p.Region != t.Region })...)
+	return append(own, t.leastRecentlyRefreshed(limit, now, func(p *peer) bool { return p.Region != t.Region })...)
 }
 
-// stalest picks up to so many of the chosen peers.
-func (t *Transfer) stalest(most int, now time.Time, chosen func(*peer) bool) []string {
+// leastRecentlyRefreshed picks up to limit of the chosen peers.
+func (t *Transfer) leastRecentlyRefreshed(limit int, now time.Time, chosen func(*peer) bool) []string {
 	var ps []*peer
 	for _, p := range t.peers {
 		if chosen(p) && !now.Before(p.avoidUntil) && p.Have.Count() < t.Chunks {
@@ -305,8 +305,8 @@
 		}
 	}
 	slices.SortStableFunc(ps, func(a, b *peer) int { return a.refreshed.Compare(b.refreshed) })
-	ids := make([]string, 0, min(len(ps), most))
-	for _, p := range ps[:min(len(ps), most)] {
+	ids := make([]string, 0, min(len(ps), limit))
+	for _, p := range ps[:min(len(ps), limit)] {
 		p.refreshed = now
 		ids = append(ids, p.ID)
 	}
@@ -316,23 +316,23 @@
 // Overdue lists the fetches that have run for longer than limit.
 func (t *Transfer) Overdue(limit time.Duration, now time.Time) []Order {
 	var os []Order
-	for _, f := range t.flights {
-		if now.Sub(f.since) > limit {
+	for _, f := range t.fetches {
+		if now.Sub(f.started) > limit {
 			os = append(os, f.Order)
 		}
 	}
 	return os
 }
 
-// recount counts the holders of each chunk anew.
-func (t *Transfer) recount() {
+// recountHolders recomputes the holders of each chunk.
+func (t *Transfer) recountHolders() {
 	if t.holders == nil {
 		t.holders = make([]int, t.Chunks)
 	}
 	clear(t.holders)
 	for _, p := range t.peers {
 		if p.Region == t.Region {
-			t.adjust(nil, p.Have)
+			t.updateHolders(nil, p.Have)
 		}
 	}
 }
@@ -357,22 +357,24 @@
 	return nil
 }
 
-// elect finds the origin fetchers of each region among the known agents and this one.
-func (t *Transfer) elect() {
+// selectOriginFetchers determines the origin fetchers of each region among the known
+// agents and this one.
+func (t *Transfer) selectOriginFetchers() {
 	t.originFetchers = map[string][]originFetcher{t.Region: {{id: t.ID, seed: Score(t.Manifest, t.ID)}}}
 	for _, p := range t.peers {
 		t.originFetchers[p.Region] = append(t.originFetchers[p.Region], originFetcher{id: p.ID, seed: p.score})
 	}
 	t.regionSeeds = make(map[string]uint64, len(t.originFetchers))
-	t.remote = len(t.originFetchers) > 1
+	t.hasRemotePeers = len(t.originFetchers) > 1
 	for r, ds := range t.originFetchers {
 		slices.SortFunc(ds, func(a, b originFetcher) int { return cmp.Compare(b.seed, a.seed) })
-		t.originFetchers[r] = ds[:min(len(ds), OriginFetchers)]
+		t.originFetchers[r] = ds[:min(len(ds), OriginFetchersPerRegion)]
 		t.regionSeeds[r] = Score(t.Manifest, "region "+r)
 	}
 }
 
-// IsOriginFetcher tells whether this agent is among the origin fetchers of its region.
+// IsOriginFetcher reports whether this agent is among the origin fetchers of its
+// region.
 func (t *Transfer) IsOriginFetcher() bool {
 	return slices.ContainsFunc(t.originFetchers[t.Region], func(d originFetcher) bool { return d.id == t.ID })
 }
--- a/internal/relayer/hedge.go
+++ b/internal/relayer/hedge.go
@@ -157,7 +157,7 @@
 	c.count("hedges.cancelled")
 	c.endHedge(h)
 	if outcome := h.outcome(); outcome != retrier.NotRun {
-		c.outcome = retrier.Join(c.outcome, outcome)
+		c.outcome = retrier.Combine(c.outcome, outcome)
 		c.attempts++
 	}
 }
--- a/internal/relayer/move.go
+++ b/internal/relayer/move.go
@@ -160,7 +160,7 @@
 		place.Ended()
 		return nil
 	}
-	if !l.Budgets.Of(j.Service).Take() {
+	if !l.Budgets.Get(j.Service).Take() {
 		l.log(j, "No retry left in the budget", nil)
 		place.Ended()
 		return nil
--- a/internal/relayer/serve.go
+++ b/internal/relayer/serve.go
@@ -49,7 +49,7 @@
 }
 
 func (l *Relayer) serve(ctx context.Context, j *Job, attempt Attempt) error {
-	l.Budgets.Of(j.Service).First()
+	l.Budgets.Get(j.Service).RecordFirstAttempt()
 	j.outcome = retrier.NotRun
 	defer j.endMove()
 	for {
@@ -96,7 +96,7 @@
 	if !errors.As(err, &s) {
 		return
 	}
-	j.outcome = retrier.Join(j.outcome, s.Outcome)
+	j.outcome = retrier.Combine(j.outcome, s.Outcome)
 	j.reused = s.Reused
 	j.unsent = s.Outcome == retrier.NotRun && keptBack(err)
 	if s.Outcome != retrier.NotRun {
@@ -165,7 +165,7 @@
 		// The budget is for what upstreams get.
 		return true
 	}
-	if !l.Budgets.Of(j.Service).Take() {
+	if !l.Budgets.Get(j.Service).Take() {
 		l.log(j, "No retry left in the budget", nil)
 		return false
 	}
--- a/internal/relayer/stall.go
+++ b/internal/relayer/stall.go
@@ -101,7 +101,7 @@
 	if err != nil || place == nil {
 		return nil
 	}
-	if !c.Budgets.Of(c.Service).Take() {
+	if !c.Budgets.Get(c.Service).Take() {
 		c.log("No retry left in the budget", nil)
 		place.Ended()
 		return nil
--- a/internal/retrier/bound.go
+++ b/internal/retrier/bound.go
@@ -7,31 +7,33 @@
 )
 
 const (
-	// boundShare is the part of a bound's ratio that entries use, boundBurst that of its
-	// slack which they may save up, and boundFloor that of its slack which they earn within
-	// a window without any request. All of them together stay below the bound; the rest is
+	// ratioFactor is the part of a bound's ratio that entries use, burstFactor that of its
+	// slack which they may accumulate, and floorFactor that of its slack which they earn
+	// within a window without any request. Together they stay below the bound; the rest is
 	// a margin for entries that come and go.
-	boundShare = 0.9
-	boundBurst = 0.6
-	boundFloor = 0.1
-	// leastSharers is among how many entries the slack is divided at least, as a new
-	// entry knows of few others.
-	leastSharers = 6
+	ratioFactor = 0.9
+	burstFactor = 0.6
+	floorFactor = 0.1
+	// minSharers is the least number of entries among which the slack is divided, as
+	// a new entry has few others in its list.
+	minSharers = 6
 )
 
-// Bound limits what all entries together may send to a service beyond first attempts.
+// Bound limits the requests beyond first attempts that all entries together may send
+// to a service.
 type Bound struct {
-	// Ratio is the share of the service's requests, and Slack a number besides, within
-	// Window.
+	// Ratio is the share of the service's requests, and Slack an additional number,
+	// within Window.
 	Ratio, Slack float64
 	Window       time.Duration
 }
 
-// Budget makes one entry's part of a bound. Entries tells how many are known.
+// Budget returns one entry's part of the bound. entries returns the number of
+// known entries.
 func (b Bound) Budget(c clock.PassiveClock, entries func() int) *Budget {
 	return &Budget{
-		Clock: c, Share: boundShare * b.Ratio,
-		Floor: boundFloor * b.Slack / max(1, b.Window.Seconds()), Burst: max(1, boundBurst*b.Slack),
-		Sharers: func() int { return max(leastSharers, entries()) },
+		Clock: c, Share: ratioFactor * b.Ratio,
+		Floor: floorFactor * b.Slack / max(1, b.Window.Seconds()), Burst: max(1, burstFactor*b.Slack),
+		Sharers: func() int { return max(minSharers, entries()) },
 	}
 }
--- a/internal/retrier/budgets.go
+++ b/internal/retrier/budgets.go
@@ -2,30 +2,29 @@
 
 import "sync"
 
-// Budgets keeps a budget for each service. With one for all, the retries that a busy
-// service's requests earn are spent on another that refuses everything: its few requests
-// come several times each while its upstreams try to get back to work, and one notices
-// arrivals there that grow as answers fall. Set New before use. It is safe for concurrent
-// use.
+// Budgets keeps a budget for each service. With one for all, the retries earned by a busy
+// service's requests would be spent on another that refuses everything: its few requests
+// would be sent several times each while its upstreams recover, and its load would rise
+// as answers fall. Set New before use. It is safe for concurrent use.
 type Budgets struct {
-	// New makes the budget of a service that had none.
+	// New creates the budget of a service.
 	New func() *Budget
 
-	mu sync.Mutex
-	of map[string]*Budget
+	mu        sync.Mutex
+	byService map[string]*Budget
 }
 
-// Of gives the budget of a service.
-func (b *Budgets) Of(service string) *Budget {
+// Get returns the budget of a service.
+func (b *Budgets) Get(service string) *Budget {
 	b.mu.Lock()
 	defer b.mu.Unlock()
-	if b.of == nil {
-		b.of = map[string]*Budget{}
+	if b.byService == nil {
+		b.byService = map[string]*Budget{}
 	}
-	budget := b.of[service]
+	budget := b.byService[service]
 	if budget == nil {
 		budget = b.New()
-		b.of[service] = budget
+		b.byService[service] = budget
 	}
 	return budget
 }
--- a/internal/retrier/many_test.go
+++ b/internal/retrier/many_test.go
@@ -11,10 +11,9 @@
 	"github.com/oriolecroft/oriolecroft/internal/retrier"
 )
 
-// There are so many entries that the part of the slack that one may save up is less than one
-// retry. If an entry could send only whole ones that it has saved, none would send any: each
-// reply that breaks off is lost, although the bound leaves room to send a fifth of the requests
-// again.
+// Guards against entries so numerous that each may accumulate less than one retry. If only
+// whole retries could be sent, none would be: every reply that breaks off would be lost,
+// although the bound allows a fifth of the requests to be sent again.
 func TestManyEntriesStillRetry(t *testing.T) {
 	const requests = 1000
 	for _, n := range []int{9, 63, 64, 100, 300} {
@@ -26,13 +25,13 @@
 		retries := 0
 		for i := range requests {
 			c.SetTime(c.Now().Add(10 * time.Millisecond))
-			b.First()
+			b.RecordFirstAttempt()
 			if i%2 == 0 && b.Take() {
 				retries++
 			}
 		}
-		// The share is 180. With 300 entries 0.21 may be saved up between two of the 500 tries,
-		// and three quarters of that are 79 on the mean; 45 is less by four standard deviations.
+		// The share is 180. With 300 entries 0.21 may accumulate between two of the 500 tries,
+		// and three quarters of that are 79 on average; 45 is less by four standard deviations.
 		must.Greater(t, 45, retries, must.Sprintf("%d entries", n))
 		must.Less(t, int(ratio*requests), retries, must.Sprintf("%d entries", n))
 	}
--- a/internal/retrier/outcome.go
+++ b/internal/retrier/outcome.go
@@ -1,5 +1,5 @@
-// Package retrier decides what becomes of an attempt that did not give the
-// caller its whole answer: another attempt now, later, or the final word. It
+// Package retrier decides what follows an attempt that did not give the caller
+// its complete answer: another attempt now, later, or the final outcome. It
 // holds no connection and starts no call.
 package retrier
 
@@ -8,18 +8,18 @@
 // Outcome is what is known about whether a request ran.
 type Outcome int
 
-// The outcomes. The zero value is Unknown, so that a forgotten assignment can
-// never turn into a false promise.
+// The outcomes. The zero value is Unknown, so that a missing assignment never
+// turns into a false promise.
 const (
-	// Unknown says that the request may or may not have run.
+	// Unknown means that the request may or may not have run.
 	Unknown Outcome = iota
-	// Ran says that the upstream took the request and answered it.
+	// Ran means that the upstream accepted the request and answered it.
 	Ran
-	// NotRun says that the request never reached the upstream, and never will.
+	// NotRun means that the request never reached the upstream, and never will.
 	NotRun
 )
 
-// String gives "ran", "notRun" or "unknown", the form used on the wire.
+// String returns "ran", "notRun" or "unknown", the form used on the wire.
 func (o Outcome) String() string {
 	switch o {
 	case Ran:
@@ -31,9 +31,9 @@
 	}
 }
 
-// Parse reads what String gives. Anything else is Unknown with an
-// *OutcomeError: a peer that we cannot read has promised nothing.
-func Parse(s string) (Outcome, error) {
+// ParseOutcome parses the result of String. Anything else is Unknown with an
+// *OutcomeError: an unreadable peer has promised nothing.
+func ParseOutcome(s string) (Outcome, error) {
 	switch s {
 	case "ran":
 		return Ran, nil
@@ -45,7 +45,7 @@
 	return Unknown, &OutcomeError{Text: s}
 }
 
-// OutcomeError reports a text that names no outcome.
+// OutcomeError reports a text that is no valid outcome.
 type OutcomeError struct {
 	Text string
 }
@@ -54,10 +54,10 @@
 	return fmt.Sprintf("%q is no outcome: want ran, notRun or unknown", e.Text)
 }
 
-// Join gives the word on a request from the words on two of its attempts. One
-// that ran makes the request ran, one that is unknown makes it unknown; only
-// when both did not run may the caller be told so.
-func Join(a, b Outcome) Outcome {
+// Combine returns the outcome of a request from the outcomes of two of its
+// attempts. One that ran makes the request Ran, one that is unknown makes it
+// Unknown; only if neither ran is the request NotRun.
+func Combine(a, b Outcome) Outcome {
 	switch {
 	case a == Ran || b == Ran:
 		return Ran
--- a/internal/retrier/rate.go
+++ b/internal/retrier/rate.go
@@ -5,15 +5,15 @@
 	"time"
 )
 
-// rateWindow is how fast a Rate forgets.
+// rateWindow is the decay time of a Rate.
 const rateWindow = 2 * time.Second
 
-// maxGap bounds the time between two events that Gap reports: a rate that has
-// died away says that little was asked for rather than that little can be done.
+// maxGap bounds the time between two events that Gap returns: a rate
+// that has decayed reflects low demand rather than low capacity.
 const maxGap = 2 * time.Second
 
 // Rate is an exponentially smoothed number of events a second. The zero value is
-// ready. It is not safe for concurrent use.
+// ready to use. It is not safe for concurrent use.
 type Rate struct {
 	value float64
 	last  time.Time
@@ -31,7 +31,7 @@
 	return r.value * math.Exp(-age.Seconds()/rateWindow.Seconds())
 }
 
-// Gap is the mean time between two events, two seconds at most.
+// Gap is the mean time between two events, at most two seconds.
 func (r *Rate) Gap(now time.Time) time.Duration {
 	v := r.At(now)
 	if v*maxGap.Seconds() <= 1 {
--- a/internal/retrier/retrier_test.go
+++ b/internal/retrier/retrier_test.go
@@ -16,7 +16,7 @@
 
 var epoch = time.Date(2026, 12, 2, 0, 0, 0, 0, time.UTC)
 
-// TestMain fixes rapid's seed, so that each run gives the same verdict.
+// TestMain fixes rapid's seed, so that results are reproducible.
 func TestMain(m *testing.M) {
 	if err := flag.Set("rapid.seed", "1"); err != nil {
 		panic(err)
@@ -25,9 +25,9 @@
 	os.Exit(m.Run())
 }
 
-// TestRequestsAgainstOracle takes random requests through their attempts. A
-// caller would notice a fault as a second booking after a "not run" that was not
-// true, or as a reply made of two.
+// TestRequestsAgainstOracle takes random requests through their attempts. Guards
+// against a second booking after a wrong "not run", and against a reply composed
+// of two.
 func TestRequestsAgainstOracle(t *testing.T) {
 	outcomes := rapid.SampledFrom([]retrier.Outcome{retrier.Ran, retrier.NotRun, retrier.Unknown})
 	rapid.Check(t, func(t *rapid.T) {
@@ -38,7 +38,7 @@
 		requests := rapid.IntRange(1, 200).Draw(t, "requests")
 		for range requests {
 			c.SetTime(c.Now().Add(10 * time.Millisecond))
-			b.First()
+			b.RecordFirstAttempt()
 			a := retrier.Attempt{
 				Number:     1,
 				Idempotent: rapid.Bool().Draw(t, "idempotent"),
@@ -70,14 +70,14 @@
 	})
 }
 
-// All upstreams refuse for a while. Without a budget each request would become
-// four, and users would wait longer the moment the upstreams are back.
+// Guards against retry storms while all upstreams refuse. Without a budget each
+// request would become four, which would delay recovery.
 func TestNoRetryStorm(t *testing.T) {
 	c := clocktesting.NewFakePassiveClock(epoch)
 	p := &retrier.Policy{Budget: &retrier.Budget{Clock: c}, Random: rand.New(rand.NewPCG(1, 1))}
 	retries := 0
 	for range 1000 {
-		p.Budget.First()
+		p.Budget.RecordFirstAttempt()
 		a := retrier.Attempt{Outcome: retrier.NotRun, Number: 1}
 		for p.Decide(a).Retry {
 			a.Number, a.Earlier = a.Number+1, retrier.NotRun
@@ -89,11 +89,11 @@
 
 func TestOutcomeRoundTrip(t *testing.T) {
 	for _, o := range []retrier.Outcome{retrier.Ran, retrier.NotRun, retrier.Unknown} {
-		got, err := retrier.Parse(o.String())
+		got, err := retrier.ParseOutcome(o.String())
 		must.NoError(t, err)
 		must.EqOp(t, o, got)
 	}
-	got, err := retrier.Parse("notrun")
+	got, err := retrier.ParseOutcome("notrun")
 	must.Error(t, err)
 	must.EqOp(t, retrier.Unknown, got)
 }
--- a/internal/retrier/retry_after.go
+++ b/internal/retrier/retry_after.go
@@ -12,9 +12,9 @@
 )
 
 // RetryAfter is when a refused caller should come back: once the backlog ahead
-// of it (requests) is worked off at rate (requests a second), plus up to half as
-// much again, so that callers who were refused together do not return together.
-// A rate of 0, nothing finished lately, gives MaxRetryAfter less its spread.
+// of it (requests) is processed at rate (requests a second), plus up to half as
+// much again, so that callers refused together do not return together. A rate of
+// 0, with nothing finished recently, gives MaxRetryAfter less its jitter.
 func RetryAfter(backlog int, rate float64, random *rand.Rand) time.Duration {
 	wait := MaxRetryAfter
 	if seconds := float64(backlog) / rate; rate > 0 && seconds < MaxRetryAfter.Seconds() {
@@ -22,7 +22,7 @@
 	}
 	wait = max(wait, MinRetryAfter)
 	if wait >= MaxRetryAfter {
-		return MaxRetryAfter - Spread(MaxRetryAfter/2, random)
+		return MaxRetryAfter - Jitter(MaxRetryAfter/2, random)
 	}
-	return min(wait+Spread(wait/2, random), MaxRetryAfter)
+	return min(wait+Jitter(wait/2, random), MaxRetryAfter)
 }
--- a/internal/retrier/start_test.go
+++ b/internal/retrier/start_test.go
@@ -10,10 +10,9 @@
 	"github.com/oriolecroft/oriolecroft/internal/retrier"
 )
 
-// Everything was lost and all entries start at the same moment, none of which knows the
-// others yet, while the upstreams are only coming back and refuse. Each entry takes the
-// whole of what it may save up for its own; together they send far more retries than the
-// bound, and the upstreams take longer to come back.
+// Guards against too many retries when all entries start at once while the upstreams are
+// recovering: none has discovered the others, so that each could use the whole burst,
+// and together they would exceed the bound and delay the recovery.
 func TestEntriesThatStartTogetherStayWithinTheRetryBound(t *testing.T) {
 	for _, n := range []int{9, 60, 300} {
 		c := clocktesting.NewFakeClock(epoch)
@@ -21,7 +20,7 @@
 		for range n {
 			b := &retrier.Budget{Clock: c, Share: 0.18, Floor: 1.06, Burst: 63.6, Sharers: func() int { return 6 }}
 			for range 8 {
-				b.First()
+				b.RecordFirstAttempt()
 				requests++
 				for range 2 {
 					if b.Take() {
--- a/internal/router/booking_test.go
+++ b/internal/router/booking_test.go
@@ -225,7 +225,7 @@
 			return
 		}
 	}
-	t, err := a.gate.Admit(admitter.Work{})
+	t, err := a.gate.Admit(admitter.Request{})
 	if err != nil && !f.naive {
 		a.ledger.Refuse(k)
 		reply(retrier.NotRun)
--- a/internal/router/choice.go
+++ b/internal/router/choice.go
@@ -92,5 +92,5 @@
 }
 
 func (r *Router) until(now time.Time, d time.Duration) time.Time {
-	return now.Add(d + retrier.Spread(d, r.Random))
+	return now.Add(d + retrier.Jitter(d, r.Random))
 }
--- a/internal/router/demand.go
+++ b/internal/router/demand.go
@@ -23,7 +23,7 @@
 	if float64(load) < (1-reserved)*float64(limit) {
 		return false
 	}
-	part := l.parts.Part(float64(l.demand()), entries, now)
+	part := l.parts.Share(float64(l.demand()), entries, now)
 	return float64(l.inflight) > part*float64(limit)
 }
 
@@ -61,6 +61,6 @@
 	defer r.mu.Unlock()
 	now := r.Clock.Now()
 	for k, l := range r.pools {
-		l.parts.Hear(entry, float64(demand[k.String()]), now)
+		l.parts.SetDemand(entry, float64(demand[k.String()]), now)
 	}
 }
--- a/internal/router/model_entry_test.go
+++ b/internal/router/model_entry_test.go
@@ -101,7 +101,7 @@
 		return
 	}
 	c.ticket = t
-	e.policy.Budget.First()
+	e.policy.Budget.RecordFirstAttempt()
 	if !e.try(c) {
 		e.wait(c)
 	}
@@ -198,7 +198,7 @@
 	if e.try(c) {
 		return true
 	}
-	again, err := e.queue.Return(w)
+	again, err := e.queue.Requeue(w)
 	e.waits(c, again, err)
 	return false
 }
--- a/internal/router/pool.go
+++ b/internal/router/pool.go
@@ -51,8 +51,8 @@
 	// inflight is how many of this entry's own requests are not done, waiting how
 	// many wait; parts divides the pool among entries by these.
 	inflight, waiting int
-	parts             limiter.Parts
-	returns           retrier.Returns
+	parts             limiter.DemandShares
+	returns           retrier.RetryTimes
 }
 
 // home is the replica that a prefix falls to: in this region if it has any, so
--- a/internal/router/router.go
+++ b/internal/router/router.go
@@ -207,7 +207,7 @@
 }
 
 func (r *Router) newPool() *pool {
-	l := &pool{parts: limiter.Parts{Even: evenPart}}
+	l := &pool{parts: limiter.DemandShares{Even: evenPart}}
 	l.tiers[sameDomain] = tier{ring: &l.near}
 	l.tiers[sameRegion] = tier{ring: &l.near, link: orDefault(r.DomainCost, DefaultDomainCost)}
 	l.tiers[otherRegion] = tier{ring: &l.far, link: orDefault(r.RegionCost, DefaultRegionCost)}
--- a/internal/tracker/origin_fetchers_test.go
+++ b/internal/tracker/origin_fetchers_test.go
@@ -33,7 +33,7 @@
 		tr.Report(state("huon", i, byte(i)))
 	}
 	originFetchers := ids(tr.OriginFetchers())
-	must.MapLen(t, planner.OriginFetchers, originFetchers)
+	must.MapLen(t, planner.OriginFetchersPerRegion, originFetchers)
 	for i := range 20 {
 		s := state("huon", i, byte(i))
 		ids := ids(tr.Holders(s, []string{manifest}))
@@ -63,7 +63,7 @@
 	c.Step(8 * time.Second)
 	must.False(t, ids(tr.OriginFetchers())[dead])
 	must.False(t, ids(tr.Holders(state("huon", 99), []string{manifest}))[dead])
-	must.MapLen(t, planner.OriginFetchers, ids(tr.OriginFetchers()))
+	must.MapLen(t, planner.OriginFetchersPerRegion, ids(tr.OriginFetchers()))
 }
 
 func TestIntroducedOriginFetchersLapse(t *testing.T) {
@@ -87,7 +87,7 @@
 	}
 	b.Introduce(a.OriginFetchers())
 	must.MapContainsKeys(t, ids(b.Holders(asker, []string{manifest})), []string{a.OriginFetchers()[0].ID})
-	must.MapLen(t, planner.OriginFetchers, ids(b.OriginFetchers()))
+	must.MapLen(t, planner.OriginFetchersPerRegion, ids(b.OriginFetchers()))
 	for range 5 {
 		ca.Step(5 * time.Second)
 		cb.Step(5 * time.Second)
--- a/internal/tracker/picks.go
+++ b/internal/tracker/picks.go
@@ -34,7 +34,7 @@
 			higher++
 		}
 	}
-	return higher < planner.OriginFetchers
+	return higher < planner.OriginFetchersPerRegion
 }
 
 // sample fills the list from a group: it looks at a few members for each free
--- a/internal/tracker/tracker.go
+++ b/internal/tracker/tracker.go
@@ -23,7 +23,7 @@
 	// MaxHolders bounds the agents of its own region that one agent is named for
 	// one manifest; MaxRemote bounds those of other regions.
 	MaxHolders = 16
-	MaxRemote  = 4 * planner.OriginFetchers
+	MaxRemote  = 4 * planner.OriginFetchersPerRegion
 	// sampled is how many agents are looked at for each one that is named.
 	sampled = 2
 )
@@ -285,7 +285,7 @@
 
 // best finds the fresh members with the highest scores.
 func (g *group) best(fresh func(*member) bool) []*member {
-	best := make([]*member, 0, planner.OriginFetchers+1)
+	best := make([]*member, 0, planner.OriginFetchersPerRegion+1)
 	for _, m := range g.members {
 		if fresh(m) {
 			best = insert(best, m)
@@ -298,11 +298,11 @@
 // are too many.
 func insert(ms []*member, m *member) []*member {
 	i, _ := slices.BinarySearchFunc(ms, m, byScore)
-	if i >= planner.OriginFetchers {
+	if i >= planner.OriginFetchersPerRegion {
 		return ms
 	}
 	ms = slices.Insert(ms, i, m)
-	return ms[:min(len(ms), planner.OriginFetchers)]
+	return ms[:min(len(ms), planner.OriginFetchersPerRegion)]
 }
 
 // OriginFetchers names the origin fetchers of all manifests among the agents that report to this
@@ -319,7 +319,7 @@
 	for _, manifest := range slices.Sorted(maps.Keys(t.groups)) {
 		for _, r := range slices.Sorted(maps.Keys(t.groups[manifest])) {
 			p := &picks{fresh: func(m *member) bool { return !m.agent.introduced && now.Sub(m.agent.heard) <= t.Stale }}
-			p.add(planner.OriginFetchers, t.groups[manifest][r].best(p.fresh)...)
+			p.add(planner.OriginFetchersPerRegion, t.groups[manifest][r].best(p.fresh)...)
 			hs = append(hs, p.list()...)
 		}
 	}
--- a/internal/tracker/tracker_test.go
+++ b/internal/tracker/tracker_test.go
@@ -53,7 +53,7 @@
 				remote++
 			}
 		}
-		must.LessEq(t, planner.OriginFetchers, remote)
+		must.LessEq(t, planner.OriginFetchersPerRegion, remote)
 	}
 	must.SliceEmpty(t, k.Holders(agent(0, "huon", 0), []string{"other"}))
 }
