--- a/internal/admitter/fuzz_test.go
+++ b/internal/admitter/fuzz_test.go
@@ -50,7 +50,7 @@
 func TestGateAgainstNaiveGate(t *testing.T) {
 	const steps = 100_000
 	realWorld, naiveWorld := run(t, newWorld(), steps), run(t, newNaiveWorld(), steps)
-	t.Logf("worst load on a cold upstream that bears %d: ours %d, trusting %d; let through: ours %d, trusting %d",
+	t.Logf("maximum load on a cold upstream with a limit of %d: real gate %d, naive gate %d; admitted: real %d, naive %d",
 		coldLimit, realWorld.maxColdLoad, naiveWorld.maxColdLoad, realWorld.admitted, naiveWorld.admitted)
 	test.LessEq(t, coldLimit, realWorld.maxColdLoad)
 	test.Eq(t, warmLimit, naiveWorld.maxColdLoad)
--- a/internal/admitter/gate_test.go
+++ b/internal/admitter/gate_test.go
@@ -32,28 +32,28 @@
 
 // answer is the probe answer, a second later, of an upstream with the given
 // start id.
-func (b fixture) answer(start string, cold bool) admitter.Probe {
-	b.clock.SetTime(b.clock.Now().Add(time.Second))
-	return admitter.Probe{Mark: b.Mark(), StartID: start, Uptime: b.clock.Now().Sub(epoch), Cold: cold}
+func (f fixture) answer(start string, cold bool) admitter.Probe {
+	f.clock.SetTime(f.clock.Now().Add(time.Second))
+	return admitter.Probe{Mark: f.Mark(), StartID: start, Uptime: f.clock.Now().Sub(epoch), Cold: cold}
 }
 
 // warmUp raises the gate's limit to its maximum.
-func (b fixture) warmUp(t *testing.T) {
+func (f fixture) warmUp(t *testing.T) {
 	t.Helper()
 	for range 10 {
-		b.Probe(b.answer("one", false))
+		f.Probe(f.answer("one", false))
 	}
-	must.Eq(t, 6, b.limit())
+	must.Eq(t, 6, f.limit())
 }
 
-func (b fixture) limit() int {
-	_, limit, _ := b.State()
+func (f fixture) limit() int {
+	_, limit, _ := f.State()
 	return limit
 }
 
-func (b fixture) admit(t *testing.T) *admitter.Ticket {
+func (f fixture) admit(t *testing.T) *admitter.Ticket {
 	t.Helper()
-	k, err := b.Admit(admitter.Request{})
+	k, err := f.Admit(admitter.Request{})
 	must.NoError(t, err)
 	return k
 }
@@ -81,24 +81,24 @@
 // that load and cut streams.
 func TestGateResetsLimitOnEachFailure(t *testing.T) {
 	failures := map[string]func(fixture, *admitter.Ticket){
-		"start id":    func(b fixture, _ *admitter.Ticket) { b.Probe(b.answer("two", false)) },
-		"said cold":   func(b fixture, _ *admitter.Ticket) { b.Probe(b.answer("one", true)) },
-		"failed":      func(b fixture, _ *admitter.Ticket) { b.Probe(admitter.Probe{Err: errors.New("refused")}) },
-		"cut":         func(_ fixture, k *admitter.Ticket) { k.Done(admitter.Result{Outcome: admitter.Cut}) },
-		"refused":     func(_ fixture, k *admitter.Ticket) { k.Done(admitter.Result{Outcome: admitter.Refused}) },
-		"slow":        func(b fixture, _ *admitter.Ticket) { b.probeWith(func(p *admitter.Probe) { p.Latency = time.Second }) },
-		"uptime back": func(b fixture, _ *admitter.Ticket) { b.probeWith(func(p *admitter.Probe) { p.Uptime = time.Second }) },
-		"uptime lags": func(b fixture, _ *admitter.Ticket) {
-			b.clock.SetTime(b.clock.Now().Add(time.Hour))
-			b.probeWith(func(p *admitter.Probe) { p.Uptime -= 30 * time.Minute })
+		"start id":         func(f fixture, _ *admitter.Ticket) { f.Probe(f.answer("two", false)) },
+		"reported cold":    func(f fixture, _ *admitter.Ticket) { f.Probe(f.answer("one", true)) },
+		"failed":           func(f fixture, _ *admitter.Ticket) { f.Probe(admitter.Probe{Err: errors.New("refused")}) },
+		"cut":              func(_ fixture, k *admitter.Ticket) { k.Done(admitter.Result{Outcome: admitter.Cut}) },
+		"refused":          func(_ fixture, k *admitter.Ticket) { k.Done(admitter.Result{Outcome: admitter.Refused}) },
+		"slow":             func(f fixture, _ *admitter.Ticket) { f.probeWith(func(p *admitter.Probe) { p.Latency = time.Second }) },
+		"uptime decreased": func(f fixture, _ *admitter.Ticket) { f.probeWith(func(p *admitter.Probe) { p.Uptime = time.Second }) },
+		"uptime lags": func(f fixture, _ *admitter.Ticket) {
+			f.clock.SetTime(f.clock.Now().Add(time.Hour))
+			f.probeWith(func(p *admitter.Probe) { p.Uptime -= 30 * time.Minute })
 		},
 	}
 	for name, fail := range failures {
 		t.Run(name, func(t *testing.T) {
-			b := newFixture()
-			b.warmUp(t)
-			fail(b, b.admit(t))
-			state, limit, _ := b.State()
+			f := newFixture()
+			f.warmUp(t)
+			fail(f, f.admit(t))
+			state, limit, _ := f.State()
 			test.Eq(t, messenger.GateCold, state)
 			test.Eq(t, 2, limit)
 		})
@@ -106,22 +106,22 @@
 }
 
 // probeWith probes with an answer modified by change.
-func (b fixture) probeWith(change func(*admitter.Probe)) {
-	p := b.answer("one", false)
+func (f fixture) probeWith(change func(*admitter.Probe)) {
+	p := f.answer("one", false)
 	change(&p)
-	b.Probe(p)
+	f.Probe(p)
 }
 
 // Guards against a healthy answer to a probe that was sent before the upstream
 // restarted but is read after a reply was cut: it would reopen the gate to a
 // cold upstream.
 func TestGateIgnoresProbeSentBeforeACut(t *testing.T) {
-	b := newFixture()
-	b.warmUp(t)
-	old := b.answer("one", false)
-	b.admit(t).Done(admitter.Result{Outcome: admitter.Cut})
-	b.Probe(old)
-	state, limit, _ := b.State()
+	f := newFixture()
+	f.warmUp(t)
+	old := f.answer("one", false)
+	f.admit(t).Done(admitter.Result{Outcome: admitter.Cut})
+	f.Probe(old)
+	state, limit, _ := f.State()
 	test.Eq(t, messenger.GateCold, state)
 	test.Eq(t, 2, limit)
 }
@@ -129,83 +129,83 @@
 // Guards against raising the limit for a reply that started before the gate
 // reset it: that reply shows nothing about the upstream's present state.
 func TestGateDoesNotRaiseLimitForOldReplies(t *testing.T) {
-	b := newFixture()
-	b.warmUp(t)
-	k := b.admit(t)
-	b.Probe(admitter.Probe{Err: errors.New("timeout")})
-	b.Probe(b.answer("one", false))
-	before := b.limit()
-	b.clock.SetTime(b.clock.Now().Add(time.Second))
+	f := newFixture()
+	f.warmUp(t)
+	k := f.admit(t)
+	f.Probe(admitter.Probe{Err: errors.New("timeout")})
+	f.Probe(f.answer("one", false))
+	before := f.limit()
+	f.clock.SetTime(f.clock.Now().Add(time.Second))
 	k.Done(admitter.Result{Outcome: admitter.Served})
-	test.Eq(t, before, b.limit())
+	test.Eq(t, before, f.limit())
 }
 
 // Guards against admitting one request for each that ends while more are
 // running than the reduced limit allows, which would keep a cold upstream
 // overloaded.
 func TestGateAdmitsNothingAboveAReducedLimit(t *testing.T) {
-	b := newFixture()
-	b.warmUp(t)
+	f := newFixture()
+	f.warmUp(t)
 	var tickets []*admitter.Ticket
 	for range 5 {
-		tickets = append(tickets, b.admit(t))
+		tickets = append(tickets, f.admit(t))
 	}
-	b.Probe(b.answer("one", true))
+	f.Probe(f.answer("one", true))
 	for _, k := range tickets[:3] {
-		_, err := b.Admit(admitter.Request{})
+		_, err := f.Admit(admitter.Request{})
 		test.Eq(t, admitter.Full, reason(t, err))
 		k.Done(admitter.Result{Outcome: admitter.Served})
 	}
-	_, err := b.Admit(admitter.Request{})
+	_, err := f.Admit(admitter.Request{})
 	test.Eq(t, admitter.Full, reason(t, err))
 	tickets[3].Done(admitter.Result{Outcome: admitter.Served})
-	b.admit(t)
+	f.admit(t)
 }
 
 // Guards against a single hold for all reasons: operators drain a domain while
 // its engine switches weights, and the end of the switch would open the gate in
 // the drained domain.
 func TestGateOpensOnlyWithoutAnyHold(t *testing.T) {
-	b := newFixture()
-	b.Close(admitter.Drained)
-	b.Close(admitter.Switching)
-	b.Close(admitter.Drained)
-	b.Open(admitter.Switching)
-	_, err := b.Admit(admitter.Request{})
+	f := newFixture()
+	f.Close(admitter.Drained)
+	f.Close(admitter.Switching)
+	f.Close(admitter.Drained)
+	f.Open(admitter.Switching)
+	_, err := f.Admit(admitter.Request{})
 	test.Eq(t, admitter.Drained, reason(t, err))
-	b.Open(admitter.Drained)
-	b.admit(t)
+	f.Open(admitter.Drained)
+	f.admit(t)
 }
 
 func TestGateRefusesUnservableRequests(t *testing.T) {
-	b := newFixture()
-	p := b.answer("one", false)
+	f := newFixture()
+	p := f.answer("one", false)
 	p.Model, p.Version, p.Manifest = "rota", "v1", "sha256:1"
-	b.Probe(p)
+	f.Probe(p)
 	refusals := map[admitter.Reason]admitter.Request{
 		admitter.WrongWeights: {Model: "rota", Version: "v2"},
 		admitter.WrongStart:   {Model: "rota", EngineStart: "zero"},
-		admitter.Expired:      {Model: "rota", Deadline: b.clock.Now()},
+		admitter.Expired:      {Model: "rota", Deadline: f.clock.Now()},
 	}
 	for want, w := range refusals {
-		_, err := b.Admit(w)
+		_, err := f.Admit(w)
 		test.Eq(t, want, reason(t, err))
 	}
-	_, err := b.Admit(admitter.Request{Model: "rota", Version: "v1", Manifest: "sha256:1", EngineStart: "one"})
+	_, err := f.Admit(admitter.Request{Model: "rota", Version: "v1", Manifest: "sha256:1", EngineStart: "one"})
 	test.NoError(t, err)
 }
 
 func TestGateDrains(t *testing.T) {
-	b := newFixture()
-	k := b.admit(t)
-	b.Close(admitter.Leaving)
+	f := newFixture()
+	k := f.admit(t)
+	f.Close(admitter.Leaving)
 	ended, cancel := context.WithCancel(t.Context())
 	cancel()
-	test.ErrorIs(t, b.WaitIdle(ended), context.Canceled)
+	test.ErrorIs(t, f.WaitIdle(ended), context.Canceled)
 	k.Done(admitter.Result{Outcome: admitter.Served})
 	k.Done(admitter.Result{Outcome: admitter.Served})
-	test.NoError(t, b.WaitIdle(t.Context()))
-	_, _, running := b.State()
+	test.NoError(t, f.WaitIdle(t.Context()))
+	_, _, running := f.State()
 	test.Eq(t, 0, running)
 }
 
@@ -213,38 +213,38 @@
 // without breaking a connection. When callers return all at once, those beyond
 // the cold limit wait for a probe.
 func TestGateWaitsForAProbeBeyondTheColdLimit(t *testing.T) {
-	b := newFixture()
-	b.Confirm = true
-	b.warmUp(t)
-	b.admit(t).Connected()
-	b.admit(t).Connected()
-	<-b.ProbeWanted()
-	_, err := b.Admit(admitter.Request{})
+	f := newFixture()
+	f.Confirm = true
+	f.warmUp(t)
+	f.admit(t).Connected()
+	f.admit(t).Connected()
+	<-f.ProbeWanted()
+	_, err := f.Admit(admitter.Request{})
 	test.Eq(t, admitter.Unconfirmed, reason(t, err))
 	entered := make(chan error)
 	go func() {
-		_, err := b.AdmitWait(t.Context(), admitter.Request{})
+		_, err := f.AdmitWait(t.Context(), admitter.Request{})
 		entered <- err
 	}()
-	b.Probe(b.answer("one", false))
+	f.Probe(f.answer("one", false))
 	test.NoError(t, <-entered)
 }
 
 func TestGateCountsExactlyUnderConcurrency(t *testing.T) {
-	b := newFixture()
-	b.warmUp(t)
+	f := newFixture()
+	f.warmUp(t)
 	var group sync.WaitGroup
 	for range 8 {
 		group.Go(func() {
 			for range 1000 {
-				if k, err := b.Admit(admitter.Request{}); err == nil {
+				if k, err := f.Admit(admitter.Request{}); err == nil {
 					k.Done(admitter.Result{Outcome: admitter.Served})
 				}
 			}
 		})
 	}
 	group.Wait()
-	_, limit, running := b.State()
+	_, limit, running := f.State()
 	test.Eq(t, 0, running)
 	test.Eq(t, 6, limit)
 }
--- a/internal/admitter/world_test.go
+++ b/internal/admitter/world_test.go
@@ -166,13 +166,13 @@
 	_, limit, running := w.gate.State()
 	switch {
 	case running != len(w.requests):
-		return fmt.Errorf("gate counts %d running, %d are", running, len(w.requests))
+		return fmt.Errorf("gate reports %d running, want %d", running, len(w.requests))
 	case limit > warmLimit || limit < coldLimit:
 		return fmt.Errorf("limit is %d", limit)
 	case len(w.requests) > before && running > limit:
-		return fmt.Errorf("%d let through at a limit of %d", running, limit)
+		return fmt.Errorf("%d admitted at a limit of %d", running, limit)
 	case len(w.requests) > before && w.held:
-		return errors.New("a held gate let a request through")
+		return errors.New("a closed gate admitted a request")
 	}
 	return nil
 }
--- a/internal/planner/narrow_test.go
+++ b/internal/planner/narrow_test.go
@@ -88,7 +88,7 @@
 		b.originDown = [2]time.Duration{2500 * time.Millisecond, 8500 * time.Millisecond}
 		took, stuck := newModel(b).run()
 		must.False(t, stuck)
-		t.Logf("seed %d: whole %v after the origin was back", seed, took-b.originDown[1])
+		t.Logf("seed %d: complete %v after the origin recovered", seed, took-b.originDown[1])
 		must.Less(t, 1300*time.Millisecond, took-b.originDown[1])
 	}
 }
--- a/internal/planner/next.go
+++ b/internal/planner/next.go
@@ -53,19 +53,19 @@
 		return Order{}, false
 	}
 	idlePeriods := t.originIdle.periods(t.waitLimit(), now)
-	missingAll := func(i int) bool { return t.missingInRegion(i, idlePeriods) && t.originRegion(i) == t.Region }
+	missing := func(i int) bool { return t.missingInRegion(i, idlePeriods) && t.originRegion(i) == t.Region }
 	own := func(i int) bool {
-		return missingAll(i) && t.unrequested(i) && t.designatedFetcher(i, t.Region, now) == t.ID
+		return missing(i) && t.unrequested(i) && t.designatedFetcher(i, t.Region, now) == t.ID
 	}
 	i, ok := t.firstFrom(t.firstChunk(t.ID), own)
 	if idle := t.originIdle.update(ok, now); !ok {
-		i, ok = t.takeOverChunk(missingAll, t.OriginSlots, idle, now)
+		i, ok = t.takeOverChunk(missing, t.OriginSlots, idle, now)
 	}
 	return Order{Chunk: i, Source: FromOrigin{}}, ok
 }
 
-// peersKnown reports whether this agent knows enough of the others to fetch
-// from the origin.
+// peersKnown reports whether enough of the other agents are known to fetch from
+// the origin.
 func (t *Transfer) peersKnown(now time.Time) bool {
 	if now.Before(t.DrawAfter) {
 		return false
@@ -100,9 +100,9 @@
 func (t *Transfer) rarestChunk(p *peer) int {
 	best, ties := 0, 0
 	for b := range min(len(p.Have), len(t.have)) {
-		open := p.Have[b] &^ t.have.byteAt(b) &^ t.inFlight.byteAt(b) &^ t.excluded.byteAt(b)
-		for ; open != 0; open &= open - 1 {
-			i := b*8 + bits.TrailingZeros8(open)
+		candidates := p.Have[b] &^ t.have.byteAt(b) &^ t.inFlight.byteAt(b) &^ t.excluded.byteAt(b)
+		for ; candidates != 0; candidates &= candidates - 1 {
+			i := b*8 + bits.TrailingZeros8(candidates)
 			switch {
 			case i >= t.Chunks:
 			case ties == 0 || t.holders[i] < t.holders[best]:
--- a/internal/planner/transfer.go
+++ b/internal/planner/transfer.go
@@ -13,7 +13,7 @@
 
 // OriginFetchersPerRegion is how many agents of a region share the work of fetching a
 // manifest's chunks from the origin or across a region link. A tracker includes these agents in
-// each list of holders, so that all agents agree on them while each knows only a few.
+// each list of holders, so that all agents agree on them while each is sent only a few.
 const OriginFetchersPerRegion = 6
 
 // Peer is another agent that holds or wants the same manifest.
@@ -113,8 +113,8 @@
 	// AvoidFor is how long a peer that sent a corrupt chunk is avoided.
 	AvoidFor time.Duration
 	// DrawAfter is the time before which nothing is fetched from the origin: at first
-	// each agent knows no other and would act as the only origin fetcher. Updates of
-	// others must have arrived after it, too, or be Patience late.
+	// no agent has discovered others and each would act as the only origin fetcher.
+	// Updates of others must have arrived after it, too, or be Patience late.
 	DrawAfter time.Time
 	Rand      *rand.Rand
 
--- a/internal/planner/transfer_test.go
+++ b/internal/planner/transfer_test.go
@@ -40,7 +40,7 @@
 const avoidFor = time.Minute
 
 func newCluster(agents, chunks int, seed uint64) *cluster {
-	f := &cluster{now: time.Unix(1_800_000_000, 0), chunks: chunks, corrupt: map[[2]string]time.Time{}}
+	c := &cluster{now: time.Unix(1_800_000_000, 0), chunks: chunks, corrupt: map[[2]string]time.Time{}}
 	for i := range agents {
 		a := &planner.Transfer{
 			ID: fmt.Sprintf("vm-%d", i), Region: fmt.Sprintf("region-%d", i%2), Manifest: manifest,
@@ -48,27 +48,27 @@
 			Patience: time.Second, BusyBackoff: 100 * time.Millisecond, AvoidFor: avoidFor,
 			Rand: rand.New(rand.NewPCG(seed, uint64(i))),
 		}
-		a.Start(f.now, nil)
-		f.agents = append(f.agents, a)
-		f.have = append(f.have, map[int]bool{})
-		f.fetches = append(f.fetches, map[planner.Order]time.Time{})
+		a.Start(c.now, nil)
+		c.agents = append(c.agents, a)
+		c.have = append(c.have, map[int]bool{})
+		c.fetches = append(c.fetches, map[planner.Order]time.Time{})
 	}
-	return f
+	return c
 }
 
 // updatePeers sets agent i's peers to all others with their holdings.
-func (f *cluster) updatePeers(i int) {
+func (c *cluster) updatePeers(i int) {
 	var ps []planner.Peer
-	for j, a := range f.agents {
+	for j, a := range c.agents {
 		if j != i {
 			ps = append(ps, planner.Peer{ID: a.ID, Region: a.Region, Have: append(planner.Bitmap(nil), a.Have()...)})
 		}
 	}
-	f.agents[i].SetPeers(ps, f.now)
+	c.agents[i].SetPeers(ps, c.now)
 }
 
-func (f *cluster) index(id string) int {
-	for i, a := range f.agents {
+func (c *cluster) index(id string) int {
+	for i, a := range c.agents {
 		if a.ID == id {
 			return i
 		}
@@ -77,42 +77,42 @@
 }
 
 // order starts one order of agent i and checks it against the oracle.
-func (f *cluster) order(t must.T, i int) bool {
-	a := f.agents[i]
-	o, ok := a.Next(f.now)
+func (c *cluster) order(t must.T, i int) bool {
+	a := c.agents[i]
+	o, ok := a.Next(c.now)
 	if !ok {
 		return false
 	}
-	must.False(t, f.have[i][o.Chunk], must.Sprint("a held chunk is fetched again"))
-	must.MapNotContainsKey(t, f.fetches[i], o, must.Sprint("the same fetch runs twice"))
-	f.fetches[i][o] = f.now
-	must.LessEq(t, a.Slots, f.recentFetches(i))
-	must.LessEq(t, 2*a.Slots, len(f.fetches[i]))
+	must.False(t, c.have[i][o.Chunk], must.Sprint("a held chunk is fetched again"))
+	must.MapNotContainsKey(t, c.fetches[i], o, must.Sprint("the same fetch runs twice"))
+	c.fetches[i][o] = c.now
+	must.LessEq(t, a.Slots, c.recentFetches(i))
+	must.LessEq(t, 2*a.Slots, len(c.fetches[i]))
 	from, ok := o.Source.(planner.FromPeer)
 	if !ok {
-		f.originFetches++
+		c.originFetches++
 		return true
 	}
 	perPeer := 0
-	for other := range f.fetches[i] {
+	for other := range c.fetches[i] {
 		if other.Source == o.Source {
 			perPeer++
 		}
 	}
 	must.LessEq(t, a.PeerSlots, perPeer)
-	must.True(t, f.have[f.index(from.ID)][o.Chunk], must.Sprint("a peer is asked for what it never had"))
-	if at, ok := f.corrupt[[2]string{a.ID, from.ID}]; ok {
-		must.GreaterEq(t, avoidFor/2, f.now.Sub(at), must.Sprint("a peer that sent a corrupt chunk is asked again"))
+	must.True(t, c.have[c.index(from.ID)][o.Chunk], must.Sprint("a peer is asked for a chunk that it never had"))
+	if at, ok := c.corrupt[[2]string{a.ID, from.ID}]; ok {
+		must.GreaterEq(t, avoidFor/2, c.now.Sub(at), must.Sprint("a peer that sent a corrupt chunk is asked again"))
 	}
 	return true
 }
 
 // recentFetches counts the fetches of agent i that can't be slow yet; slow ones may
 // free their slots, but at most as many as there are.
-func (f *cluster) recentFetches(i int) int {
+func (c *cluster) recentFetches(i int) int {
 	n := 0
-	for _, started := range f.fetches[i] {
-		if f.now.Sub(started) <= f.agents[i].Patience/2 {
+	for _, started := range c.fetches[i] {
+		if c.now.Sub(started) <= c.agents[i].Patience/2 {
 			n++
 		}
 	}
@@ -120,25 +120,25 @@
 }
 
 // end ends a fetch of agent i, successfully or with the given cause.
-func (f *cluster) end(i int, o planner.Order, good bool, cause planner.Cause) {
-	delete(f.fetches[i], o)
+func (c *cluster) end(i int, o planner.Order, good bool, cause planner.Cause) {
+	delete(c.fetches[i], o)
 	if good {
-		f.agents[i].Done(o, f.now)
-		f.have[i][o.Chunk] = true
+		c.agents[i].Done(o, c.now)
+		c.have[i][o.Chunk] = true
 		return
 	}
-	f.agents[i].Failed(o, cause, f.now)
+	c.agents[i].Failed(o, cause, c.now)
 	if from, ok := o.Source.(planner.FromPeer); ok && cause == planner.Corrupt {
-		f.corrupt[[2]string{f.agents[i].ID, from.ID}] = f.now
+		c.corrupt[[2]string{c.agents[i].ID, from.ID}] = c.now
 	}
 }
 
 // firstFetch is the fetch of agent i with the lowest chunk, so that each run
 // picks the same one.
-func (f *cluster) firstFetch(i int) (planner.Order, bool) {
+func (c *cluster) firstFetch(i int) (planner.Order, bool) {
 	var first planner.Order
 	found := false
-	for o := range f.fetches[i] {
+	for o := range c.fetches[i] {
 		if !found || o.Chunk < first.Chunk || o.Chunk == first.Chunk && fmt.Sprint(o) < fmt.Sprint(first) {
 			first, found = o, true
 		}
@@ -154,62 +154,62 @@
 	// hold here.
 	rapid.Check(t, func(t *rapid.T) {
 		n, chunks := rapid.IntRange(1, 6).Draw(t, "agents"), rapid.IntRange(1, 20).Draw(t, "chunks")
-		f := newCluster(n, chunks, rapid.Uint64().Draw(t, "seed"))
+		c := newCluster(n, chunks, rapid.Uint64().Draw(t, "seed"))
 		agent := rapid.IntRange(0, n-1)
 		t.Repeat(map[string]func(*rapid.T){
-			"meet":  func(t *rapid.T) { f.updatePeers(agent.Draw(t, "agent")) },
-			"order": func(t *rapid.T) { f.order(t, agent.Draw(t, "agent")) },
+			"meet":  func(t *rapid.T) { c.updatePeers(agent.Draw(t, "agent")) },
+			"order": func(t *rapid.T) { c.order(t, agent.Draw(t, "agent")) },
 			"wait": func(t *rapid.T) {
-				f.now = f.now.Add(time.Duration(rapid.IntRange(1, 5000).Draw(t, "ms")) * time.Millisecond)
+				c.now = c.now.Add(time.Duration(rapid.IntRange(1, 5000).Draw(t, "ms")) * time.Millisecond)
 			},
 			"end": func(t *rapid.T) {
 				i := agent.Draw(t, "agent")
-				if o, ok := f.firstFetch(i); ok {
-					f.end(i, o, rapid.Bool().Draw(t, "good"), planner.Cause(rapid.IntRange(0, 3).Draw(t, "cause")))
+				if o, ok := c.firstFetch(i); ok {
+					c.end(i, o, rapid.Bool().Draw(t, "good"), planner.Cause(rapid.IntRange(0, 3).Draw(t, "cause")))
 				}
 			},
 			"": func(t *rapid.T) {
-				for i, a := range f.agents {
-					must.Eq(t, len(f.have[i]), a.Count())
-					must.Eq(t, len(f.fetches[i]), a.InFlight())
+				for i, a := range c.agents {
+					must.Eq(t, len(c.have[i]), a.Count())
+					must.Eq(t, len(c.fetches[i]), a.InFlight())
 				}
 			},
 		})
-		f.runToCompletion(t)
+		c.runToCompletion(t)
 	})
 }
 
 // runToCompletion ends all fetches successfully until all agents have all
 // chunks. In each round all agents order before any fetch ends.
-func (f *cluster) runToCompletion(t must.T) {
+func (c *cluster) runToCompletion(t must.T) {
 	for range 10_000 {
-		f.round(t, func(int, planner.Order) bool { return true })
-		if f.complete() {
+		c.round(t, func(int, planner.Order) bool { return true })
+		if c.complete() {
 			return
 		}
 	}
-	t.Fatalf("never whole")
+	t.Fatalf("never complete")
 }
 
-func (f *cluster) round(t must.T, good func(int, planner.Order) bool) {
-	for i := range f.agents {
-		f.updatePeers(i)
+func (c *cluster) round(t must.T, good func(int, planner.Order) bool) {
+	for i := range c.agents {
+		c.updatePeers(i)
 	}
-	for i := range f.agents {
-		for f.order(t, i) {
+	for i := range c.agents {
+		for c.order(t, i) {
 			continue
 		}
 	}
-	for i := range f.agents {
-		for o, ok := f.firstFetch(i); ok; o, ok = f.firstFetch(i) {
-			f.end(i, o, good(i, o), planner.Unavailable)
+	for i := range c.agents {
+		for o, ok := c.firstFetch(i); ok; o, ok = c.firstFetch(i) {
+			c.end(i, o, good(i, o), planner.Unavailable)
 		}
 	}
-	f.now = f.now.Add(100 * time.Millisecond)
+	c.now = c.now.Add(100 * time.Millisecond)
 }
 
-func (f *cluster) complete() bool {
-	for _, a := range f.agents {
+func (c *cluster) complete() bool {
+	for _, a := range c.agents {
 		if !a.Complete() {
 			return false
 		}
@@ -218,21 +218,21 @@
 }
 
 func TestEachChunkIsFetchedFromOriginOnce(t *testing.T) {
-	f := newCluster(12, 40, 1)
-	f.runToCompletion(t)
-	must.Eq(t, 40, f.originFetches)
+	c := newCluster(12, 40, 1)
+	c.runToCompletion(t)
+	must.Eq(t, 40, c.originFetches)
 }
 
 func TestStalledOriginFetcherIsReplaced(t *testing.T) {
 	// Guards against an origin fetcher that is alive and answers while its own link
 	// to the origin is down. No call to it fails, so its chunks would stay missing in
 	// all agents, and the roll-out would stop just short of its end.
-	f := newCluster(6, 40, 1)
+	c := newCluster(6, 40, 1)
 	for range 1000 {
-		f.round(t, func(i int, o planner.Order) bool { return i != 0 || o.Source != planner.Source(planner.FromOrigin{}) })
+		c.round(t, func(i int, o planner.Order) bool { return i != 0 || o.Source != planner.Source(planner.FromOrigin{}) })
 	}
-	must.True(t, f.complete())
-	must.LessEq(t, 80, f.originFetches)
+	must.True(t, c.complete())
+	must.LessEq(t, 80, c.originFetches)
 }
 
 // Guards against requesting a chunk again that arrived from its second source while the
@@ -275,7 +275,7 @@
 		peers = append(peers, planner.Peer{ID: fmt.Sprint("near-", i), Region: "near"})
 	}
 	a.SetPeers(peers, now)
-	must.Len(t, 5, a.PeersToQuery(now), must.Sprint("nothing is on its way, and who has all chunks isn't asked"))
+	must.Len(t, 5, a.PeersToQuery(now), must.Sprint("nothing is in flight, and the complete peer isn't queried"))
 
 	_, ok := a.Next(now)
 	must.True(t, ok)
@@ -290,6 +290,6 @@
 			asked[id]++
 		}
 	}
-	must.MapLen(t, 4, asked, must.Sprint("each once"))
+	must.MapLen(t, 4, asked, must.Sprint("each peer once"))
 	must.MapNotContainsKey(t, asked, "near-0")
 }
--- a/internal/retrier/decide.go
+++ b/internal/retrier/decide.go
@@ -75,7 +75,7 @@
 	switch {
 	case a.Streamed && !a.SameEngine:
 		// A second engine start would continue with other weights or another
-		// draw: the caller would read one reply composed of two.
+		// sample: the caller would read one reply composed of two.
 		return "stream cannot be resumed on the same engine"
 	case a.Streamed:
 		// Resuming starts no second run, so that idempotence does not matter.
--- a/internal/retrier/shared_test.go
+++ b/internal/retrier/shared_test.go
@@ -47,38 +47,38 @@
 	suspendedUntil time.Time
 }
 
-func (f *cluster) join(n int) {
+func (c *cluster) join(n int) {
 	for range n {
-		s := &entry{knownFraction: 0.7 + f.random.Float64()/2, joined: f.clock.Now()}
-		s.budget = &retrier.Budget{Clock: f.clock, Share: 0.9 * ratio, Floor: 0.1 * slack / window.Seconds(), Burst: 0.6 * slack,
-			Sharers: func() int { return f.known(s) }, Random: f.random}
-		f.entries = append(f.entries, s)
+		s := &entry{knownFraction: 0.7 + c.random.Float64()/2, joined: c.clock.Now()}
+		s.budget = &retrier.Budget{Clock: c.clock, Share: 0.9 * ratio, Floor: 0.1 * slack / window.Seconds(), Burst: 0.6 * slack,
+			Sharers: func() int { return c.known(s) }, Random: c.random}
+		c.entries = append(c.entries, s)
 	}
 }
 
 // known is how many entries one of them counts.
-func (f *cluster) known(s *entry) int {
-	if f.clock.Since(s.joined) < discoveryDelay {
+func (c *cluster) known(s *entry) int {
+	if c.clock.Since(s.joined) < discoveryDelay {
 		return 6
 	}
-	return max(6, int(s.knownFraction*float64(f.discovered)+1))
+	return max(6, int(s.knownFraction*float64(c.discovered)+1))
 }
 
 // step gives each entry up to maxRequests requests, each retried up to twice, and advances
 // the clock.
-func (f *cluster) step(maxRequests int, failing bool) {
-	f.discovered = 0
-	for _, e := range f.entries {
-		if f.clock.Since(e.joined) >= discoveryDelay {
-			f.discovered++
+func (c *cluster) step(maxRequests int, failing bool) {
+	c.discovered = 0
+	for _, e := range c.entries {
+		if c.clock.Since(e.joined) >= discoveryDelay {
+			c.discovered++
 		}
 	}
 	first, retried := 0, 0
-	for _, e := range f.entries {
-		if f.clock.Now().Before(e.suspendedUntil) {
+	for _, e := range c.entries {
+		if c.clock.Now().Before(e.suspendedUntil) {
 			continue
 		}
-		for range f.random.IntN(maxRequests + 1) {
+		for range c.random.IntN(maxRequests + 1) {
 			e.budget.RecordFirstAttempt()
 			first++
 			for range 2 {
@@ -88,18 +88,18 @@
 			}
 		}
 	}
-	f.requests, f.retries = append(f.requests, first), append(f.retries, retried)
-	f.clock.Step(step)
+	c.requests, c.retries = append(c.requests, first), append(c.retries, retried)
+	c.clock.Step(step)
 }
 
 // check compares the last window with the rule.
-func (f *cluster) check(t *rapid.T) {
+func (c *cluster) check(t *rapid.T) {
 	const steps = int(window / step)
-	end := len(f.requests)
-	maxRequests := max(within(f.requests, end-steps, end), within(f.requests, end-2*steps, end-steps),
-		within(f.requests, end-steps-steps/2, end-steps/2))
-	retries := within(f.retries, end-steps, end)
-	must.LessEq(t, int(ratio*float64(maxRequests)+slack), retries, must.Sprintf("%d entries, %d requests", len(f.entries), maxRequests))
+	end := len(c.requests)
+	maxRequests := max(within(c.requests, end-steps, end), within(c.requests, end-2*steps, end-steps),
+		within(c.requests, end-steps-steps/2, end-steps/2))
+	retries := within(c.retries, end-steps, end)
+	must.LessEq(t, int(ratio*float64(maxRequests)+slack), retries, must.Sprintf("%d entries, %d requests", len(c.entries), maxRequests))
 }
 
 func within(ns []int, from, to int) int {
@@ -116,28 +116,28 @@
 // over- or underestimate their number.
 func TestEntriesTogetherStayWithinTheRetryBound(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
-		f := &cluster{clock: clocktesting.NewFakeClock(epoch), random: rand.New(rand.NewPCG(rapid.Uint64().Draw(t, "seed"), 1))}
-		f.join(rapid.IntRange(1, 300).Draw(t, "entries"))
+		c := &cluster{clock: clocktesting.NewFakeClock(epoch), random: rand.New(rand.NewPCG(rapid.Uint64().Draw(t, "seed"), 1))}
+		c.join(rapid.IntRange(1, 300).Draw(t, "entries"))
 		for range rapid.IntRange(1, 12).Draw(t, "turns") {
-			n := len(f.entries)
+			n := len(c.entries)
 			switch rapid.SampledFrom([]string{"join", "leave", "restart", "freeze", "nothing"}).Draw(t, "turn") {
 			case "join":
-				f.join(rapid.IntRange(1, max(1, n/2)).Draw(t, "joining"))
+				c.join(rapid.IntRange(1, max(1, n/2)).Draw(t, "joining"))
 			case "leave":
-				f.entries = f.entries[rapid.IntRange(0, n/2).Draw(t, "leaving"):]
+				c.entries = c.entries[rapid.IntRange(0, n/2).Draw(t, "leaving"):]
 			case "restart":
 				restarted := rapid.IntRange(1, n).Draw(t, "restarting")
-				f.entries = f.entries[restarted:]
-				f.join(restarted)
+				c.entries = c.entries[restarted:]
+				c.join(restarted)
 			case "freeze":
 				for i := range n / 3 {
-					f.entries[i].suspendedUntil = f.clock.Now().Add(time.Duration(rapid.IntRange(0, 20).Draw(t, "halves")) * step)
+					c.entries[i].suspendedUntil = c.clock.Now().Add(time.Duration(rapid.IntRange(0, 20).Draw(t, "halves")) * step)
 				}
 			}
 			maxRequests, failing := rapid.IntRange(0, 12).Draw(t, "requests"), rapid.Bool().Draw(t, "failing")
 			for range rapid.IntRange(1, 30).Draw(t, "steps") {
-				f.step(maxRequests, failing)
-				f.check(t)
+				c.step(maxRequests, failing)
+				c.check(t)
 			}
 		}
 	})
