--- a/internal/relayer/move.go
+++ b/internal/relayer/move.go
@@ -166,7 +166,7 @@
 		place.Release()
 		return nil
 	}
-	if !l.Budgets.Of(j.Service).Take() {
+	if !l.Budgets.Get(j.Service).Take() {
 		l.log(j, "No retry left in the budget", nil)
 		place.Release()
 		return nil
--- a/internal/relayer/serve.go
+++ b/internal/relayer/serve.go
@@ -48,7 +48,7 @@
 }
 
 func (l *Relayer) serve(ctx context.Context, j *Job, attempt Attempt) error {
-	l.Budgets.Of(j.Service).First()
+	l.Budgets.Get(j.Service).RecordFirstAttempt()
 	j.outcome = retrier.NotRun
 	defer j.cancelMove()
 	for {
@@ -94,7 +94,7 @@
 	if !errors.As(err, &s) {
 		return
 	}
-	j.outcome = retrier.Join(j.outcome, s.Outcome)
+	j.outcome = retrier.Combine(j.outcome, s.Outcome)
 	j.reused = s.Reused
 	j.unsent = s.Outcome == retrier.NotRun && isLocalFailure(err)
 	if s.Outcome != retrier.NotRun {
@@ -163,7 +163,7 @@
 		// The budget is for requests that are sent.
 		return true
 	}
-	if !l.Budgets.Of(j.Service).Take() {
+	if !l.Budgets.Get(j.Service).Take() {
 		l.log(j, "No retry left in the budget", nil)
 		return false
 	}
--- a/internal/router/choice.go
+++ b/internal/router/choice.go
@@ -92,5 +92,5 @@
 }
 
 func (r *Router) backoffUntil(now time.Time, d time.Duration) time.Time {
-	return now.Add(d + retrier.Spread(d, r.Random))
+	return now.Add(d + retrier.Jitter(d, r.Random))
 }
--- a/internal/router/demand.go
+++ b/internal/router/demand.go
@@ -22,7 +22,7 @@
 	if float64(load) < (1-reservedShare)*float64(limit) {
 		return false
 	}
-	share := l.parts.Part(float64(l.demand()), entries, now)
+	share := l.parts.Share(float64(l.demand()), entries, now)
 	return float64(l.inflight) > share*float64(limit)
 }
 
@@ -60,6 +60,6 @@
 	defer r.mu.Unlock()
 	now := r.Clock.Now()
 	for k, l := range r.pools {
-		l.parts.Hear(entry, float64(demand[k.String()]), now)
+		l.parts.SetDemand(entry, float64(demand[k.String()]), now)
 	}
 }
--- a/internal/router/model_entry_test.go
+++ b/internal/router/model_entry_test.go
@@ -100,7 +100,7 @@
 		return
 	}
 	c.ticket = t
-	e.policy.Budget.First()
+	e.policy.Budget.RecordFirstAttempt()
 	if !e.dispatch(c) {
 		e.enqueue(c)
 	}
@@ -197,7 +197,7 @@
 	if e.dispatch(c) {
 		return true
 	}
-	again, err := e.queue.Return(w)
+	again, err := e.queue.Requeue(w)
 	e.recordWaiter(c, again, err)
 	return false
 }
--- a/internal/router/pool.go
+++ b/internal/router/pool.go
@@ -51,8 +51,8 @@
 	// inflight and waiting are how many of this entry's requests run and wait; parts
 	// divides the pool among entries by them.
 	inflight, waiting int
-	parts             limiter.Parts
-	returns           retrier.Returns
+	parts             limiter.DemandShares
+	returns           retrier.RetryTimes
 }
 
 // home is the replica for a prefix: in this region if it has any, so that a
--- a/internal/router/router.go
+++ b/internal/router/router.go
@@ -203,7 +203,7 @@
 }
 
 func (r *Router) newPool() *pool {
-	l := &pool{parts: limiter.Parts{Even: evenShare}}
+	l := &pool{parts: limiter.DemandShares{Even: evenShare}}
 	l.tiers[sameDomain] = tier{ring: &l.near}
 	l.tiers[sameRegion] = tier{ring: &l.near, linkCost: orDefault(r.DomainCost, DefaultDomainCost)}
 	l.tiers[otherRegion] = tier{ring: &l.far, linkCost: orDefault(r.RegionCost, DefaultRegionCost)}
