--- a/internal/messenger/placing.go
+++ b/internal/messenger/placing.go
@@ -148,9 +148,9 @@
 	return v, err
 }
 
-// Tell sends progress without waiting for an answer. Progress that is lost is made
+// SendProgress sends progress without waiting for an answer. Progress that is lost is made
 // good by the engine's own count.
-func (c *Client) Tell(ctx context.Context, p Progress) error {
+func (c *Client) SendProgress(ctx context.Context, p Progress) error {
 	ctx, cancel := context.WithTimeout(ctx, c.Timeout)
 	defer cancel()
 	conn, err := c.connect(ctx)
--- a/internal/relayer/ask.go
+++ b/internal/relayer/ask.go
@@ -206,7 +206,7 @@
 	p.Started, p.Ended = a.numbered(p.Started), a.numbered(p.Ended)
 	p.Failed, p.Refused = a.numbered(p.Failed), a.numbered(p.Refused)
 	go func() {
-		if err := a.Client.Tell(context.Background(), p); err != nil {
+		if err := a.Client.SendProgress(context.Background(), p); err != nil {
 			klog.V(1).InfoS("Failed to send progress", "agent", a.Address, "err", err)
 		}
 	}()
