--- a/internal/agent/agent.go
+++ b/internal/agent/agent.go
@@ -1,7 +1,7 @@
-// Package agent is the daemon beside each upstream. It is the only road to that
-// upstream, so it alone counts exactly what runs there; it brings the weights
-// that the bundle names into memory, orders the engine to load them, and opens
-// its gate only to what it has proved.
+// Package agent implements the daemon beside each upstream. All requests to the
+// upstream pass through it, so its count of running requests is exact. It loads
+// the weights that the bundle names into memory, orders the engine to load them,
+// and opens its gate only for what the engine is proved to hold.
 package agent
 
 import (
@@ -28,19 +28,19 @@
 	"github.com/oriolecroft/oriolecroft/internal/reporter"
 )
 
-// Agent is one agent process. Set the exported fields before Run.
+// Agent is one agent process. Its exported fields are set before Run.
 type Agent struct {
 	ID            string
 	Incarnation   string
 	FailureDomain string
 	Region        string
 	Listener      net.Listener
-	// ForEngine serves whole weights to the engine, which knows no TLS of ours; nil
-	// means that Listener does.
+	// ForEngine serves whole weights to the engine, which does not support our TLS;
+	// if nil, Listener serves them.
 	ForEngine net.Listener
-	// Certifier makes connections between our processes; nil means plain ones.
+	// Certifier secures connections between our processes; nil means plain ones.
 	Certifier *certifier.Certifier
-	// Operators serves status, metrics and health; nil leaves it out.
+	// Operators serves status, metrics and health; if nil, they are not served.
 	Operators net.Listener
 	// Seeds are the peer addresses of some entries.
 	Seeds []netip.AddrPort
@@ -55,48 +55,48 @@
 	Clock   clock.WithTickerAndDelayedExecution
 	// Heartbeat is the longest time between two reports to an entry.
 	Heartbeat time.Duration
-	// ReportTo is how many entries are told.
+	// ReportTo is how many entries receive reports.
 	ReportTo int
 
 	links    *links
-	proof    *proof
+	health   *healthRecord
 	switcher *switcher
 	streams  *streams
-	// listed is when an entry last said that the platform lists this VM as leaving.
-	listed  stamp
-	digests *digests
-	probing sync.Mutex
-	// wrongWeights counts replies that were cut for it.
+	// lastListed is when an entry last reported that the platform lists this VM as leaving.
+	lastListed atomicTime
+	digests    *digests
+	probeMu    sync.Mutex
+	// wrongWeights counts replies cut for wrong weights.
 	wrongWeights metrics.Counter
 }
 
-// probeEvery is how often the upstream is asked for its state. It bounds how
-// long a restart that cut no request goes unnoticed.
-const probeEvery = 100 * time.Millisecond
+// probeInterval is the time between probes of the upstream's state. It bounds how
+// long a restart that cut no request stays undetected.
+const probeInterval = 100 * time.Millisecond
 
-// linger is how long a leaving agent stays after its last request, so that every
-// entry has heard that it leaves before its address goes dead.
-const linger = 500 * time.Millisecond
+// shutdownLinger is how long an agent stays up after its last request, so that
+// its shutdown reaches every entry before its address stops answering.
+const shutdownLinger = 500 * time.Millisecond
 
-// Run serves until the context ends, then leaves: the gate closes, entries are
-// told, and what runs is finished.
+// Run serves until the context ends, then closes the gate, notifies the entries and
+// finishes the running requests.
 func (a *Agent) Run(ctx context.Context) error {
 	a.Gate.Confirm = true
 	a.links = newLinks(a)
-	a.proof = &proof{}
+	a.health = &healthRecord{}
 	a.switcher = &switcher{agent: a}
 	a.streams = newStreams(a)
 	a.digests = &digests{loader: a.Loader}
 	a.wrongWeights = metrics.NewCounter()
-	return reporter.RunUntil(ctx, a.parts(), a.leave)
+	return reporter.RunUntil(ctx, a.newSupervisor(), a.shutDown)
 }
 
-// parts are all that runs as long as the agent does.
-func (a *Agent) parts() *suture.Supervisor {
+// newSupervisor returns a supervisor of all parts of the agent.
+func (a *Agent) newSupervisor() *suture.Supervisor {
 	s := suture.New("agent", suture.Spec{EventHook: reporter.LogEvents})
-	s.Add(&reporter.Web{Name: "requests", Listener: a.Certifier.Listen(a.Listener), Handler: a.handler()})
+	s.Add(&reporter.Web{Name: "requests", Listener: a.Certifier.Listen(a.Listener), Handler: a.requestHandler()})
 	if a.Operators != nil {
-		s.Add(&reporter.Web{Name: "operators", Listener: a.Certifier.Listen(a.Operators), Handler: a.operators()})
+		s.Add(&reporter.Web{Name: "operators", Listener: a.Certifier.Listen(a.Operators), Handler: a.operatorHandler()})
 	}
 	if a.ForEngine != nil {
 		s.Add(&reporter.Web{Name: "weights", Listener: a.ForEngine, Handler: a.Loader.Handler()})
@@ -104,33 +104,33 @@
 	if a.Certifier != nil {
 		s.Add(a.Certifier)
 	}
-	s.Add(reporter.Every("holds", a.Clock, holdEvery, a.hold))
+	s.Add(reporter.Every("holds", a.Clock, holdInterval, a.updateHolds))
 	s.Add(&prober{agent: a})
-	s.Add(reporter.Every("links", a.Clock, a.Heartbeat, a.links.adjust))
-	s.Add(a.links.each)
+	s.Add(reporter.Every("links", a.Clock, a.Heartbeat, a.links.reconcile))
+	s.Add(a.links.supervisor)
 	if _, ok := a.Upstream.(*driver.Engine); ok {
 		s.Add(a.Loader)
-		s.Add(reporter.Every("weights", a.Clock, switchEvery, a.switcher.step))
+		s.Add(reporter.Every("weights", a.Clock, switchInterval, a.switcher.step))
 	}
 	return s
 }
 
-// leave closes the gate first and tells the entries next, so that what they send
-// meanwhile is refused as not run; then what runs is finished, however long it
-// takes: its deadlines bound it.
-func (a *Agent) leave(ctx context.Context) {
+// shutDown closes the gate before it notifies the entries, so that requests sent
+// meanwhile are refused as not run. Running requests are then finished, within
+// their deadlines.
+func (a *Agent) shutDown(ctx context.Context) {
 	klog.InfoS("Leaving", "agent", a.ID)
 	a.Gate.Close(admitter.Leaving)
-	a.links.announce()
+	a.links.reportNow()
 	if err := a.Gate.Drained(ctx); err != nil {
-		klog.ErrorS(err, "Leaving with work under way", "agent", a.ID)
+		klog.ErrorS(err, "Shutdown with running requests", "agent", a.ID)
 	}
-	t := a.Clock.NewTimer(linger)
+	t := a.Clock.NewTimer(shutdownLinger)
 	defer t.Stop()
 	<-t.C()
 }
 
-func (a *Agent) handler() http.Handler {
+func (a *Agent) requestHandler() http.Handler {
 	m := http.NewServeMux()
 	m.Handle("/run/", forwarder.Handler(&runner{agent: a}))
 	if a.Loader != nil {
@@ -139,45 +139,45 @@
 	return m
 }
 
-// proof is what the engine was last found to hold.
-type proof struct {
+// healthRecord holds the last result of probing the upstream.
+type healthRecord struct {
 	mu     sync.Mutex
 	health driver.Health
 	known  bool
 }
 
-func (p *proof) set(h driver.Health) {
+func (p *healthRecord) set(h driver.Health) {
 	p.mu.Lock()
 	defer p.mu.Unlock()
 	p.health, p.known = h, true
 }
 
-func (p *proof) clear() {
+func (p *healthRecord) clear() {
 	p.mu.Lock()
 	defer p.mu.Unlock()
 	p.health, p.known = driver.Health{}, false
 }
 
-// get gives the last finding; ok is false while the upstream does not answer.
-func (p *proof) get() (h driver.Health, ok bool) {
+// get returns the last result; ok is false while the upstream does not answer.
+func (p *healthRecord) get() (h driver.Health, ok bool) {
 	p.mu.Lock()
 	defer p.mu.Unlock()
 	return p.health, p.known
 }
 
-// probe asks the upstream for its state and tells the gate, one question at a time:
-// an answer that came after one to a newer question would be taken for the newest,
-// and have an engine loaded again that was only just loaded.
+// probe queries the upstream's state and passes it to the gate, one query at a time:
+// a late answer to an older query would count as the newest, and cause an engine
+// that was just loaded to be loaded again.
 func (a *Agent) probe(ctx context.Context) {
-	a.probing.Lock()
-	defer a.probing.Unlock()
+	a.probeMu.Lock()
+	defer a.probeMu.Unlock()
 	mark := a.Gate.Mark()
-	asked := a.Clock.Now()
+	startedAt := a.Clock.Now()
 	h, err := driver.Check(ctx, a.Upstream)
 	a.Gate.Probe(admitter.Probe{
 		Mark:     mark,
 		Err:      err,
-		Latency:  a.Clock.Since(asked),
+		Latency:  a.Clock.Since(startedAt),
 		StartID:  h.StartID,
 		Uptime:   h.Uptime,
 		Cold:     h.Cold,
@@ -186,25 +186,25 @@
 		Manifest: h.Manifest,
 	})
 	if err != nil {
-		a.proof.clear()
+		a.health.clear()
 		a.Gate.Close(admitter.Gone)
 		return
 	}
-	a.proof.set(h)
+	a.health.set(h)
 	a.Gate.Open(admitter.Gone)
 }
 
-// state is the agent's account of itself.
+// state returns the agent's state for reports.
 func (a *Agent) state() messenger.AgentState {
-	s := a.brief()
+	s := a.stateWithoutHoldings()
 	if s.Kind == messenger.KindEngine {
 		s.Holdings = a.Loader.Holdings()
 	}
 	return s
 }
 
-// brief is the account without what the agent holds of weights.
-func (a *Agent) brief() messenger.AgentState {
+// stateWithoutHoldings returns the state without the weights held.
+func (a *Agent) stateWithoutHoldings() messenger.AgentState {
 	gate, limit, running := a.Gate.State()
 	w := a.State.Word()
 	s := messenger.AgentState{
@@ -225,7 +225,7 @@
 	if _, ok := a.Upstream.(*driver.Engine); ok {
 		s.Kind = messenger.KindEngine
 	}
-	if h, ok := a.proof.get(); ok {
+	if h, ok := a.health.get(); ok {
 		s.Model, s.Version, s.Manifest, s.EngineStart = h.Model, h.Version, h.Manifest, h.StartID
 		s.Adapters, s.AdapterManifests = adapters(h)
 	}
--- a/internal/agent/bookings_test.go
+++ b/internal/agent/bookings_test.go
@@ -15,7 +15,7 @@
 	"github.com/oriolecroft/oriolecroft/standins/imitator"
 )
 
-func key(nonce string) string {
+func newKey(nonce string) string {
 	return deduplicator.Key{
 		Workspace: "farm", Service: "bookings", Owner: "vm-1", Incarnation: "i-1",
 		Issued: time.Now(), Nonce: nonce,
@@ -23,116 +23,116 @@
 }
 
 // book makes one booking as an entry does.
-func (w *world) book(key string) (*forwarder.Reply, error) {
-	ctx, cancel := context.WithTimeout(w.t.Context(), patience)
+func (env *testEnv) book(key string) (*forwarder.Reply, error) {
+	ctx, cancel := context.WithTimeout(env.t.Context(), waitTimeout)
 	defer cancel()
 	o := forwarder.CallOrder{
 		Attempt:   forwarder.Attempt{RequestID: "r", Number: 1},
 		Workspace: "farm", Service: "bookings", Method: "POST", Path: "/book", Key: key,
-		Header: map[string]string{"Booking": "slot-4"}, DeadlineMS: patience.Milliseconds(),
+		Header: map[string]string{"Booking": "slot-4"}, DeadlineMS: waitTimeout.Milliseconds(),
 	}
-	return w.client.Call(ctx, addressOf(w.Listener), o, []byte("{}"))
+	return env.client.Call(ctx, addressOf(env.Listener), o, []byte("{}"))
 }
 
-func (w *world) fate(key string) forwarder.Fate {
-	w.t.Helper()
-	ctx, cancel := context.WithTimeout(w.t.Context(), patience)
+func (env *testEnv) lookup(key string) forwarder.Fate {
+	env.t.Helper()
+	ctx, cancel := context.WithTimeout(env.t.Context(), waitTimeout)
 	defer cancel()
-	f, err := w.client.Lookup(ctx, addressOf(w.Listener), key)
-	must.NoError(w.t, err)
+	f, err := env.client.Lookup(ctx, addressOf(env.Listener), key)
+	must.NoError(env.t, err)
 	return f
 }
 
-// closedKey checks that an error says that the key will never run.
-func closedKey(t *testing.T, err error) {
+// mustBeClosed checks that an error reports that the key will never run.
+func mustBeClosed(t *testing.T, err error) {
 	t.Helper()
 	var n *forwarder.NotRunError
 	must.True(t, errors.As(err, &n), must.Sprint(err))
 	must.True(t, n.KeyClosed)
 }
 
-// The booking service books and its answer is lost. The shed lead tries again;
-// run a second time, two casuals would turn up for one slot.
+// Guards against a booking that runs twice, with two casuals for one slot, when its
+// answer is lost and the caller retries.
 func TestLostAnswerIsNotRunAgain(t *testing.T) {
-	w := startService(t, &imitator.Service{})
-	w.post("/admin/faults", `{"dropAnswers":true}`)
-	k := key("lost")
+	env := startService(t, &imitator.Service{})
+	env.postUpstream("/admin/faults", `{"dropAnswers":true}`)
+	k := newKey("lost")
 	for range 2 {
-		_, err := w.book(k)
+		_, err := env.book(k)
 		var u *forwarder.UnknownError
 		must.True(t, errors.As(err, &u), must.Sprint(err))
-		w.post("/admin/faults", `{}`)
+		env.postUpstream("/admin/faults", `{}`)
 	}
-	must.Eq(t, forwarder.FateUnknown, w.fate(k))
-	must.Eq(t, 1, w.counts("runs"))
+	must.Eq(t, forwarder.FateUnknown, env.lookup(k))
+	must.Eq(t, 1, env.upstreamCount("runs"))
 }
 
-// A lead taps twice, or an entry retries, while the booking still runs. Both get
-// the one answer.
+// Guards against a duplicate that runs again while the first booking still runs,
+// after a double tap or an entry's retry. Both must get the same answer.
 func TestDuplicateWaitsForTheFirst(t *testing.T) {
-	w := startService(t, &imitator.Service{Time: tokenTime})
-	k := key("twice")
+	env := startService(t, &imitator.Service{Time: tokenTime})
+	k := newKey("twice")
 	var replies [2]*forwarder.Reply
 	var errs [2]error
-	var both sync.WaitGroup
+	var wg sync.WaitGroup
 	for i := range replies {
-		both.Go(func() { replies[i], errs[i] = w.book(k) })
+		wg.Go(func() { replies[i], errs[i] = env.book(k) })
 	}
-	w.until(func() bool { return w.running() == 1 && w.clock.HasWaiters() })
-	must.Eq(t, forwarder.FateRunning, w.fate(k))
-	w.clock.Step(tokenTime)
-	both.Wait()
+	env.waitUntil(func() bool { return env.runningCount() == 1 && env.clock.HasWaiters() })
+	must.Eq(t, forwarder.FateRunning, env.lookup(k))
+	env.clock.Step(tokenTime)
+	wg.Wait()
 	must.NoError(t, errors.Join(errs[:]...))
 	must.Eq(t, replies[0].Body, replies[1].Body)
 	must.True(t, replies[0].Replayed != replies[1].Replayed)
-	must.Eq(t, forwarder.FateRan, w.fate(k))
-	must.Eq(t, 1, w.counts("runs"))
+	must.Eq(t, forwarder.FateRan, env.lookup(k))
+	must.Eq(t, 1, env.upstreamCount("runs"))
 }
 
-// A booking is refused in a domain that was just drained, and the caller books
-// elsewhere. A duplicate that comes once the domain is back must not book again.
+// Guards against a double booking: a drained domain refuses a booking, the caller
+// books elsewhere, and a duplicate arrives once the domain is back.
 func TestRefusalClosesKey(t *testing.T) {
-	w := startService(t, &imitator.Service{})
-	w.next(func(b *bundler.Bundle) { b.FailureDomains[0].Drained = true })
-	w.until(func() bool { return w.State.Word().Revision == 2 })
-	k := key("refused")
-	_, err := w.book(k)
-	closedKey(t, err)
-	w.next(func(*bundler.Bundle) {})
-	w.until(func() bool { return w.State.Word().Revision == 3 && len(w.Gate.Holds()) == 0 })
-	_, err = w.book(k)
-	closedKey(t, err)
-	must.Eq(t, forwarder.FateNotRun, w.fate(k))
-	must.Eq(t, 0, w.counts("runs"))
+	env := startService(t, &imitator.Service{})
+	env.putBundle(func(b *bundler.Bundle) { b.FailureDomains[0].Drained = true })
+	env.waitUntil(func() bool { return env.State.Word().Revision == 2 })
+	k := newKey("refused")
+	_, err := env.book(k)
+	mustBeClosed(t, err)
+	env.putBundle(func(*bundler.Bundle) {})
+	env.waitUntil(func() bool { return env.State.Word().Revision == 3 && len(env.Gate.Holds()) == 0 })
+	_, err = env.book(k)
+	mustBeClosed(t, err)
+	must.Eq(t, forwarder.FateNotRun, env.lookup(k))
+	must.Eq(t, 0, env.upstreamCount("runs"))
 }
 
-// A caller asks what became of a booking that is still on its way, hears "not
-// run" and books anew. When the first arrives after all it must not run.
+// Guards against a double booking: a caller looks up a booking in flight, receives
+// "not run" and books again, and the first request arrives after that.
 func TestLookupClosesUnseenKey(t *testing.T) {
-	w := startService(t, &imitator.Service{})
-	k := key("late")
-	must.Eq(t, forwarder.FateNotRun, w.fate(k))
-	_, err := w.book(k)
-	closedKey(t, err)
-	must.Eq(t, 0, w.counts("runs"))
+	env := startService(t, &imitator.Service{})
+	k := newKey("late")
+	must.Eq(t, forwarder.FateNotRun, env.lookup(k))
+	_, err := env.book(k)
+	mustBeClosed(t, err)
+	must.Eq(t, 0, env.upstreamCount("runs"))
 }
 
-// An entry may send a key for another workspace, none at all, or one of an agent
+// An entry may send a key of another workspace, none at all, or one of an agent
 // that was replaced. None of them may run.
 func TestForeignKeysDoNotRun(t *testing.T) {
-	w := startService(t, &imitator.Service{})
+	env := startService(t, &imitator.Service{})
 	foreign := deduplicator.Key{
 		Workspace: "ramps", Service: "bookings", Owner: "vm-1", Incarnation: "i-1", Issued: time.Now(), Nonce: "n",
 	}
 	replaced := foreign
 	replaced.Workspace, replaced.Incarnation = "farm", "i-0"
 	for _, k := range []string{"", "v1.garbage", foreign.String()} {
-		_, err := w.book(k)
+		_, err := env.book(k)
 		var n *forwarder.NotRunError
 		must.True(t, errors.As(err, &n), must.Sprint(k, err))
 	}
-	_, err := w.book(replaced.String())
+	_, err := env.book(replaced.String())
 	var u *forwarder.UnknownError
 	must.True(t, errors.As(err, &u), must.Sprint(err))
-	must.Eq(t, 0, w.counts("runs"))
+	must.Eq(t, 0, env.upstreamCount("runs"))
 }
--- a/internal/agent/calls.go
+++ b/internal/agent/calls.go
@@ -29,24 +29,24 @@
 	return r.callOnce(ctx, k, o, body)
 }
 
-// callOnce runs the call of a key unless it has run or may have.
+// callOnce runs the call of a key unless it has run or may have run.
 func (r *runner) callOnce(ctx context.Context, k deduplicator.Key, o forwarder.CallOrder, body []byte) (*forwarder.Reply, error) {
 	switch v := r.agent.Ledger.Begin(k).(type) {
 	case deduplicator.Run:
 		return r.runOnce(ctx, k, o, body)
 	case deduplicator.Running:
-		ended, err := r.agent.Ledger.Wait(ctx, k)
+		decision, err := r.agent.Ledger.Wait(ctx, k)
 		if err != nil {
 			return nil, &forwarder.UnknownError{Reason: "still running: " + err.Error()}
 		}
-		return settled(ended)
+		return replyFromDecision(decision)
 	default:
-		return settled(v)
+		return replyFromDecision(v)
 	}
 }
 
-// settled is the answer for a key that is not to be run now.
-func settled(v deduplicator.Verdict) (*forwarder.Reply, error) {
+// replyFromDecision returns the answer for a key whose call must not run.
+func replyFromDecision(v deduplicator.Verdict) (*forwarder.Reply, error) {
 	switch v := v.(type) {
 	case deduplicator.Replay:
 		return &forwarder.Reply{Status: v.Reply.Status, Header: v.Reply.Header, Body: v.Reply.Body, Replayed: true}, nil
@@ -59,10 +59,10 @@
 	}
 }
 
-// runOnce passes the call on and keeps what came of it. Whatever is not proof
-// that the service never had the call leaves the key in doubt for good.
+// runOnce forwards the call and records its result. Unless the service provably
+// never received the call, the key stays in doubt for good.
 func (r *runner) runOnce(ctx context.Context, k deduplicator.Key, o forwarder.CallOrder, body []byte) (*forwarder.Reply, error) {
-	reply, err := r.pass(ctx, o, body)
+	reply, err := r.forward(ctx, o, body)
 	var n *forwarder.NotRunError
 	switch {
 	case errors.As(err, &n):
@@ -86,13 +86,13 @@
 	if s, ok := b.Service(o.Service); !ok || !s.Idempotent {
 		return nil, &forwarder.NotRunError{Reason: "the service may not be called without a key"}
 	}
-	return r.pass(ctx, o, body)
+	return r.forward(ctx, o, body)
 }
 
-// pass lets the call through the gate and reads the whole reply. The entry's
-// connection may break meanwhile: the call goes on, since its answer is what the
-// caller's next attempt will be given.
-func (r *runner) pass(ctx context.Context, o forwarder.CallOrder, body []byte) (*forwarder.Reply, error) {
+// forward admits the call through the gate and reads the whole reply. The call goes
+// on if the entry's connection breaks, since its answer is returned to the caller's
+// next attempt.
+func (r *runner) forward(ctx context.Context, o forwarder.CallOrder, body []byte) (*forwarder.Reply, error) {
 	s, ok := r.agent.Upstream.(*driver.Service)
 	if !ok || o.Service != r.agent.Service {
 		return nil, &forwarder.NotRunError{Reason: "no service " + o.Service + " here"}
@@ -105,16 +105,16 @@
 	if err != nil {
 		return nil, err
 	}
-	began := r.agent.Clock.Now()
-	detached, cancel := context.WithDeadline(context.WithoutCancel(ctx), began.Add(time.Duration(o.DeadlineMS)*time.Millisecond))
+	startedAt := r.agent.Clock.Now()
+	detached, cancel := context.WithDeadline(context.WithoutCancel(ctx), startedAt.Add(time.Duration(o.DeadlineMS)*time.Millisecond))
 	defer cancel()
-	h, _ := r.agent.proof.get()
-	reply, outcome, err := call(driver.OnConnect(detached, t.Connected), s, h.StartID, o, body)
-	t.Done(admitter.Result{Outcome: outcome, Latency: r.agent.Clock.Since(began)})
+	h, _ := r.agent.health.get()
+	reply, outcome, err := callService(driver.OnConnect(detached, t.Connected), s, h.StartID, o, body)
+	t.Done(admitter.Result{Outcome: outcome, Latency: r.agent.Clock.Since(startedAt)})
 	return reply, err
 }
 
-func call(ctx context.Context, s *driver.Service, startID string, o forwarder.CallOrder, body []byte) (*forwarder.Reply, admitter.Outcome, error) {
+func callService(ctx context.Context, s *driver.Service, startID string, o forwarder.CallOrder, body []byte) (*forwarder.Reply, admitter.Outcome, error) {
 	h := http.Header{}
 	for name, value := range o.Header {
 		h.Set(name, value)
@@ -137,9 +137,8 @@
 	return &forwarder.Reply{Status: res.StatusCode, Header: res.Header, Body: data}, admitter.Served, nil
 }
 
-// Lookup tells what became of a key. A key that has not been seen is closed by
-// the question: the caller will take "not run" as leave to book anew, so a late
-// duplicate must not run afterwards.
+// Lookup returns the fate of a key. It closes a key that has not been seen: after
+// "not run" the caller may book again, so a late duplicate must not run.
 func (r *runner) Lookup(key string) forwarder.Fate {
 	k, err := deduplicator.ParseKey(key)
 	if err != nil {
--- a/internal/agent/dead_service_test.go
+++ b/internal/agent/dead_service_test.go
@@ -16,12 +16,12 @@
 	"github.com/oriolecroft/oriolecroft/standins/imitator"
 )
 
-// Guards against a part of a reply without a length that is kept, and handed on, as the whole though the service
-// died as it sent it.
+// Guards against a truncated reply without a length that is kept and returned as whole although the
+// service died while sending it.
 func TestUnframedReplyOfADeadServiceIsNotWhole(t *testing.T) {
 	for name, tt := range map[string]struct {
 		framed bool
-		// after is what the service says of itself from the reply on; nil for what it said before.
+		// after answers other requests once the reply was sent; nil keeps the service's own answers.
 		after http.HandlerFunc
 		whole bool
 	}{
@@ -34,10 +34,10 @@
 			c := clocktesting.NewFakeClock(time.Now())
 			s := (&imitator.Service{Clock: c}).Handler()
 			var replied atomic.Bool
-			w := newWorld(t, http.HandlerFunc(func(rw http.ResponseWriter, r *http.Request) {
+			env := newTestEnv(t, http.HandlerFunc(func(rw http.ResponseWriter, r *http.Request) {
 				switch {
 				case r.URL.Path == "/book":
-					// A connection that is closed with something unread is reset.
+					// Closing a connection with unread data resets it.
 					_, _ = io.Copy(io.Discard, r.Body)
 					replied.Store(true)
 					text := "HTTP/1.1 200 OK\r\n"
@@ -51,21 +51,21 @@
 					s.ServeHTTP(rw, r)
 				}
 			}), c)
-			w.Upstream = &driver.Service{Address: w.address()}
-			w.roll("v1")
-			w.run()
-			w.until(func() bool { return len(w.Gate.Holds()) == 0 })
-			k := key("dead")
-			reply, err := w.book(k)
+			env.Upstream = &driver.Service{Address: env.address()}
+			env.rollOut("v1")
+			env.start()
+			env.waitUntil(func() bool { return len(env.Gate.Holds()) == 0 })
+			k := newKey("dead")
+			reply, err := env.book(k)
 			if tt.whole {
 				must.NoError(t, err)
 				must.Eq(t, "a part", string(reply.Body))
-				must.Eq(t, forwarder.FateRan, w.fate(k))
+				must.Eq(t, forwarder.FateRan, env.lookup(k))
 				return
 			}
 			var u *forwarder.UnknownError
 			must.True(t, errors.As(err, &u), must.Sprint(err))
-			must.Eq(t, forwarder.FateUnknown, w.fate(k))
+			must.Eq(t, forwarder.FateUnknown, env.lookup(k))
 		})
 	}
 }
--- a/internal/agent/digests.go
+++ b/internal/agent/digests.go
@@ -13,12 +13,12 @@
 	"github.com/oriolecroft/oriolecroft/internal/loader"
 )
 
-// maxDigests bounds the digests kept. Versions come and go for as long as an
-// agent runs; a digest that is needed again is worked out again.
+// maxDigests bounds the digests kept, since versions come and go for as long as an
+// agent runs. A discarded digest is computed again when it is needed.
 const maxDigests = 64
 
-// digests are those that an engine's events must name: a manifest pins each
-// chunk, but an engine names the SHA-256 of all bytes that it loaded.
+// digests caches the SHA-256 of all bytes of each manifest's weights. An engine states
+// it in its events, while a manifest pins each chunk.
 type digests struct {
 	loader *loader.Loader
 
@@ -26,9 +26,9 @@
 	byManifest map[string]string
 }
 
-// learn works out the digests of those manifests that are whole in memory, each
-// once.
-func (d *digests) learn(manifests []string) {
+// computeMissing computes the digests of those manifests that are whole in memory,
+// each once.
+func (d *digests) computeMissing(manifests []string) {
 	for _, m := range manifests {
 		if d.get(m) != "" {
 			continue
@@ -36,7 +36,7 @@
 		digest, err := d.compute(m)
 		if err != nil {
 			// Not whole yet; a later step tries again.
-			klog.V(2).InfoS("No digest", "manifest", m, "err", err)
+			klog.V(2).InfoS("Digest not available yet", "manifest", m, "err", err)
 			continue
 		}
 		d.put(m, digest)
@@ -55,7 +55,7 @@
 	return "sha256:" + hex.EncodeToString(h.Sum(nil)), nil
 }
 
-// get gives the digest of all bytes of a manifest; empty while it is not known.
+// get returns the digest of all bytes of a manifest, or "" if it is not known.
 func (d *digests) get(manifest string) string {
 	d.mu.Lock()
 	defer d.mu.Unlock()
@@ -72,7 +72,7 @@
 }
 
 // WrongWeightsError reports an engine that made tokens from other bytes than
-// those of the manifest that it says it holds.
+// those of the manifest that it reports.
 type WrongWeightsError struct {
 	Manifest  string
 	Want, Got string
@@ -82,21 +82,21 @@
 	return fmt.Sprintf("engine loaded %s under manifest %s, want %s", e.Got, e.Manifest, e.Want)
 }
 
-// check holds an event against the bytes of what the engine says it holds. Until
-// an agent that was replaced has the weights again it can't tell.
-func (d *digests) check(h driver.Health, adapter string, e driver.Event) error {
-	if err := d.compare(h.Manifest, e.Weights); err != nil {
+// checkEvent compares an event with the bytes of what the engine reports to hold. An
+// agent that was replaced can't check events until it has the weights again.
+func (d *digests) checkEvent(h driver.Health, adapter string, e driver.Event) error {
+	if err := d.compareDigest(h.Manifest, e.Weights); err != nil {
 		return err
 	}
 	for _, a := range h.Adapters {
 		if a.Name == adapter {
-			return d.compare(a.Manifest, e.AdapterWeights)
+			return d.compareDigest(a.Manifest, e.AdapterWeights)
 		}
 	}
 	return nil
 }
 
-func (d *digests) compare(manifest, got string) error {
+func (d *digests) compareDigest(manifest, got string) error {
 	want := d.get(manifest)
 	if want == "" || want == got {
 		return nil
--- a/internal/agent/holds.go
+++ b/internal/agent/holds.go
@@ -10,37 +10,37 @@
 	"github.com/oriolecroft/oriolecroft/pkg/bundler"
 )
 
-// holdEvery is how often the gate's holds are worked out anew. They only shorten
-// what entries learn late: each request is checked against the bundle by itself.
-const holdEvery = 50 * time.Millisecond
+// holdInterval is how often the gate's holds are updated. They only give entries
+// earlier notice: each request is checked against the bundle by itself.
+const holdInterval = 50 * time.Millisecond
 
-// listedFor is how long an entry's word counts that the platform lists this VM as
-// leaving; entries repeat it with each answer.
-const listedFor = 3 * time.Second
+// listedTTL is how long an entry's report stays valid that the platform lists this
+// VM as leaving; entries repeat it with each answer.
+const listedTTL = 3 * time.Second
 
-// stamp is a time that is set and read by different goroutines.
-type stamp struct {
+// atomicTime is a time that several goroutines set and read.
+type atomicTime struct {
 	nanos atomic.Int64
 }
 
-func (s *stamp) set(t time.Time) { s.nanos.Store(t.UnixNano()) }
+func (s *atomicTime) set(t time.Time) { s.nanos.Store(t.UnixNano()) }
 
-func (s *stamp) within(now time.Time, d time.Duration) bool {
-	at := s.nanos.Load()
-	return at != 0 && now.Sub(time.Unix(0, at)) < d
+func (s *atomicTime) within(now time.Time, d time.Duration) bool {
+	nanos := s.nanos.Load()
+	return nanos != 0 && now.Sub(time.Unix(0, nanos)) < d
 }
 
-// hold puts the gate's holds in line with the bundle and its freshness.
-func (a *Agent) hold(context.Context) {
+// updateHolds aligns the gate's holds with the bundle and its freshness.
+func (a *Agent) updateHolds(context.Context) {
 	b, _ := a.State.Current()
-	a.holdIf(admitter.Booting, b == nil)
-	a.holdIf(admitter.Stale, a.State.MayServe() != nil)
-	a.holdIf(admitter.Drained, b != nil && !a.placed(b))
-	a.holdIf(admitter.Listed, a.listed.within(a.Clock.Now(), listedFor))
-	a.holdIf(admitter.Unproven, b == nil || !a.proven(b))
+	a.setHold(admitter.Booting, b == nil)
+	a.setHold(admitter.Stale, a.State.MayServe() != nil)
+	a.setHold(admitter.Drained, b != nil && !a.isPlaced(b))
+	a.setHold(admitter.Listed, a.lastListed.within(a.Clock.Now(), listedTTL))
+	a.setHold(admitter.Unproven, b == nil || !a.isProven(b))
 }
 
-func (a *Agent) holdIf(r admitter.Reason, closed bool) {
+func (a *Agent) setHold(r admitter.Reason, closed bool) {
 	if closed {
 		a.Gate.Close(r)
 		return
@@ -48,13 +48,13 @@
 	a.Gate.Open(r)
 }
 
-// placed tells whether the bundle gives this agent any new work.
-func (a *Agent) placed(b *bundler.Bundle) bool {
+// isPlaced reports whether the bundle gives this agent any new work.
+func (a *Agent) isPlaced(b *bundler.Bundle) bool {
 	if _, ok := a.Upstream.(*driver.Engine); !ok {
 		s, ok := b.Service(a.Service)
 		return ok && b.Serves(s.FailureDomains, a.FailureDomain)
 	}
-	h, ok := a.proof.get()
+	h, ok := a.health.get()
 	if !ok || h.Model == "" {
 		return b.Serves(nil, a.FailureDomain)
 	}
@@ -62,11 +62,11 @@
 	return ok && b.Serves(m.FailureDomains, a.FailureDomain)
 }
 
-// proven tells whether the upstream holds what it may serve: for an engine the
-// weights of the bundle in force or, while a bundle rolls, those that this very
-// agent served under the one before.
-func (a *Agent) proven(b *bundler.Bundle) bool {
-	h, ok := a.proof.get()
+// isProven reports whether the upstream holds what it may serve: for an engine the
+// weights of the bundle in force or, during a rollout, those that this very agent
+// served under the previous bundle.
+func (a *Agent) isProven(b *bundler.Bundle) bool {
+	h, ok := a.health.get()
 	if !ok {
 		return false
 	}
--- a/internal/agent/link.go
+++ b/internal/agent/link.go
@@ -11,44 +11,44 @@
 	"github.com/oriolecroft/oriolecroft/internal/messenger"
 )
 
-// link is one connection with its loop.
+// link is the connection to one entry with its report loop.
 type link struct {
 	links  *links
 	client *messenger.Client
 	token  suture.ServiceToken
-	// behind is set while the entry holds an older bundle than this agent.
-	behind bool
-	// told is the last whole account that the entry has; nil when it has none.
-	told *messenger.AgentState
+	// entryBehind is set while the entry holds an older bundle than this agent.
+	entryBehind bool
+	// lastReported is the last full state that the entry has; nil when it has none.
+	lastReported *messenger.AgentState
 }
 
 // Serve reports to one entry until the context ends.
 func (k *link) Serve(ctx context.Context) error {
-	k.links.run(ctx, k)
+	k.links.reportLoop(ctx, k)
 	return ctx.Err()
 }
 
 func (k *link) String() string { return "link to " + k.client.Address.String() }
 
-// run reports at each heartbeat and, sooner, at each change that matters.
-func (l *links) run(ctx context.Context, k *link) {
+// reportLoop reports at each heartbeat and, sooner, at each change that matters.
+func (l *links) reportLoop(ctx context.Context, k *link) {
 	defer k.client.Close()
 	for ctx.Err() == nil {
-		changed := l.due.Wait()
-		told := l.summary()
+		changed := l.reportDue.Wait()
+		reported := l.gateSummary()
 		l.report(ctx, k)
-		l.rest(ctx)
-		l.await(ctx, l.pace(k), changed, told)
+		l.waitMinGap(ctx)
+		l.waitUntilDue(ctx, l.reportInterval(k), changed, reported)
 	}
 }
 
-// await returns when the next report is due.
-func (l *links) await(ctx context.Context, pace time.Duration, changed <-chan struct{}, told summary) {
-	t := l.agent.Clock.NewTimer(pace)
+// waitUntilDue returns when the next report is due.
+func (l *links) waitUntilDue(ctx context.Context, interval time.Duration, changed <-chan struct{}, reported gateSummary) {
+	t := l.agent.Clock.NewTimer(interval)
 	defer t.Stop()
 	for {
 		gate := l.agent.Gate.Changed()
-		if l.summary() != told {
+		if l.gateSummary() != reported {
 			return
 		}
 		select {
@@ -63,31 +63,31 @@
 	}
 }
 
-// pace is how long an entry hears nothing while nothing changes: a heartbeat for the
-// one from which this agent has its word on the bundle, two for the others.
-func (l *links) pace(k *link) time.Duration {
-	if l.home(l.agent.ID) == k.client.Address {
+// reportInterval is the time between reports without changes: one heartbeat for the
+// entry that confirms the bundle to this agent, two for the others.
+func (l *links) reportInterval(k *link) time.Duration {
+	if l.homeEntry(l.agent.ID) == k.client.Address {
 		return l.agent.Heartbeat
 	}
 	return 2 * l.agent.Heartbeat
 }
 
-// summary is what of a gate's change can't wait for the heartbeat. The number of
-// running requests alone can: it changes with each of them, and a report for each
-// would cost more than the requests.
-type summary struct {
+// gateSummary is the part of the gate's state whose changes are reported at once. The
+// number of running requests waits for the heartbeat: it changes with each of them,
+// and a report for each would cost more than the requests.
+type gateSummary struct {
 	state messenger.GateState
 	limit int
 	full  bool
 }
 
-func (l *links) summary() summary {
+func (l *links) gateSummary() gateSummary {
 	state, limit, running := l.agent.Gate.State()
-	return summary{state: state, limit: limit, full: running >= limit}
+	return gateSummary{state: state, limit: limit, full: running >= limit}
 }
 
-func (l *links) rest(ctx context.Context) {
-	t := l.agent.Clock.NewTimer(reportGap)
+func (l *links) waitMinGap(ctx context.Context) {
+	t := l.agent.Clock.NewTimer(minReportGap)
 	defer t.Stop()
 	select {
 	case <-ctx.Done():
@@ -95,49 +95,49 @@
 	}
 }
 
-// compose makes the next report for one entry: a beat when that entry was already
-// told all that matters.
-func (l *links) compose(k *link) messenger.Report {
+// composeReport builds the next report for one entry: a beat when that entry already
+// has the rest of the state.
+func (l *links) composeReport(k *link) messenger.Report {
 	s := l.agent.state()
-	s.Sequence = l.next()
+	s.Sequence = l.nextSequence()
 	var r messenger.Report
-	if k.behind {
-		// Entries that were all replaced while the store is out know no bundle, and
-		// would refuse every request until it is back.
+	if k.entryBehind {
+		// Entries that were all replaced during an outage of the store have no bundle,
+		// and would refuse every request until it is back.
 		_, r.Record = l.agent.State.Current()
 	}
-	if k.told != nil && sameBut(*k.told, s) {
+	if k.lastReported != nil && equalExceptBeat(*k.lastReported, s) {
 		r.Beat = &messenger.Beat{ID: s.ID, Incarnation: s.Incarnation, Sequence: s.Sequence, Running: s.Running}
 		return r
 	}
-	k.told = &s
+	k.lastReported = &s
 	r.State = &s
 	return r
 }
 
-// sameBut tells whether two accounts differ only in what a beat says.
-func sameBut(a, b messenger.AgentState) bool {
+// equalExceptBeat reports whether two states differ only in the fields of a beat.
+func equalExceptBeat(a, b messenger.AgentState) bool {
 	a.Sequence, a.Running = b.Sequence, b.Running
 	return reflect.DeepEqual(a, b)
 }
 
 func (l *links) report(ctx context.Context, k *link) {
-	r := l.compose(k)
-	asked := l.agent.Clock.Now()
+	r := l.composeReport(k)
+	sentAt := l.agent.Clock.Now()
 	n, err := k.client.Report(ctx, r)
 	if err != nil {
 		klog.V(2).InfoS("Report failed", "agent", l.agent.ID, "entry", k.client.Address, "err", err)
-		k.told = nil
+		k.lastReported = nil
 		return
 	}
 	if n.Resend {
-		k.told = nil
+		k.lastReported = nil
 	}
 	w := l.agent.State.Word()
-	k.behind = n.Word.Revision < w.Revision
-	l.take(n)
-	l.place(n, k.client.Address)
-	// The answer is as fresh as the question: while it was under way, or this
-	// process frozen, a newer bundle may have come into force.
-	l.agent.State.HearWord(n.Word, asked)
+	k.entryBehind = n.Word.Revision < w.Revision
+	l.applyNews(n)
+	l.applyAssignment(n, k.client.Address)
+	// The answer is as fresh as the request: while it was in flight, or this process
+	// suspended, a newer bundle may have come into force.
+	l.agent.State.HearWord(n.Word, sentAt)
 }
--- a/internal/agent/links.go
+++ b/internal/agent/links.go
@@ -16,56 +16,56 @@
 )
 
 const (
-	// reportTimeout bounds one report; an entry that takes longer is passed over
-	// until the next heartbeat.
+	// reportTimeout bounds one report; an entry that takes longer is skipped until
+	// the next heartbeat.
 	reportTimeout = time.Second
-	// reportGap is the shortest time between two reports to one entry, however
+	// minReportGap is the shortest time between two reports to one entry, however
 	// often the state changes.
-	reportGap = 30 * time.Millisecond
-	// forgetAfter is how long an entry that nobody mentions stays known.
-	forgetAfter = 10 * time.Second
+	minReportGap = 30 * time.Millisecond
+	// entryTTL is how long an entry that is not mentioned stays known.
+	entryTTL = 10 * time.Second
 )
 
-// links are the agent's connections to the entries that it reports to.
+// links holds the agent's connections to the entries that it reports to.
 type links struct {
 	agent *Agent
-	// each supervises the links themselves.
-	each *suture.Supervisor
-	// due wakes the links when a report can't wait for the heartbeat.
-	due notifier.Broadcast
+	// supervisor runs the links.
+	supervisor *suture.Supervisor
+	// reportDue makes the links report before the next heartbeat.
+	reportDue notifier.Broadcast
 
 	mu       sync.Mutex
 	sequence uint64
-	known    map[string]heardEntry
+	known    map[string]knownEntry
 	open     map[netip.AddrPort]*link
 }
 
-type heardEntry struct {
-	state messenger.EntryState
-	at    time.Time
+type knownEntry struct {
+	state    messenger.EntryState
+	lastSeen time.Time
 }
 
 func newLinks(a *Agent) *links {
 	return &links{
-		agent: a,
-		each:  suture.New("links of the agent", suture.Spec{EventHook: reporter.LogEvents}),
-		known: map[string]heardEntry{},
-		open:  map[netip.AddrPort]*link{},
+		agent:      a,
+		supervisor: suture.New("agent links", suture.Spec{EventHook: reporter.LogEvents}),
+		known:      map[string]knownEntry{},
+		open:       map[netip.AddrPort]*link{},
 	}
 }
 
-// announce makes all links report at once.
-func (l *links) announce() { l.due.Wake() }
+// reportNow makes all links report at once.
+func (l *links) reportNow() { l.reportDue.Wake() }
 
-// adjust opens links to the chosen entries and closes the others. Until an entry
-// has answered, the seeds from the settings are all there is.
-func (l *links) adjust(context.Context) {
+// reconcile opens links to the chosen entries and closes the others. Until an entry
+// has answered, only the seeds from the settings are known.
+func (l *links) reconcile(context.Context) {
 	l.mu.Lock()
 	defer l.mu.Unlock()
-	wanted := l.wanted()
+	wanted := l.wantedEntries()
 	for a, k := range l.open {
 		if !wanted[a] {
-			l.drop(a, k)
+			l.disconnect(a, k)
 		}
 	}
 	for a := range wanted {
@@ -75,8 +75,8 @@
 	}
 }
 
-func (l *links) wanted() map[netip.AddrPort]bool {
-	entries := l.entries()
+func (l *links) wantedEntries() map[netip.AddrPort]bool {
+	entries := l.knownEntries()
 	wanted := map[netip.AddrPort]bool{}
 	for _, e := range router.ReportTo(l.agent.ID, l.agent.Region, entries, l.agent.ReportTo) {
 		wanted[e.Peers] = true
@@ -87,19 +87,19 @@
 		}
 		return wanted
 	}
-	wanted[homeAmong(domainHome(l.agent.FailureDomain), entries)] = true
-	if m := l.agent.switcher.model(); m != "" {
-		wanted[homeAmong(modelHome(m), entries)] = true
+	wanted[highestRanked(domainKey(l.agent.FailureDomain), entries)] = true
+	if m := l.agent.switcher.assignedModel(); m != "" {
+		wanted[highestRanked(modelKey(m), entries)] = true
 	}
 	return wanted
 }
 
-// entries lists those mentioned lately.
-func (l *links) entries() []messenger.EntryState {
+// knownEntries lists the entries mentioned lately.
+func (l *links) knownEntries() []messenger.EntryState {
 	var entries []messenger.EntryState
 	now := l.agent.Clock.Now()
 	for id, e := range l.known {
-		if now.Sub(e.at) > forgetAfter {
+		if now.Sub(e.lastSeen) > entryTTL {
 			delete(l.known, id)
 			continue
 		}
@@ -110,36 +110,36 @@
 
 func (l *links) connect(to netip.AddrPort) *link {
 	k := &link{links: l}
-	k.client = &messenger.Client{Address: to, Timeout: reportTimeout, Dial: l.agent.Certifier.Dial, OnNews: l.pushed}
-	k.token = l.each.Add(k)
+	k.client = &messenger.Client{Address: to, Timeout: reportTimeout, Dial: l.agent.Certifier.Dial, OnNews: l.handlePush}
+	k.token = l.supervisor.Add(k)
 	return k
 }
 
-// drop ends a link; that its supervisor has stopped already is no fault.
-func (l *links) drop(a netip.AddrPort, k *link) {
-	if err := l.each.Remove(k.token); err != nil {
+// disconnect ends a link, which its supervisor may have stopped already.
+func (l *links) disconnect(a netip.AddrPort, k *link) {
+	if err := l.supervisor.Remove(k.token); err != nil {
 		klog.V(1).InfoS("Link not removed", "entry", a, "err", err)
 	}
 	delete(l.open, a)
 }
 
-// next numbers the agent's accounts of itself, by whichever way they go.
-func (l *links) next() uint64 {
+// nextSequence numbers the agent's states, whichever way they are sent.
+func (l *links) nextSequence() uint64 {
 	l.mu.Lock()
 	defer l.mu.Unlock()
 	l.sequence++
 	return l.sequence
 }
 
-// pushed takes what an entry sent unasked. It can bring a higher bundle but no
-// freshness: how long it lay in a socket is unknown.
-func (l *links) pushed(n messenger.News) {
-	l.take(n)
-	l.agent.hold(context.Background())
-	l.announce()
+// handlePush applies news that an entry sent unasked. It can carry a higher bundle but
+// confirms no freshness: how long it lay in a socket is unknown.
+func (l *links) handlePush(n messenger.News) {
+	l.applyNews(n)
+	l.agent.updateHolds(context.Background())
+	l.reportNow()
 }
 
-func (l *links) take(n messenger.News) {
+func (l *links) applyNews(n messenger.News) {
 	a := l.agent
 	if n.Record != nil {
 		if _, err := a.State.Offer(n.Record); err != nil {
@@ -147,44 +147,44 @@
 		}
 	}
 	if n.Leaving {
-		a.listed.set(a.Clock.Now())
+		a.lastListed.set(a.Clock.Now())
 	}
-	l.remember(n.Entries)
+	l.recordEntries(n.Entries)
 	if a.Loader != nil && n.Holders != nil {
 		a.Loader.SetHolders(n.Holders)
 	}
 }
 
-// place takes over the model and the permit that an entry gave. Of all entries
-// only one counts for each: if every entry handed out its own permits, a quarter
-// of the replicas for each of nine entries would switch at the same time.
-func (l *links) place(n messenger.News, from netip.AddrPort) {
+// applyAssignment applies the model and the permit that an entry gave. Only one entry
+// counts for each: if every entry handed out its own permits, a quarter of the
+// replicas for each of nine entries would switch at the same time.
+func (l *links) applyAssignment(n messenger.News, from netip.AddrPort) {
 	a := l.agent
 	if n.Assignment == "" {
 		return
 	}
-	if l.home(domainHome(a.FailureDomain)) == from {
+	if l.homeEntry(domainKey(a.FailureDomain)) == from {
 		a.switcher.assign(n.Assignment)
 	}
-	if l.home(modelHome(n.Assignment)) == from {
+	if l.homeEntry(modelKey(n.Assignment)) == from {
 		a.switcher.permit(n.Assignment, n.Word.Revision, n.Switch)
 	}
 }
 
-func domainHome(domain string) string { return "failureDomain " + domain }
+func domainKey(domain string) string { return "failureDomain " + domain }
 
-func modelHome(model string) string { return "model " + model }
+func modelKey(model string) string { return "model " + model }
 
-// home is the entry that decides a matter for all agents: the one that ranks
-// highest for its name. While two agents see different entries two may decide,
-// which costs capacity at most.
-func (l *links) home(name string) netip.AddrPort {
+// homeEntry is the entry that decides a matter for all agents: the highest ranked for
+// its name. While two agents have different lists of entries two may decide, which
+// costs capacity at most.
+func (l *links) homeEntry(name string) netip.AddrPort {
 	l.mu.Lock()
 	defer l.mu.Unlock()
-	return homeAmong(name, l.entries())
+	return highestRanked(name, l.knownEntries())
 }
 
-func homeAmong(name string, entries []messenger.EntryState) netip.AddrPort {
+func highestRanked(name string, entries []messenger.EntryState) netip.AddrPort {
 	first := router.ReportTo(name, "", entries, 1)
 	if len(first) == 0 {
 		return netip.AddrPort{}
@@ -192,12 +192,12 @@
 	return first[0].Peers
 }
 
-func (l *links) remember(entries []messenger.EntryRef) {
+func (l *links) recordEntries(entries []messenger.EntryRef) {
 	l.mu.Lock()
 	defer l.mu.Unlock()
 	now := l.agent.Clock.Now()
 	for _, e := range entries {
 		s := messenger.EntryState{ID: e.ID, FailureDomain: e.FailureDomain, Region: e.Region, Peers: e.Peers}
-		l.known[e.ID] = heardEntry{state: s, at: now}
+		l.known[e.ID] = knownEntry{state: s, lastSeen: now}
 	}
 }
--- a/internal/agent/prober.go
+++ b/internal/agent/prober.go
@@ -4,17 +4,17 @@
 	"context"
 )
 
-// prober asks the upstream for its state regularly, and at once when the gate
-// waits for that. An upstream that was restarted while nothing ran there has no
-// connection to break: without the question asked in between, a rush right after
-// would meet a cold upstream with the gate still wide, and it would fall over.
+// prober probes the upstream's state regularly, and at once when the gate waits for
+// it. An upstream that restarts while nothing runs there breaks no connection:
+// without the probes in between, a burst right after would reach a cold upstream
+// through a wide open gate and overload it.
 type prober struct {
 	agent *Agent
 }
 
 // Serve runs until the context ends.
 func (p *prober) Serve(ctx context.Context) error {
-	t := p.agent.Clock.NewTicker(probeEvery)
+	t := p.agent.Clock.NewTicker(probeInterval)
 	defer t.Stop()
 	for {
 		p.agent.probe(ctx)
--- a/internal/agent/relay.go
+++ b/internal/agent/relay.go
@@ -8,7 +8,7 @@
 	"github.com/oriolecroft/oriolecroft/internal/forwarder"
 )
 
-// relay passes one engine's stream on.
+// relay forwards one engine's stream.
 type relay struct {
 	runner *runner
 	engine *driver.Engine
@@ -18,10 +18,10 @@
 	emit   func(forwarder.Event) error
 }
 
-// run gives the gate's word on how it ended and the entry's.
-func (s *relay) run(ctx context.Context) (admitter.Outcome, error) {
-	h, _ := s.runner.agent.proof.get()
-	stream, err := s.open(ctx)
+// forward returns the outcome for the gate and the error for the entry.
+func (s *relay) forward(ctx context.Context) (admitter.Outcome, error) {
+	h, _ := s.runner.agent.health.get()
+	stream, err := s.openStream(ctx)
 	if err != nil {
 		if ctx.Err() != nil {
 			return admitter.Cancelled, &forwarder.UnknownError{Reason: err.Error()}
@@ -33,10 +33,10 @@
 	}
 	defer stream.Close()
 	s.start(h.StartID)
-	return s.pump(ctx, stream, h)
+	return s.forwardEvents(ctx, stream, h)
 }
 
-func (s *relay) open(ctx context.Context) (*driver.Stream, error) {
+func (s *relay) openStream(ctx context.Context) (*driver.Stream, error) {
 	if s.order.From > 0 {
 		return s.engine.Resume(ctx, s.order.Stream, s.order.From)
 	}
@@ -49,7 +49,7 @@
 	})
 }
 
-func (s *relay) pump(ctx context.Context, stream *driver.Stream, h driver.Health) (admitter.Outcome, error) {
+func (s *relay) forwardEvents(ctx context.Context, stream *driver.Stream, h driver.Health) (admitter.Outcome, error) {
 	for {
 		e, err := stream.Next()
 		if err != nil {
@@ -61,11 +61,11 @@
 		if s.order.Version != "" && e.Version != s.order.Version {
 			return admitter.Cut, &driver.MixedError{Want: s.order.Version, Got: e.Version}
 		}
-		if err := s.runner.agent.digests.check(h, s.order.Adapter, e); err != nil {
-			s.runner.agent.switcher.distrust(err)
+		if err := s.runner.agent.digests.checkEvent(h, s.order.Adapter, e); err != nil {
+			s.runner.agent.switcher.markUntrusted(err)
 			return admitter.Cut, err
 		}
-		err = s.emit(s.event(e))
+		err = s.emit(s.toEntryEvent(e))
 		if err != nil {
 			return admitter.Cancelled, err
 		}
@@ -75,8 +75,8 @@
 	}
 }
 
-// event puts an engine's event into the form for entries.
-func (s *relay) event(e driver.Event) forwarder.Event {
+// toEntryEvent converts an engine's event to the form for entries.
+func (s *relay) toEntryEvent(e driver.Event) forwarder.Event {
 	v := forwarder.Event{
 		Index:          e.Index,
 		Token:          e.Token,
@@ -88,7 +88,7 @@
 		Digest:         e.Digest,
 	}
 	if e.Done {
-		v.Agent = s.runner.stateAtEnd()
+		v.Agent = s.runner.stateAfterStream()
 	}
 	return v
 }
--- a/internal/agent/runner.go
+++ b/internal/agent/runner.go
@@ -12,25 +12,25 @@
 	"github.com/oriolecroft/oriolecroft/pkg/bundler"
 )
 
-// runner does what entries order, through the gate.
+// runner executes the orders of entries, through the gate.
 type runner struct {
 	agent *Agent
 }
 
-// check refuses what the bundle in force does not allow here. Each request is
-// checked by itself: a process that was frozen wakes with its holds as they
-// were, and would let through what arrived meanwhile.
-func (r *runner) check(placed func(*bundler.Bundle) ([]string, bool)) error {
+// checkAllowed refuses what the bundle in force does not allow here. Each request is
+// checked by itself: a process that was suspended resumes with outdated holds, and
+// would admit what arrived meanwhile.
+func (r *runner) checkAllowed(lookupDomains func(*bundler.Bundle) ([]string, bool)) error {
 	a := r.agent
 	if err := a.State.MayServe(); err != nil {
 		return &forwarder.NotRunError{Reason: err.Error()}
 	}
 	b, _ := a.State.Current()
-	domains, ok := placed(b)
+	domains, ok := lookupDomains(b)
 	if !ok || !b.Serves(domains, a.FailureDomain) {
 		return &forwarder.NotRunError{Reason: "not placed in " + a.FailureDomain}
 	}
-	if !a.proven(b) {
+	if !a.isProven(b) {
 		return &forwarder.NotRunError{Reason: "the upstream is not proved to hold what the bundle names"}
 	}
 	return nil
@@ -44,26 +44,26 @@
 	}
 	ctx, stop := context.WithCancel(ctx)
 	defer stop()
-	g, err := r.enter(ctx, o, stop)
+	g, err := r.admitOrResume(ctx, o, stop)
 	if err != nil {
 		return err
 	}
 	s := &relay{runner: r, engine: e, order: o, ticket: g.ticket, start: start, emit: emit}
-	outcome, err := s.run(ctx)
+	outcome, err := s.forward(ctx)
 	if outcome == admitter.Cancelled {
 		r.agent.streams.abandon(g)
 		return err
 	}
-	r.agent.streams.end(g, outcome)
+	r.agent.streams.finish(g, outcome)
 	return err
 }
 
-// enter takes over a stream that is resumed, or lets a new one through the gate.
-// A stream that runs already is no new work: it is read on in a domain that is
-// drained and through a gate that is closed.
-func (r *runner) enter(ctx context.Context, o forwarder.GenerateOrder, stop context.CancelFunc) (*running, error) {
+// admitOrResume takes over a stream that is resumed, or admits a new one through the
+// gate. A running stream is no new work: it can be resumed in a drained domain and
+// through a closed gate.
+func (r *runner) admitOrResume(ctx context.Context, o forwarder.GenerateOrder, stop context.CancelFunc) (*runningStream, error) {
 	if o.From > 0 {
-		if g, ok := r.agent.streams.take(o.Stream, stop); ok {
+		if g, ok := r.agent.streams.takeOver(o.Stream, stop); ok {
 			return g, nil
 		}
 	}
@@ -84,30 +84,30 @@
 	return r.agent.streams.add(o.Stream, t, stop), nil
 }
 
-// admit lets new work through the gate, which may wait for a probe. What the
-// bundle allows is checked after the wait: it may have changed meanwhile.
-func (r *runner) admit(ctx context.Context, w admitter.Work, placed func(*bundler.Bundle) ([]string, bool)) (*admitter.Ticket, error) {
+// admit admits new work through the gate, which may wait for a probe. The bundle is
+// checked after the wait, since it may have changed meanwhile.
+func (r *runner) admit(ctx context.Context, w admitter.Work, lookupDomains func(*bundler.Bundle) ([]string, bool)) (*admitter.Ticket, error) {
 	t, err := r.agent.Gate.Enter(ctx, w)
 	if err != nil {
-		return nil, refused(err)
+		return nil, notRunError(err)
 	}
-	if err := r.check(placed); err != nil {
+	if err := r.checkAllowed(lookupDomains); err != nil {
 		t.Done(admitter.Result{Outcome: admitter.Cancelled})
 		return nil, err
 	}
 	return t, nil
 }
 
-// State is the agent's account of itself without what it holds of weights.
+// State returns the agent's state without the weights that it holds.
 func (r *runner) State() messenger.AgentState {
-	s := r.agent.brief()
-	s.Sequence = r.agent.links.next()
+	s := r.agent.stateWithoutHoldings()
+	s.Sequence = r.agent.links.nextSequence()
 	return s
 }
 
-// stateAtEnd is State for the last event of a stream, whose request still counts
-// as running.
-func (r *runner) stateAtEnd() *messenger.AgentState {
+// stateAfterStream is State for the last event of a stream, whose request still
+// counts as running.
+func (r *runner) stateAfterStream() *messenger.AgentState {
 	s := r.State()
 	s.Running--
 	return &s
@@ -120,8 +120,8 @@
 	return r.agent.Clock.Now().Add(time.Duration(ms) * time.Millisecond)
 }
 
-// refused turns the gate's refusal into the word for the entry.
-func refused(err error) *forwarder.NotRunError {
+// notRunError converts the gate's refusal to the error for the entry.
+func notRunError(err error) *forwarder.NotRunError {
 	n := &forwarder.NotRunError{Reason: err.Error()}
 	var f *admitter.RefusedError
 	if errors.As(err, &f) {
--- a/internal/agent/status.go
+++ b/internal/agent/status.go
@@ -11,7 +11,7 @@
 	"github.com/oriolecroft/oriolecroft/internal/reporter"
 )
 
-// Status is what an agent tells operators.
+// Status is an agent's status for operators.
 type Status struct {
 	State    messenger.AgentState `json:"state"`
 	Holds    []admitter.Reason    `json:"holds,omitempty"`
@@ -30,8 +30,8 @@
 	return s
 }
 
-// ready is why the agent takes no new work; nil when it does.
-func (a *Agent) ready() error {
+// checkReady returns why the agent takes no new work; nil when it does.
+func (a *Agent) checkReady() error {
 	holds := a.Gate.Holds()
 	if len(holds) == 0 {
 		return nil
@@ -39,11 +39,11 @@
 	return &admitter.RefusedError{Reason: holds[0]}
 }
 
-func (a *Agent) operators() http.Handler {
-	return reporter.Handler(func() any { return a.status() }, a.ready, a.metrics())
+func (a *Agent) operatorHandler() http.Handler {
+	return reporter.Handler(func() any { return a.status() }, a.checkReady, a.metrics())
 }
 
-// metrics are the figures that collectors read.
+// metrics returns the metrics that collectors read.
 func (a *Agent) metrics() metrics.Registry {
 	r := metrics.NewRegistry()
 	gauge := func(name string, value func() int64) {
@@ -58,21 +58,21 @@
 	gauge("keys.kept", func() int64 { n, _ := a.Ledger.Stats(); return int64(n) })
 	gauge("keys.bytes", func() int64 { _, n := a.Ledger.Stats(); return int64(n) })
 	if a.Loader != nil {
-		gauge("weights.bytes", a.weights(func(p loader.Progress) int64 { return p.Bytes }))
-		gauge("weights.fromPeers", a.weights(func(p loader.Progress) int64 { return p.FromPeers }))
-		gauge("weights.fromOrigin", a.weights(func(p loader.Progress) int64 { return p.FromOrigin }))
+		gauge("weights.bytes", a.sumWeights(func(p loader.Progress) int64 { return p.Bytes }))
+		gauge("weights.fromPeers", a.sumWeights(func(p loader.Progress) int64 { return p.FromPeers }))
+		gauge("weights.fromOrigin", a.sumWeights(func(p loader.Progress) int64 { return p.FromOrigin }))
 		gauge("weights.wrong", a.wrongWeights.Count)
-		gauge("weights.corrupt", a.weights(func(p loader.Progress) int64 { return int64(p.Corrupt) }))
+		gauge("weights.corrupt", a.sumWeights(func(p loader.Progress) int64 { return int64(p.Corrupt) }))
 	}
 	return r
 }
 
-// weights sums one figure over all weights in memory.
-func (a *Agent) weights(figure func(loader.Progress) int64) func() int64 {
+// sumWeights sums one metric over all weights in memory.
+func (a *Agent) sumWeights(metric func(loader.Progress) int64) func() int64 {
 	return func() int64 {
 		sum := int64(0)
 		for _, p := range a.Loader.Progress() {
-			sum += figure(p)
+			sum += metric(p)
 		}
 		return sum
 	}
--- a/internal/agent/streams.go
+++ b/internal/agent/streams.go
@@ -13,101 +13,101 @@
 )
 
 const (
-	// cancelTimeout bounds the word to an engine that a stream is not wanted.
+	// cancelTimeout bounds the request to an engine to cancel a stream.
 	cancelTimeout = time.Second
-	// holdStream is how long a stream whose entry vanished goes on, so that its
-	// caller can read on through another entry.
-	holdStream = 6 * time.Second
+	// streamHoldTime is how long a stream whose entry vanished goes on, so that its
+	// caller can resume it through another entry.
+	streamHoldTime = 6 * time.Second
 )
 
-// streams are those that the engine runs for this agent. When an entry dies, its
-// caller may still want the rest of a reply; were the engine told to stop at
-// once, that caller would be left with half an answer. So the stream goes on for
-// a while, and keeps its place at the gate since the engine is busy with it.
+// streams holds the streams that the engine runs for this agent. When an entry dies,
+// its caller may still need the rest of a reply, which an engine that stopped at once
+// would not complete. So the stream goes on for a while, and keeps its slot at the
+// gate since the engine is busy with it.
 type streams struct {
 	agent *Agent
 
 	mu   sync.Mutex
-	byID map[string]*running
+	byID map[string]*runningStream
 }
 
-// running is one stream at the engine, read by at most one relay.
-type running struct {
-	id     string
-	ticket *admitter.Ticket
-	began  time.Time
-	// stop ends the relay that reads it; nil while nobody does.
-	stop context.CancelFunc
-	// timer ends the stream when nobody came to read on.
-	timer clock.Timer
-	// unwanted is set once an entry said that the caller left.
-	unwanted bool
+// runningStream is one stream at the engine, read by at most one relay.
+type runningStream struct {
+	id        string
+	ticket    *admitter.Ticket
+	startedAt time.Time
+	// stopRelay ends the relay that reads the stream; nil without one.
+	stopRelay context.CancelFunc
+	// holdTimer ends the stream unless a relay resumes it.
+	holdTimer clock.Timer
+	// callerLeft is set once an entry reported that the caller left.
+	callerLeft bool
 }
 
 func newStreams(a *Agent) *streams {
-	return &streams{agent: a, byID: map[string]*running{}}
+	return &streams{agent: a, byID: map[string]*runningStream{}}
 }
 
-// add notes a stream that has passed the gate.
-func (s *streams) add(id string, t *admitter.Ticket, stop context.CancelFunc) *running {
-	r := &running{id: id, ticket: t, began: s.agent.Clock.Now(), stop: stop}
+// add registers a stream that has passed the gate.
+func (s *streams) add(id string, t *admitter.Ticket, stop context.CancelFunc) *runningStream {
+	r := &runningStream{id: id, ticket: t, startedAt: s.agent.Clock.Now(), stopRelay: stop}
 	s.mu.Lock()
 	defer s.mu.Unlock()
 	s.byID[id] = r
 	return r
 }
 
-// take hands a stream on to a relay that resumes it, with its place at the gate.
-// A relay that still reads it is stopped: its entry is cut off or frozen.
-func (s *streams) take(id string, stop context.CancelFunc) (*running, bool) {
+// takeOver hands a stream, with its slot at the gate, to a relay that resumes it. A
+// relay that still reads it is stopped: its entry is partitioned or suspended.
+func (s *streams) takeOver(id string, stop context.CancelFunc) (*runningStream, bool) {
 	s.mu.Lock()
 	defer s.mu.Unlock()
 	old := s.byID[id]
-	if old == nil || old.unwanted {
+	if old == nil || old.callerLeft {
 		return nil, false
 	}
-	if old.timer != nil {
-		old.timer.Stop()
+	if old.holdTimer != nil {
+		old.holdTimer.Stop()
 	}
-	if old.stop != nil {
-		old.stop()
+	if old.stopRelay != nil {
+		old.stopRelay()
 	}
-	r := &running{id: id, ticket: old.ticket, began: old.began, stop: stop}
+	r := &runningStream{id: id, ticket: old.ticket, startedAt: old.startedAt, stopRelay: stop}
 	s.byID[id] = r
 	return r, true
 }
 
-// end notes that a relay is done with its stream. A relay whose stream was taken
-// over has no say in it any more.
-func (s *streams) end(r *running, o admitter.Outcome) {
+// finish removes a stream that its relay has ended, unless another relay has taken
+// the stream over.
+func (s *streams) finish(r *runningStream, o admitter.Outcome) {
 	s.mu.Lock()
 	defer s.mu.Unlock()
 	if s.byID[r.id] != r {
 		return
 	}
 	delete(s.byID, r.id)
-	r.ticket.Done(admitter.Result{Outcome: o, Latency: s.agent.Clock.Since(r.began)})
+	r.ticket.Done(admitter.Result{Outcome: o, Latency: s.agent.Clock.Since(r.startedAt)})
 }
 
-// abandon notes that the entry is gone: the stream is held for a while, or ended
-// at once when nobody wants it.
-func (s *streams) abandon(r *running) {
+// abandon handles the loss of the entry: the stream is held for a while, or ended
+// at once when its caller left.
+func (s *streams) abandon(r *runningStream) {
 	s.mu.Lock()
 	defer s.mu.Unlock()
 	if s.byID[r.id] != r {
 		return
 	}
-	r.stop = nil
-	wait := holdStream
-	if r.unwanted {
-		wait = 0
+	r.stopRelay = nil
+	holdTime := streamHoldTime
+	if r.callerLeft {
+		holdTime = 0
 	}
-	r.timer = s.agent.Clock.AfterFunc(wait, func() { s.expire(r) })
+	r.holdTimer = s.agent.Clock.AfterFunc(holdTime, func() { s.expire(r) })
 }
 
-// expire tells the engine to stop what nobody reads: it would go on generating,
-// beyond what the gate counts.
-func (s *streams) expire(r *running) {
+// expire cancels an unread stream at the engine, which would go on generating beyond
+// what the gate counts.
+func (s *streams) expire(r *runningStream) {
 	s.mu.Lock()
 	current := s.byID[r.id] == r
 	s.mu.Unlock()
@@ -122,10 +122,10 @@
 			klog.V(1).InfoS("Cancel failed", "stream", r.id, "err", err)
 		}
 	}
-	s.end(r, admitter.Cancelled)
+	s.finish(r, admitter.Cancelled)
 }
 
-// cancel is an entry's word that the caller left.
+// cancel ends a stream whose caller left.
 func (s *streams) cancel(id string) {
 	s.mu.Lock()
 	r := s.byID[id]
@@ -133,13 +133,13 @@
 		s.mu.Unlock()
 		return
 	}
-	r.unwanted = true
-	held := r.timer != nil && r.timer.Stop()
-	if r.stop != nil {
-		r.stop()
+	r.callerLeft = true
+	wasHeld := r.holdTimer != nil && r.holdTimer.Stop()
+	if r.stopRelay != nil {
+		r.stopRelay()
 	}
 	s.mu.Unlock()
-	if held {
+	if wasHeld {
 		s.expire(r)
 	}
 }
--- a/internal/agent/streams_test.go
+++ b/internal/agent/streams_test.go
@@ -12,54 +12,53 @@
 	"github.com/oriolecroft/oriolecroft/standins/imitator"
 )
 
-// An entry dies in the middle of a reply. Its caller comes back through another
-// entry and wants the rest; the engine is busy with the stream all the while, so
-// the place at the gate must not be given to somebody else.
+// Guards against a stream whose slot at the gate is given away when its entry dies:
+// the engine stays busy with it, and the caller resumes it through another entry.
 func TestStreamIsHeldForItsCaller(t *testing.T) {
-	w := startEngine(t, &imitator.Engine{})
-	o := ask("one")
+	env := startEngine(t, &imitator.Engine{})
+	o := newOrder("one")
 	o.MaxTokens = 3
-	s, vanish := w.mustOpen(o)
-	first := w.event(s)
+	s, vanish := env.mustOpenStream(o)
+	first := env.nextEvent(s)
 	vanish()
 	o.Attempt.Number, o.From = 2, 1
-	s, _ = w.mustOpen(o)
-	must.Eq(t, 1, w.running())
-	second := w.event(s)
+	s, _ = env.mustOpenStream(o)
+	must.Eq(t, 1, env.runningCount())
+	second := env.nextEvent(s)
 	must.Eq(t, 1, second.Index)
 	must.NotEq(t, first.Token, second.Token)
-	must.Eq(t, 2, w.token(s).Index)
-	must.True(t, w.event(s).Done)
-	w.until(func() bool { return w.running() == 0 })
-	must.Eq(t, 0, w.counts("cancelled"))
+	must.Eq(t, 2, env.nextToken(s).Index)
+	must.True(t, env.nextEvent(s).Done)
+	env.waitUntil(func() bool { return env.runningCount() == 0 })
+	must.Eq(t, 0, env.upstreamCount("cancelled"))
 }
 
-// longHold makes a stream that is held for its caller outlast the test.
-type longHold struct{ clock.RealClock }
+// longHoldClock makes a stream that is held for its caller outlast the test.
+type longHoldClock struct{ clock.RealClock }
 
-func (c longHold) AfterFunc(d time.Duration, f func()) clock.Timer {
+func (c longHoldClock) AfterFunc(d time.Duration, f func()) clock.Timer {
 	if d > 0 {
-		d += 2 * patience
+		d += 2 * waitTimeout
 	}
 	return c.RealClock.AfterFunc(d, f)
 }
 
-// An entry says that the caller of a stream left, with its own connection cut or
-// not. Held on, the stream would keep a place from the next caller.
-func TestUnwantedStreamEndsAtOnce(t *testing.T) {
-	w := startEngine(t, &imitator.Engine{}, func(w *world) { w.Clock = longHold{} })
+// Guards against a stream that keeps its slot after its caller left, whether or not
+// the entry's connection is cut as well.
+func TestStreamEndsWhenCallerLeaves(t *testing.T) {
+	env := startEngine(t, &imitator.Engine{}, func(env *testEnv) { env.Clock = longHoldClock{} })
 	for n, vanishes := range []bool{false, true} {
 		id := strconv.Itoa(n)
-		s, vanish := w.mustOpen(ask(id))
-		w.event(s)
+		s, vanish := env.mustOpenStream(newOrder(id))
+		env.nextEvent(s)
 		if vanishes {
 			vanish()
 		}
-		must.Eq(t, 1, w.running())
-		ctx, cancel := context.WithTimeout(t.Context(), patience)
+		must.Eq(t, 1, env.runningCount())
+		ctx, cancel := context.WithTimeout(t.Context(), waitTimeout)
 		defer cancel()
-		must.NoError(t, w.client.Cancel(ctx, addressOf(w.Listener), id))
-		w.until(func() bool { return w.running() == 0 })
-		must.Eq(t, n+1, w.counts("cancelled"))
+		must.NoError(t, env.client.Cancel(ctx, addressOf(env.Listener), id))
+		env.waitUntil(func() bool { return env.runningCount() == 0 })
+		must.Eq(t, n+1, env.upstreamCount("cancelled"))
 	}
 }
--- a/internal/agent/switch_test.go
+++ b/internal/agent/switch_test.go
@@ -19,237 +19,234 @@
 	"github.com/oriolecroft/oriolecroft/standins/imitator"
 )
 
-// An engine loses a part of the weights while it loads them, and says that it
-// holds the whole. Pickers would get roster drafts from a model that nobody
-// published, under the right version.
-func TestWrongBytesAreCutAndLoadedAnew(t *testing.T) {
-	w := startEngine(t, &imitator.Engine{})
-	w.post("/admin/faults", `{"partial":true}`)
-	right := w.roll("v2")
-	w.await("v2")
-	w.post("/admin/faults", `{}`)
-	s, _ := w.mustOpen(ask("one"))
-	e := w.event(s)
+// Guards against replies from a model that nobody published, under the right version:
+// the engine loses a part of the weights while it loads them, and reports the whole.
+func TestReplyFromWrongWeightsIsCutAndWeightsReloaded(t *testing.T) {
+	env := startEngine(t, &imitator.Engine{})
+	env.postUpstream("/admin/faults", `{"partial":true}`)
+	right := env.rollOut("v2")
+	env.waitForVersion("v2")
+	env.postUpstream("/admin/faults", `{}`)
+	s, _ := env.mustOpenStream(newOrder("one"))
+	e := env.nextEvent(s)
 	must.NotNil(t, e.Failure, must.Sprintf("%+v", e))
 	must.StrContains(t, e.Failure.Message, "want "+right)
-	w.until(func() bool { return slices.Equal(w.orders(), []string{"v1", "v2", "v2"}) })
-	w.until(func() bool { return len(w.Gate.Holds()) == 0 })
-	s, _ = w.mustOpen(ask("two"))
-	must.Eq(t, right, w.whole(s))
+	env.waitUntil(func() bool { return slices.Equal(env.loadedVersions(), []string{"v1", "v2", "v2"}) })
+	env.waitUntil(func() bool { return len(env.Gate.Holds()) == 0 })
+	s, _ = env.mustOpenStream(newOrder("two"))
+	must.Eq(t, right, env.readAll(s))
 }
 
-// The same for an adapter alone: the engine mixes it up with another file. Once it
-// was loaded anew, the reply with the right bytes must not be cut.
-func TestWrongAdapterIsCutAndLoadedAnew(t *testing.T) {
-	w := startEngine(t, &imitator.Engine{})
-	mixUp := regexp.MustCompile(`(/weights/[^"]*)(.*)/weights/[^"]*`)
-	w.setAlter(func(o string) string { return mixUp.ReplaceAllString(o, "$1$2$1") })
-	adapter, right := w.origin.publish("adapter")
-	w.next(func(b *bundler.Bundle) {
+// The same for an adapter alone, which the engine confuses with another file. After
+// the reload, a reply with the right bytes must not be cut.
+func TestReplyFromWrongAdapterIsCutAndAdapterReloaded(t *testing.T) {
+	env := startEngine(t, &imitator.Engine{})
+	swapURL := regexp.MustCompile(`(/weights/[^"]*)(.*)/weights/[^"]*`)
+	env.setAlterLoad(func(o string) string { return swapURL.ReplaceAllString(o, "$1$2$1") })
+	adapter, right := env.origin.publish("adapter")
+	env.putBundle(func(b *bundler.Bundle) {
 		b.Models[0].Adapters = []bundler.Adapter{{Name: "tamar", Version: "a1", Manifest: adapter}}
 	})
-	w.until(func() bool { return slices.Equal(w.orders(), []string{"v1", "v1"}) })
-	w.setAlter(nil)
-	w.until(func() bool { return len(w.Gate.Holds()) == 0 })
-	o := ask("one")
+	env.waitUntil(func() bool { return slices.Equal(env.loadedVersions(), []string{"v1", "v1"}) })
+	env.setAlterLoad(nil)
+	env.waitUntil(func() bool { return len(env.Gate.Holds()) == 0 })
+	o := newOrder("one")
 	o.Adapter = "tamar"
-	s, _ := w.mustOpen(o)
-	e := w.event(s)
+	s, _ := env.mustOpenStream(o)
+	e := env.nextEvent(s)
 	must.NotNil(t, e.Failure, must.Sprintf("%+v", e))
 	must.StrContains(t, e.Failure.Message, "want "+right)
-	w.until(func() bool { return len(w.orders()) == 3 && len(w.Gate.Holds()) == 0 })
+	env.waitUntil(func() bool { return len(env.loadedVersions()) == 3 && len(env.Gate.Holds()) == 0 })
 	o.Stream, o.Attempt.RequestID = "two", "two"
-	s, _ = w.mustOpen(o)
-	must.Eq(t, right, w.event(s).AdapterWeights)
-	w.token(s)
-	must.True(t, w.event(s).Done)
+	s, _ = env.mustOpenStream(o)
+	must.Eq(t, right, env.nextEvent(s).AdapterWeights)
+	env.nextToken(s)
+	must.True(t, env.nextEvent(s).Done)
 }
 
-// A newer version is in force while a reply is still under way. A picker whose
-// roster was half written would lose it if the engine were switched at once.
+// Guards against a reply that is cut because the engine switches to a newer version
+// while the reply is in flight.
 func TestStreamEndsBeforeSwitch(t *testing.T) {
-	w := startEngine(t, &imitator.Engine{})
-	s, _ := w.mustOpen(ask("one"))
-	w.event(s)
-	w.roll("v2")
-	w.until(func() bool { return slices.Contains(w.Gate.Holds(), admitter.Switching) })
-	w.probed()
-	must.Eq(t, []string{"v1"}, w.orders())
-	w.token(s)
-	must.True(t, w.event(s).Done)
-	w.await("v2")
-	must.Eq(t, 0, w.counts("cutByLoad"))
+	env := startEngine(t, &imitator.Engine{})
+	s, _ := env.mustOpenStream(newOrder("one"))
+	env.nextEvent(s)
+	env.rollOut("v2")
+	env.waitUntil(func() bool { return slices.Contains(env.Gate.Holds(), admitter.Switching) })
+	env.waitForProbes()
+	must.Eq(t, []string{"v1"}, env.loadedVersions())
+	env.nextToken(s)
+	must.True(t, env.nextEvent(s).Done)
+	env.waitForVersion("v2")
+	must.Eq(t, 0, env.upstreamCount("cutByLoad"))
 }
 
-// An agent has decided on a switch and is held up before the order, by a stream
-// or by its VM being paused. Meanwhile a newer bundle is in force. Carried out
-// late, the old order would put back what operators have just taken out.
-func TestOvertakenOrderIsNotGiven(t *testing.T) {
-	w := startEngine(t, &imitator.Engine{})
-	s, _ := w.mustOpen(ask("one"))
-	w.roll("v2")
-	w.until(func() bool { return slices.Contains(w.Gate.Holds(), admitter.Switching) })
-	w.roll("v3")
-	w.until(func() bool { return w.State.Word().Revision == 3 })
-	w.whole(s)
-	w.await("v3")
-	must.Eq(t, []string{"v1", "v3"}, w.orders())
+// Guards against a late load order: an agent is held up before the order, by a stream
+// or by its VM being paused, while a newer bundle comes into force. The order would
+// restore the version that operators have just replaced.
+func TestSupersededLoadOrderIsNotSent(t *testing.T) {
+	env := startEngine(t, &imitator.Engine{})
+	s, _ := env.mustOpenStream(newOrder("one"))
+	env.rollOut("v2")
+	env.waitUntil(func() bool { return slices.Contains(env.Gate.Holds(), admitter.Switching) })
+	env.rollOut("v3")
+	env.waitUntil(func() bool { return env.State.Word().Revision == 3 })
+	env.readAll(s)
+	env.waitForVersion("v3")
+	must.Eq(t, []string{"v1", "v3"}, env.loadedVersions())
 }
 
-// An order that hung on its way reaches an engine that ignores fences after a
-// newer one. Until the next probe the engine's old word still stands; a reply
-// then would come from the version that was rolled away.
-func TestLateOrderIsNeverServed(t *testing.T) {
-	w := startEngine(t, &imitator.Engine{IgnoreFence: true})
-	old := w.loads[0]
-	right := w.roll("v2")
-	w.await("v2")
-	w.freeze()
-	w.post("/load", old)
-	s, _, err := w.open(ask("one"))
+// Guards against replies from replaced weights: a delayed load order reaches an engine
+// that ignores fences after a newer one, and until the next probe the engine counts
+// as holding the newer version.
+func TestWeightsOfLateLoadOrderAreNeverServed(t *testing.T) {
+	env := startEngine(t, &imitator.Engine{IgnoreFence: true})
+	oldOrder := env.loadBodies[0]
+	right := env.rollOut("v2")
+	env.waitForVersion("v2")
+	env.suspendProbes()
+	env.postUpstream("/load", oldOrder)
+	s, _, err := env.openStream(newOrder("one"))
 	var n *forwarder.NotRunError
 	if !errors.As(err, &n) {
 		must.NoError(t, err)
-		must.NotNil(t, w.event(s).Failure)
+		must.NotNil(t, env.nextEvent(s).Failure)
 	}
-	w.thaw()
-	w.until(func() bool { return slices.Equal(w.orders(), []string{"v1", "v2", "v1", "v2"}) })
-	w.until(func() bool { return len(w.Gate.Holds()) == 0 })
-	s, _ = w.mustOpen(ask("two"))
-	must.Eq(t, right, w.whole(s))
+	env.resumeProbes()
+	env.waitUntil(func() bool { return slices.Equal(env.loadedVersions(), []string{"v1", "v2", "v1", "v2"}) })
+	env.waitUntil(func() bool { return len(env.Gate.Holds()) == 0 })
+	s, _ = env.mustOpenStream(newOrder("two"))
+	must.Eq(t, right, env.readAll(s))
 }
 
-// The same late order while nobody asks for anything and no switch is permitted.
-// The gate must close all the same, and not open before the right weights are
-// loaded again.
+// The same late order while nothing is requested and no switch is permitted. The gate
+// must close all the same, and not open before the right weights are loaded again.
 func TestGateClosesForWrongVersion(t *testing.T) {
-	w := startEngine(t, &imitator.Engine{IgnoreFence: true})
-	old := w.loads[0]
-	w.roll("v2")
-	w.await("v2")
-	w.set(func() { w.deny = true })
-	w.next(func(*bundler.Bundle) {})
-	w.await("v2")
-	w.post("/load", old)
-	right := make(chan struct{})
-	letRight := sync.OnceFunc(func() { close(right) })
-	t.Cleanup(letRight)
-	w.setAlter(func(o string) string {
-		<-right
+	env := startEngine(t, &imitator.Engine{IgnoreFence: true})
+	oldOrder := env.loadBodies[0]
+	env.rollOut("v2")
+	env.waitForVersion("v2")
+	env.withLock(func() { env.denySwitch = true })
+	env.putBundle(func(*bundler.Bundle) {})
+	env.waitForVersion("v2")
+	env.postUpstream("/load", oldOrder)
+	proceed := make(chan struct{})
+	release := sync.OnceFunc(func() { close(proceed) })
+	t.Cleanup(release)
+	env.setAlterLoad(func(o string) string {
+		<-proceed
 		return o
 	})
-	w.until(func() bool { return len(w.Gate.Holds()) > 0 })
-	w.probed()
-	must.SliceNotEmpty(t, w.Gate.Holds())
-	letRight()
-	w.until(func() bool { return slices.Equal(w.orders(), []string{"v1", "v2", "v1", "v2"}) })
-	w.until(func() bool { return len(w.Gate.Holds()) == 0 })
+	env.waitUntil(func() bool { return len(env.Gate.Holds()) > 0 })
+	env.waitForProbes()
+	must.SliceNotEmpty(t, env.Gate.Holds())
+	release()
+	env.waitUntil(func() bool { return slices.Equal(env.loadedVersions(), []string{"v1", "v2", "v1", "v2"}) })
+	env.waitUntil(func() bool { return len(env.Gate.Holds()) == 0 })
 }
 
-// slowClock stops the agent's regular look at its gate and engine, as on a VM that
-// is short of processor time; probes and reports go on.
-type slowClock struct {
+// pausableClock stops the agent's regular checks of its gate and engine, as on a VM
+// that is short of processor time; probes and reports go on.
+type pausableClock struct {
 	clock.RealClock
-	stopped atomic.Bool
+	paused atomic.Bool
 }
 
-func (c *slowClock) NewTicker(d time.Duration) clock.Ticker {
-	return slowTicker{c.RealClock.NewTicker(d), d == 50*time.Millisecond, c}
+func (c *pausableClock) NewTicker(d time.Duration) clock.Ticker {
+	return pausableTicker{c.RealClock.NewTicker(d), d == 50*time.Millisecond, c}
 }
 
-type slowTicker struct {
+type pausableTicker struct {
 	clock.Ticker
-	slow  bool
-	clock *slowClock
+	pausable bool
+	clock    *pausableClock
 }
 
-func (t slowTicker) C() <-chan time.Time {
-	if t.slow && t.clock.stopped.Load() {
+func (t pausableTicker) C() <-chan time.Time {
+	if t.pausable && t.clock.paused.Load() {
 		return nil
 	}
 	return t.Ticker.C()
 }
 
-// The late order once more, on a VM that is short of processor time: the engine was
-// found to hold the old version, and the gate has not been looked at since. What is
-// asked in between must not be answered by the version that was rolled away.
+// The same late order on a VM that is short of processor time: a probe has found the
+// old version, and the gate has not been updated since. Requests in between must not
+// be answered by the old version.
 func TestWrongVersionIsRefusedBeforeGateCloses(t *testing.T) {
-	c := new(slowClock)
-	w := startEngine(t, &imitator.Engine{IgnoreFence: true}, func(w *world) { w.Clock = c })
-	old := w.loads[0]
-	w.roll("v2")
-	w.await("v2")
-	c.stopped.Store(true)
-	w.probed()
-	w.post("/load", old)
-	w.until(func() bool {
-		w.mu.Lock()
-		defer w.mu.Unlock()
-		return w.state.Version == "v1"
+	c := new(pausableClock)
+	env := startEngine(t, &imitator.Engine{IgnoreFence: true}, func(env *testEnv) { env.Clock = c })
+	oldOrder := env.loadBodies[0]
+	env.rollOut("v2")
+	env.waitForVersion("v2")
+	c.paused.Store(true)
+	env.waitForProbes()
+	env.postUpstream("/load", oldOrder)
+	env.waitUntil(func() bool {
+		env.mu.Lock()
+		defer env.mu.Unlock()
+		return env.state.Version == "v1"
 	})
-	_, _, err := w.open(ask("one"))
+	_, _, err := env.openStream(newOrder("one"))
 	var n *forwarder.NotRunError
 	must.True(t, errors.As(err, &n), must.Sprint(err))
-	c.stopped.Store(false)
+	c.paused.Store(false)
 }
 
-// An answer to a question about the engine's state is late, and arrives after one
-// to a newer question. Taken for the newest, it would close the gate and have the
-// engine loaded once more, for minutes of service.
-func TestLateProbeIsNotBelieved(t *testing.T) {
-	w := startEngine(t, &imitator.Engine{})
-	letGo := w.delayProbe()
-	w.roll("v2")
-	w.await("v2")
-	w.freeze()
-	letGo()
-	w.reported()
-	w.thaw()
-	w.probed()
-	must.Eq(t, []string{"v1", "v2"}, w.orders())
+// Guards against a late answer to a probe that counts as newer than the answer to a
+// later probe. It would close the gate and reload the engine, for minutes of service.
+func TestLateProbeCausesNoReload(t *testing.T) {
+	env := startEngine(t, &imitator.Engine{})
+	release := env.delayProbe()
+	env.rollOut("v2")
+	env.waitForVersion("v2")
+	env.suspendProbes()
+	release()
+	env.waitForReports()
+	env.resumeProbes()
+	env.waitForProbes()
+	must.Eq(t, []string{"v1", "v2"}, env.loadedVersions())
 }
 
-// An engine is restarted after it was loaded and before anyone asked it. It
-// holds nothing, and the first picker of the morning must be told so truthfully.
-func TestRestartAfterLoad(t *testing.T) {
-	w := startEngine(t, &imitator.Engine{})
-	w.freeze()
-	w.post("/admin/faults", `{"restart":true}`)
-	_, _, err := w.open(ask("one"))
+// Guards against a false answer when an engine restarts after its load and before the
+// next probe: it holds nothing, so the request must be refused as not run.
+func TestRestartAfterLoadIsDetected(t *testing.T) {
+	env := startEngine(t, &imitator.Engine{})
+	env.suspendProbes()
+	env.postUpstream("/admin/faults", `{"restart":true}`)
+	_, _, err := env.openStream(newOrder("one"))
 	var n *forwarder.NotRunError
 	must.True(t, errors.As(err, &n), must.Sprint(err))
-	w.thaw()
-	w.until(func() bool { return len(w.orders()) == 2 })
-	w.until(func() bool { return len(w.Gate.Holds()) == 0 })
-	s, _ := w.mustOpen(ask("two"))
-	w.whole(s)
+	env.resumeProbes()
+	env.waitUntil(func() bool { return len(env.loadedVersions()) == 2 })
+	env.waitUntil(func() bool { return len(env.Gate.Holds()) == 0 })
+	s, _ := env.mustOpenStream(newOrder("two"))
+	env.readAll(s)
 }
 
-// An engine turns cold without a restart. Under a warm engine's load it would
-// fall over with every stream that it has.
-func TestColdTurnNarrowsGate(t *testing.T) {
-	w := startEngine(t, &imitator.Engine{ColdFor: time.Hour})
-	w.clock.Step(2 * time.Hour)
-	w.until(func() bool { state, limit, _ := w.Gate.State(); return state == messenger.GateOpen && limit > 1 })
-	w.post("/admin/faults", `{"cold":true}`)
-	w.until(func() bool { state, limit, _ := w.Gate.State(); return state == messenger.GateCold && limit == 1 })
-	s, _ := w.mustOpen(ask("one"))
-	_, _, err := w.send(ask("two"))
+// Guards against an engine that turns cold without a restart and falls over, with all
+// its streams, under a warm engine's load.
+func TestGateNarrowsWhenEngineTurnsCold(t *testing.T) {
+	env := startEngine(t, &imitator.Engine{ColdFor: time.Hour})
+	env.clock.Step(2 * time.Hour)
+	env.waitUntil(func() bool { state, limit, _ := env.Gate.State(); return state == messenger.GateOpen && limit > 1 })
+	env.postUpstream("/admin/faults", `{"cold":true}`)
+	env.waitUntil(func() bool { state, limit, _ := env.Gate.State(); return state == messenger.GateCold && limit == 1 })
+	s, _ := env.mustOpenStream(newOrder("one"))
+	_, _, err := env.sendOrder(newOrder("two"))
 	var n *forwarder.NotRunError
 	must.True(t, errors.As(err, &n), must.Sprint(err))
 	must.True(t, n.Busy)
-	w.whole(s)
-	must.Eq(t, 0, w.counts("fellOver"))
+	env.readAll(s)
+	must.Eq(t, 0, env.upstreamCount("fellOver"))
 }
 
-// A new version turns out bad and operators roll back while the Friday rush goes
-// on. Drawn once more from the origin, the old one would take minutes.
+// Guards against a rollback under load that fetches the old version from the origin
+// again, which would take minutes.
 func TestRollbackFetchesNothing(t *testing.T) {
-	w := startEngine(t, &imitator.Engine{})
-	w.roll("v2")
-	w.await("v2")
-	drawn := w.origin.count()
-	w.roll("v1")
-	w.await("v1")
-	must.Eq(t, drawn, w.origin.count())
+	env := startEngine(t, &imitator.Engine{})
+	env.rollOut("v2")
+	env.waitForVersion("v2")
+	fetches := env.origin.fetchCount()
+	env.rollOut("v1")
+	env.waitForVersion("v1")
+	must.Eq(t, fetches, env.origin.fetchCount())
 }
--- a/internal/agent/switcher.go
+++ b/internal/agent/switcher.go
@@ -16,57 +16,57 @@
 )
 
 const (
-	// switchEvery is how often it is looked at what the engine should hold.
-	switchEvery = 50 * time.Millisecond
+	// switchInterval is how often the engine's contents are compared with the bundle.
+	switchInterval = 50 * time.Millisecond
 	// loadTimeout bounds one load order.
 	loadTimeout = 5 * time.Minute
 	// fenceShift leaves room for a million orders within one revision.
 	fenceShift = 20
 )
 
-// switcher puts the engine to the weights that the bundle names: it wants them
-// from the loader, and once they are whole and a switch is permitted it closes
-// the gate, lets the running requests end, gives the load order, and asks the
-// engine what it really holds before the gate opens again.
+// switcher loads the weights that the bundle names into the engine: it requests them
+// from the loader, and once they are whole and a switch is permitted it closes the
+// gate, lets the running requests end, sends the load order, and probes what the
+// engine really holds before the gate opens again.
 type switcher struct {
 	agent *Agent
 
-	// asked is what the loader was last asked for; only step uses it.
-	asked []string
+	// lastWanted is the last request to the loader; only step uses it.
+	lastWanted []string
 
 	mu sync.Mutex
-	// assigned is the model that the entries gave to this engine.
+	// assigned is the model that the entries assigned to this engine.
 	assigned string
-	// permitted is the revision whose version the engine may be put to.
-	permitted uint64
-	// served are the manifests that this engine was proved to hold while they
-	// were the bundle's: they may be served on until the switch.
-	served map[string]bool
-	// distrusted is set once a reply showed that the engine holds other bytes than
-	// it says, until it was loaded anew.
-	distrusted bool
+	// permittedRevision is the revision that the engine may be switched to.
+	permittedRevision uint64
+	// servedManifests are the manifests that this engine was proved to hold while they
+	// were the bundle's: they may be served until the switch.
+	servedManifests map[string]bool
+	// untrusted is set once a reply showed that the engine holds other bytes than it
+	// reports, until it is loaded again.
+	untrusted bool
 }
 
-// distrust closes the gate to an engine that holds other bytes than it says, such
-// as a part of the weights. Its own word would open the gate again at the next
-// probe, and each reply would come from a model that nobody published.
-func (s *switcher) distrust(err error) {
-	klog.ErrorS(err, "Engine is to be loaded anew", "agent", s.agent.ID)
+// markUntrusted closes the gate to an engine that holds other bytes than it reports,
+// such as a part of the weights. Its next probe would otherwise open the gate, and
+// each reply would come from a model that nobody published.
+func (s *switcher) markUntrusted(err error) {
+	klog.ErrorS(err, "Engine holds wrong weights and will be reloaded", "agent", s.agent.ID)
 	s.mu.Lock()
-	s.distrusted = true
+	s.untrusted = true
 	s.mu.Unlock()
 	s.agent.wrongWeights.Inc(1)
 	s.agent.Gate.Close(admitter.Unproven)
-	s.agent.links.announce()
+	s.agent.links.reportNow()
 }
 
 func (s *switcher) trusted() bool {
 	s.mu.Lock()
 	defer s.mu.Unlock()
-	return !s.distrusted
+	return !s.untrusted
 }
 
-// assign takes an entry's word on the model.
+// assign sets the model that an entry assigned.
 func (s *switcher) assign(model string) {
 	s.mu.Lock()
 	defer s.mu.Unlock()
@@ -76,32 +76,32 @@
 	}
 }
 
-// permit takes an entry's word on whether the engine may be switched.
+// permit records an entry's permit to switch the engine.
 func (s *switcher) permit(model string, revision uint64, given bool) {
 	s.mu.Lock()
 	defer s.mu.Unlock()
 	if given && model == s.assigned {
-		s.permitted = revision
+		s.permittedRevision = revision
 	}
 }
 
-func (s *switcher) model() string {
+func (s *switcher) assignedModel() string {
 	s.mu.Lock()
 	defer s.mu.Unlock()
 	return s.assigned
 }
 
-// servable tells whether an engine that holds a manifest may serve the model.
+// servable reports whether an engine that holds a manifest may serve the model.
 func (s *switcher) servable(m bundler.Model, manifest string) bool {
 	s.mu.Lock()
 	defer s.mu.Unlock()
-	if s.distrusted {
+	if s.untrusted {
 		return false
 	}
 	if manifest == m.Manifest {
 		return true
 	}
-	return s.served[m.Name+" "+manifest]
+	return s.servedManifests[m.Name+" "+manifest]
 }
 
 // adapters lists the adapters that the engine holds, for the report.
@@ -113,34 +113,34 @@
 	return names, manifests
 }
 
-// step does what is due now; while it waits for running requests or for the
-// engine, later steps wait with it.
+// step does what is due; while it waits for running requests or for the engine,
+// later steps wait with it.
 func (s *switcher) step(ctx context.Context) {
-	m, revision, ok := s.wanted()
+	m, revision, ok := s.wantedModel()
 	if !ok {
 		return
 	}
-	h, known := s.agent.proof.get()
-	s.want(m, h)
-	s.agent.digests.learn(manifests(m))
+	h, known := s.agent.health.get()
+	s.requestWeights(m, h)
+	s.agent.digests.computeMissing(manifestsOf(m))
 	if !known {
 		return
 	}
-	if holds(h, m) && s.trusted() {
-		s.settle(m)
+	if holdsModel(h, m) && s.trusted() {
+		s.markServed(m)
 		return
 	}
-	if !s.whole(m) || !s.mayDisturb(m, h, revision) {
+	if !s.weightsWhole(m) || !s.maySwitch(m, h, revision) {
 		return
 	}
-	if err := s.load(ctx, m, revision); err != nil {
+	if err := s.switchEngine(ctx, m, revision); err != nil {
 		klog.ErrorS(err, "Load failed", "agent", s.agent.ID, "model", m.Name, "version", m.Version)
 	}
 }
 
-// wanted is the model that this engine should hold by the bundle in force. One
-// that is given no model by the entries takes the only one there is.
-func (s *switcher) wanted() (bundler.Model, uint64, bool) {
+// wantedModel is the model that this engine should hold by the bundle in force. An
+// engine without an assignment takes the only model there is.
+func (s *switcher) wantedModel() (bundler.Model, uint64, bool) {
 	b, _ := s.agent.State.Current()
 	if b == nil {
 		return bundler.Model{}, 0, false
@@ -160,25 +160,25 @@
 	return bundler.Model{}, 0, false
 }
 
-// want tells the loader what to bring and what must stay.
+// requestWeights passes the loader what to fetch and what to keep.
 //
-// New wants are reported at once: who draws what is worked out from who wants it,
-// and a heartbeat's delay here is one for all of the burst.
-func (s *switcher) want(m bundler.Model, h driver.Health) {
-	wanted := manifests(m)
+// New requests are reported at once: the fetches of all agents are planned from them,
+// and a heartbeat's delay here delays the whole burst.
+func (s *switcher) requestWeights(m bundler.Model, h driver.Health) {
+	wanted := manifestsOf(m)
 	s.agent.Loader.Want(wanted)
-	if !slices.Equal(wanted, s.asked) {
-		s.asked = wanted
-		s.agent.links.announce()
+	if !slices.Equal(wanted, s.lastWanted) {
+		s.lastWanted = wanted
+		s.agent.links.reportNow()
 	}
 	if h.Manifest != "" && h.Manifest != m.Manifest {
 		s.agent.Loader.Keep(h.Manifest)
 		return
 	}
-	s.agent.Loader.Keep(manifests(m)...)
+	s.agent.Loader.Keep(manifestsOf(m)...)
 }
 
-func manifests(m bundler.Model) []string {
+func manifestsOf(m bundler.Model) []string {
 	ms := []string{m.Manifest}
 	for _, a := range m.Adapters {
 		ms = append(ms, a.Manifest)
@@ -186,9 +186,9 @@
 	return ms
 }
 
-// holds tells whether the engine says that it holds exactly the model's weights
-// and adapters.
-func holds(h driver.Health, m bundler.Model) bool {
+// holdsModel reports whether the engine states exactly the model's weights and
+// adapters.
+func holdsModel(h driver.Health, m bundler.Model) bool {
 	if h.Model != m.Name || h.Version != m.Version || h.Manifest != m.Manifest {
 		return false
 	}
@@ -203,15 +203,15 @@
 	return true
 }
 
-func (s *switcher) settle(m bundler.Model) {
+func (s *switcher) markServed(m bundler.Model) {
 	s.mu.Lock()
-	s.served = map[string]bool{m.Name + " " + m.Manifest: true}
+	s.servedManifests = map[string]bool{m.Name + " " + m.Manifest: true}
 	s.mu.Unlock()
 	s.agent.Gate.Open(admitter.Switching)
 }
 
-func (s *switcher) whole(m bundler.Model) bool {
-	for _, d := range manifests(m) {
+func (s *switcher) weightsWhole(m bundler.Model) bool {
+	for _, d := range manifestsOf(m) {
 		if _, ok := s.agent.Loader.Whole(d); !ok {
 			return false
 		}
@@ -219,9 +219,9 @@
 	return true
 }
 
-// mayDisturb tells whether the engine may be switched now: at once when it
-// serves nothing anyhow, else only with a permit for this revision.
-func (s *switcher) mayDisturb(m bundler.Model, h driver.Health, revision uint64) bool {
+// maySwitch reports whether the engine may be switched: at once when it serves
+// nothing anyhow, else only with a permit for this revision.
+func (s *switcher) maySwitch(m bundler.Model, h driver.Health, revision uint64) bool {
 	if h.Model != m.Name || !s.servable(m, h.Manifest) {
 		return true
 	}
@@ -231,43 +231,43 @@
 	}
 	s.mu.Lock()
 	defer s.mu.Unlock()
-	return s.permitted == revision
+	return s.permittedRevision == revision
 }
 
-// OvertakenError reports that the bundle moved on while a switch was prepared.
-type OvertakenError struct {
+// SupersededError reports that the bundle changed while a switch was prepared.
+type SupersededError struct {
 	Revision uint64
 }
 
-func (e *OvertakenError) Error() string {
+func (e *SupersededError) Error() string {
 	return fmt.Sprintf("revision %d is no longer in force", e.Revision)
 }
 
-func (s *switcher) load(ctx context.Context, m bundler.Model, revision uint64) error {
+func (s *switcher) switchEngine(ctx context.Context, m bundler.Model, revision uint64) error {
 	a := s.agent
 	klog.InfoS("Switch", "agent", a.ID, "model", m.Name, "version", m.Version, "revision", revision)
 	a.Gate.Close(admitter.Switching)
-	a.links.announce()
+	a.links.reportNow()
 	if err := a.Gate.Drained(ctx); err != nil {
 		return err
 	}
-	a.Loader.Keep(manifests(m)...)
-	err := s.order(ctx, m, revision)
+	a.Loader.Keep(manifestsOf(m)...)
+	err := s.sendLoadOrder(ctx, m, revision)
 	if err != nil {
-		// The gate stays closed only as long as the engine's contents are not
-		// what they should be: the next probe and step decide that.
-		a.proof.clear()
+		// The gate stays closed only as long as the engine's contents are not what they
+		// should be: the next probe and step decide that.
+		a.health.clear()
 	}
 	s.verify(ctx, m)
 	a.Gate.Open(admitter.Switching)
-	a.links.announce()
+	a.links.reportNow()
 	return err
 }
 
-// order gives the load order with a fence above any the engine has seen. The
-// bundle is looked at again right before: an agent that was frozen in between
-// wakes with an old order in hand, and would put old weights over newer ones.
-func (s *switcher) order(ctx context.Context, m bundler.Model, revision uint64) error {
+// sendLoadOrder sends the load order with a fence above any that the engine has seen.
+// The bundle is checked again right before: an agent that was suspended meanwhile
+// would send an outdated order and replace newer weights.
+func (s *switcher) sendLoadOrder(ctx context.Context, m bundler.Model, revision uint64) error {
 	e := s.agent.Upstream.(*driver.Engine)
 	state, err := e.State(ctx)
 	if err != nil {
@@ -276,10 +276,10 @@
 	if err := s.agent.State.MayServe(); err != nil {
 		return err
 	}
-	if now, r, ok := s.wanted(); !ok || r != revision || now.Manifest != m.Manifest {
-		return &OvertakenError{Revision: revision}
+	if current, r, ok := s.wantedModel(); !ok || r != revision || current.Manifest != m.Manifest {
+		return &SupersededError{Revision: revision}
 	}
-	o, err := s.loadOrder(m, max(state.Fence+1, revision<<fenceShift))
+	o, err := s.newLoadOrder(m, max(state.Fence+1, revision<<fenceShift))
 	if err != nil {
 		return err
 	}
@@ -289,12 +289,12 @@
 		return err
 	}
 	s.mu.Lock()
-	s.distrusted = false
+	s.untrusted = false
 	s.mu.Unlock()
 	return nil
 }
 
-func (s *switcher) loadOrder(m bundler.Model, fence uint64) (driver.LoadOrder, error) {
+func (s *switcher) newLoadOrder(m bundler.Model, fence uint64) (driver.LoadOrder, error) {
 	manifest, ok := s.agent.Loader.Whole(m.Manifest)
 	if !ok {
 		return driver.LoadOrder{}, errors.New("weights were evicted before the order")
@@ -305,17 +305,17 @@
 		Version:    m.Version,
 		Manifest:   m.Manifest,
 		Size:       manifest.Size,
-		WeightsURL: s.url(m.Manifest),
+		WeightsURL: s.weightsURL(m.Manifest),
 	}
 	for _, a := range m.Adapters {
 		o.Adapters = append(o.Adapters, driver.AdapterOrder{
-			Name: a.Name, Version: a.Version, Manifest: a.Manifest, WeightsURL: s.url(a.Manifest),
+			Name: a.Name, Version: a.Version, Manifest: a.Manifest, WeightsURL: s.weightsURL(a.Manifest),
 		})
 	}
 	return o, nil
 }
 
-func (s *switcher) url(manifest string) string {
+func (s *switcher) weightsURL(manifest string) string {
 	l := s.agent.Listener
 	if s.agent.ForEngine != nil {
 		l = s.agent.ForEngine
@@ -323,12 +323,12 @@
 	return "http://" + addressOf(l).String() + "/weights/" + manifest
 }
 
-// verify asks the engine what it holds now, whatever the order's answer was: an
-// engine that ignores fences may have taken a late, older order after ours.
+// verify probes what the engine holds, whatever the order's answer was: an engine
+// that ignores fences may have executed a late, older order after ours.
 func (s *switcher) verify(ctx context.Context, m bundler.Model) {
 	s.agent.probe(ctx)
-	s.agent.hold(ctx)
-	h, ok := s.agent.proof.get()
-	klog.InfoS("Engine holds", "agent", s.agent.ID, "answered", ok, "model", h.Model,
+	s.agent.updateHolds(ctx)
+	h, ok := s.agent.health.get()
+	klog.InfoS("Engine state after load", "agent", s.agent.ID, "answered", ok, "model", h.Model,
 		"version", h.Version, "wanted", m.Version)
 }
--- a/internal/dispatcher/call.go
+++ b/internal/dispatcher/call.go
@@ -16,9 +16,9 @@
 
 // Call serves a request to a plain service; a *FailureError is the final answer.
 func (d *Dispatcher) Call(ctx context.Context, r CallRequest) (*forwarder.Reply, error) {
-	began := d.Clock.Now()
+	startedAt := d.Clock.Now()
 	reply, err := d.call(ctx, r)
-	d.countEnd(began, err)
+	d.recordResult(startedAt, err)
 	return reply, err
 }
 
@@ -26,22 +26,22 @@
 	c := &call{
 		dispatcher: d,
 		request:    r,
-		id:         requestID(r.RequestID),
-		deadline:   d.Clock.Now().Add(d.deadline(r.Deadline)),
-		doubtful:   r.Key != "" && !r.First,
+		id:         uniqueRequestID(r.RequestID),
+		deadline:   d.Clock.Now().Add(d.timeLimit(r.Deadline)),
+		mayHaveRun: r.Key != "" && !r.First,
 	}
-	ctx, cancel := context.WithTimeout(ctx, d.deadline(r.Deadline))
+	ctx, cancel := context.WithTimeout(ctx, d.timeLimit(r.Deadline))
 	defer cancel()
-	reply, err := c.run(ctx)
+	reply, err := c.serve(ctx)
 	if err == nil {
 		return reply, nil
 	}
-	f := c.final(err)
+	f := c.finalFailure(err)
 	logFailure(c.id, c.attempts, f)
 	return nil, f
 }
 
-// call is one request to a plain service under way.
+// call is one request to a plain service in progress.
 type call struct {
 	dispatcher *Dispatcher
 	request    CallRequest
@@ -50,35 +50,35 @@
 	deadline   time.Time
 	service    bundler.Service
 
-	// attempts counts all, failures those that the retry budget paid for.
+	// attempts counts all, failures those charged to the retry budget.
 	attempts, failures int
-	refusals           []string
-	// bound is the key that this call runs under, when the caller brought one.
-	bound *deduplicator.Key
-	// busy says that the request had its turn and found its replica full.
-	busy bool
-	// ours says that bound was made here, for a caller that brought none.
-	ours bool
-	// doubtful is set while an attempt may have run of which this entry knows
-	// nothing: the caller brought a key that it may have used before, perhaps
-	// through another entry. Saying "not run" then would invite a second
-	// booking; only the key's owner can say it.
-	doubtful bool
+	failedAgents       []string
+	// boundKey is the key that this call runs under, if it has one.
+	boundKey *deduplicator.Key
+	// foundFull is set when the request had its turn and its replica was full.
+	foundFull bool
+	// mintedHere is set when boundKey was made here, for a caller without one.
+	mintedHere bool
+	// mayHaveRun is set while an attempt unknown to this entry may have run: the
+	// caller gave a key that it may have used before, perhaps through another
+	// entry. The answer "not run" would then invite a second booking; only the
+	// key's owner can give it.
+	mayHaveRun bool
 }
 
-func (c *call) run(ctx context.Context) (*forwarder.Reply, error) {
+func (c *call) serve(ctx context.Context) (*forwarder.Reply, error) {
 	if err := c.prepare(ctx); err != nil {
 		return nil, err
 	}
-	t, err := c.dispatcher.limit(c.request.Workspace, 0, c.request.Priority)
+	t, err := c.dispatcher.admit(c.request.Workspace, 0, c.request.Priority)
 	if err != nil {
 		return nil, err
 	}
 	defer t.Done()
-	if err := c.dispatcher.carry(); err != nil {
+	if err := c.dispatcher.acquire(); err != nil {
 		return nil, err
 	}
-	defer c.dispatcher.drop()
+	defer c.dispatcher.release()
 	c.dispatcher.Policy.Budget.First()
 	for {
 		c.attempts++
@@ -86,42 +86,42 @@
 		if err == nil {
 			return reply, nil
 		}
-		if err := c.giveUp(ctx, err); err != nil {
+		if err := c.decideRetry(ctx, err); err != nil {
 			return nil, err
 		}
 	}
 }
 
-// prepare checks the request and finds the key it runs under.
+// prepare validates the request and finds the key that it runs under.
 func (c *call) prepare(ctx context.Context) error {
 	if err := c.request.Validate(); err != nil {
-		return refuse(http.StatusBadRequest, err.Error(), 0)
+		return newRefusal(http.StatusBadRequest, err.Error(), 0)
 	}
-	b, err := c.dispatcher.bundle()
+	b, err := c.dispatcher.currentBundle()
 	if err != nil {
 		return err
 	}
 	c.revision = b.Revision
 	s, ok := b.Service(c.request.Service)
 	if !ok {
-		return refuse(http.StatusNotFound, "no service "+c.request.Service, 0)
+		return newRefusal(http.StatusNotFound, "no service "+c.request.Service, 0)
 	}
 	c.service = s
 	if c.request.Key == "" || s.Idempotent {
 		return nil
 	}
-	return c.bind(ctx)
+	return c.bindKey(ctx)
 }
 
-// bind finds the key that the call runs under. Even the entry that binds a caller's
-// own can't say "not run" by itself: a repeat through another entry may have run
+// bindKey finds the key that the call runs under. Even the entry that binds a caller's
+// own can't answer "not run" by itself: a repeat through another entry may have run
 // meanwhile.
-func (c *call) bind(ctx context.Context) error {
-	k, err := c.dispatcher.boundKey(ctx, c.request.Workspace, c.request.Service, c.request.Key)
+func (c *call) bindKey(ctx context.Context) error {
+	k, err := c.dispatcher.resolveKey(ctx, c.request.Workspace, c.request.Service, c.request.Key)
 	if err != nil {
 		return err
 	}
-	c.bound = &k
+	c.boundKey = &k
 	return nil
 }
 
@@ -131,38 +131,38 @@
 		Workspace: c.request.Workspace,
 		Service:   c.request.Service,
 		Priority:  c.request.Priority,
-		Avoid:     c.refusals,
+		Avoid:     c.failedAgents,
 	}
-	if c.bound != nil {
+	if c.boundKey != nil {
 		// Only the owner may run the key, however badly it has answered.
-		r.Owner, r.Avoid = c.bound.Owner, nil
+		r.Owner, r.Avoid = c.boundKey.Owner, nil
 	}
-	choice, err := d.pick(ctx, r, c.deadline, c.busy)
+	choice, err := d.pick(ctx, r, c.deadline, c.foundFull)
 	if err != nil {
 		return nil, pickFailure(err)
 	}
 	logRoute(c.id, c.attempts, choice)
-	d.count(figureAttempts)
-	attempt, _, stop := d.watch(ctx, choice.AgentID)
+	d.incCounter(metricAttempts)
+	attempt, _, stop := d.startWatchdog(ctx, choice.AgentID)
 	defer stop()
-	reply, err := d.Agents.Call(attempt, choice.Address, c.order(choice), c.request.Body)
+	reply, err := d.Agents.Call(attempt, choice.Address, c.callOrder(choice), c.request.Body)
 	if ctx.Err() != nil {
 		choice.Release()
 	} else {
 		choice.Done(attemptOutcome(err))
 	}
-	d.hearRefusal(err)
+	d.recordRefusalState(err)
 	if err == nil {
-		d.hear(reply.Agent)
+		d.recordState(reply.Agent)
 	}
-	d.finished(r, attemptOutcome(err) != retrier.NotRun)
+	d.attemptFinished(r, attemptOutcome(err) != retrier.NotRun)
 	if err != nil && !isBusy(err) {
-		c.refusals = append(c.refusals, choice.AgentID)
+		c.failedAgents = append(c.failedAgents, choice.AgentID)
 	}
 	return reply, err
 }
 
-func (c *call) order(choice *router.Choice) forwarder.CallOrder {
+func (c *call) callOrder(choice *router.Choice) forwarder.CallOrder {
 	return forwarder.CallOrder{
 		Attempt:    forwarder.Attempt{RequestID: c.id, Number: c.attempts},
 		Workspace:  c.request.Workspace,
@@ -171,38 +171,38 @@
 		Path:       c.request.Path,
 		Priority:   c.request.Priority,
 		Revision:   c.revision,
-		Key:        c.key(choice),
+		Key:        c.attemptKey(choice),
 		Header:     c.request.Header,
 		DeadlineMS: c.deadline.Sub(c.dispatcher.Clock.Now()).Milliseconds(),
 	}
 }
 
-// key is the bound key of this attempt. A call that came without one gets a key
-// of its own for each attempt, since a key binds to the agent that was chosen;
-// it is kept while its attempt is in doubt.
-func (c *call) key(choice *router.Choice) string {
+// attemptKey returns the key of this attempt. A call without a caller's key gets a new
+// one for each attempt, since a key is bound to the chosen agent; the key is kept
+// while its attempt is in doubt.
+func (c *call) attemptKey(choice *router.Choice) string {
 	if c.service.Idempotent {
 		return ""
 	}
-	if c.bound == nil {
+	if c.boundKey == nil {
 		k := c.dispatcher.newKey(c.request.Workspace, c.request.Service, choice)
-		c.bound = &k
-		c.ours = true
+		c.boundKey = &k
+		c.mintedHere = true
 	}
-	return c.bound.String()
+	return c.boundKey.String()
 }
 
-// giveUp decides after a failed attempt: nil means try again now.
-func (c *call) giveUp(ctx context.Context, err error) error {
+// decideRetry handles a failed attempt: nil means retry now.
+func (c *call) decideRetry(ctx context.Context, err error) error {
 	var f *FailureError
 	if errors.As(err, &f) {
 		return f
 	}
 	outcome := outcomeOf(err)
-	earlier := c.earlier()
-	closed := c.settle(err, outcome)
-	c.busy = isBusy(err)
-	if c.busy && !closed && sleep(ctx, c.dispatcher.Clock, rand.N(busyPause)) {
+	earlier := c.earlierOutcome()
+	closed := c.applyError(err, outcome)
+	c.foundFull = isBusy(err)
+	if c.foundFull && !closed && sleep(ctx, c.dispatcher.Clock, rand.N(maxBusyPause)) {
 		return nil
 	}
 	c.failures++
@@ -210,8 +210,8 @@
 		Outcome: outcome,
 		Earlier: earlier,
 		Number:  c.failures,
-		// The key's owner runs it once however often it is asked.
-		Idempotent: c.service.Idempotent || c.bound != nil,
+		// The key's owner runs it once, however often it is requested.
+		Idempotent: c.service.Idempotent || c.boundKey != nil,
 		Now:        c.dispatcher.Clock.Now(),
 		Deadline:   c.deadline,
 	})
@@ -227,49 +227,49 @@
 	}
 }
 
-func (c *call) earlier() retrier.Outcome {
-	if c.doubtful {
+func (c *call) earlierOutcome() retrier.Outcome {
+	if c.mayHaveRun {
 		return retrier.Unknown
 	}
 	return retrier.NotRun
 }
 
-// settle notes what an attempt's error says of the whole call, and tells whether
+// applyError records what an attempt's error means for the call, and reports whether
 // the caller's key is closed for good.
-func (c *call) settle(err error, outcome retrier.Outcome) bool {
+func (c *call) applyError(err error, outcome retrier.Outcome) bool {
 	var n *forwarder.NotRunError
 	if !errors.As(err, &n) {
-		c.doubtful = c.doubtful || outcome == retrier.Unknown
+		c.mayHaveRun = c.mayHaveRun || outcome == retrier.Unknown
 		return false
 	}
 	// The owner's own refusal settles the key: it alone could have run it. An
-	// owner that can't be reached has said nothing.
-	if c.bound != nil && !n.Gone {
-		c.doubtful = false
+	// unreachable owner settles nothing.
+	if c.boundKey != nil && !n.Gone {
+		c.mayHaveRun = false
 	}
-	if c.ours && !c.doubtful {
-		c.bound, c.ours = nil, false
+	if c.mintedHere && !c.mayHaveRun {
+		c.boundKey, c.mintedHere = nil, false
 		return false
 	}
-	return n.KeyClosed && c.bound != nil && !c.ours
+	return n.KeyClosed && c.boundKey != nil && !c.mintedHere
 }
 
-// final keeps a refusal honest.
-func (c *call) final(err error) *FailureError {
+// finalFailure answers "unknown" instead of "not run" for a call that may have run.
+func (c *call) finalFailure(err error) *FailureError {
 	var f *FailureError
 	if !errors.As(err, &f) {
 		f = &FailureError{Outcome: retrier.Unknown, Status: http.StatusBadGateway, Message: err.Error()}
 	}
-	if c.doubtful && f.Outcome == retrier.NotRun {
+	if c.mayHaveRun && f.Outcome == retrier.NotRun {
 		f.Outcome = retrier.Unknown
 	}
 	return f
 }
 
-// MintKey makes a key that makes one call idempotent, bound to the agent that
+// MintKey returns a key that makes one call idempotent, bound to the agent that
 // alone may run it.
 func (d *Dispatcher) MintKey(workspace, service string) (deduplicator.Key, error) {
-	if _, err := d.bundle(); err != nil {
+	if _, err := d.currentBundle(); err != nil {
 		return deduplicator.Key{}, err
 	}
 	return d.mint(workspace, service)
@@ -284,9 +284,9 @@
 	return d.newKey(workspace, service, c), nil
 }
 
-// Lookup tells what became of a key; it never starts anything.
+// Lookup returns the fate of a key; it never starts anything.
 func (d *Dispatcher) Lookup(ctx context.Context, workspace, service, key string) (forwarder.Fate, error) {
-	k, err := d.boundKey(ctx, workspace, service, key)
+	k, err := d.resolveKey(ctx, workspace, service, key)
 	if err != nil {
 		return forwarder.FateUnknown, err
 	}
--- a/internal/dispatcher/call_test.go
+++ b/internal/dispatcher/call_test.go
@@ -14,41 +14,41 @@
 	"github.com/oriolecroft/oriolecroft/internal/retrier"
 )
 
-// A booking ran, its answer was lost, and the caller repeats it through an entry
-// that refuses for reasons of its own. Were that "not run", the caller would book
-// anew, and two casuals would turn up for one slot.
-func TestEntrysOwnRefusalOfARepeatedBookingIsUnknown(t *testing.T) {
-	w := newWorld(t)
-	w.add(t, "vm-1", messenger.KindService, &fakeAgent{}, 4)
-	k, err := w.MintKey("farm", "bookings")
+// Guards against a second booking: a booking ran, its answer was lost, and the caller
+// repeats it through an entry that refuses for reasons of its own. After "not run"
+// the caller would book again.
+func TestEntryRefusalOfRepeatedBookingIsUnknown(t *testing.T) {
+	env := newTestEnv(t)
+	env.addAgent(t, "vm-1", messenger.KindService, &fakeAgent{}, 4)
+	k, err := env.MintKey("farm", "bookings")
 	must.NoError(t, err)
-	w.Concurrent = 0
-	_, err = w.Call(t.Context(), book(k.String(), false))
-	must.Eq(t, retrier.Unknown, failure(t, err).Outcome)
-	_, err = w.Call(t.Context(), book(k.String(), true))
-	must.Eq(t, retrier.NotRun, failure(t, err).Outcome)
+	env.Concurrent = 0
+	_, err = env.Call(t.Context(), newBooking(k.String(), false))
+	must.Eq(t, retrier.Unknown, finalFailure(t, err).Outcome)
+	_, err = env.Call(t.Context(), newBooking(k.String(), true))
+	must.Eq(t, retrier.NotRun, finalFailure(t, err).Outcome)
 }
 
-// The agent that a key is bound to is killed. Another agent must not run the
-// booking, since the first one may have.
+// Guards against a second booking by another agent after the agent of the key was
+// killed, since the first may have run it.
 func TestBookingDoesNotMoveToAnotherAgent(t *testing.T) {
-	w := newWorld(t)
+	env := newTestEnv(t)
 	owner := &fakeAgent{}
-	h := w.add(t, "vm-1", messenger.KindService, owner, 4)
-	k, err := w.MintKey("farm", "bookings")
+	h := env.addAgent(t, "vm-1", messenger.KindService, owner, 4)
+	k, err := env.MintKey("farm", "bookings")
 	must.NoError(t, err)
 	other := &fakeAgent{}
-	w.add(t, "vm-2", messenger.KindService, other, 4)
+	env.addAgent(t, "vm-2", messenger.KindService, other, 4)
 	h.Close()
-	_, err = w.Call(t.Context(), book(k.String(), false))
-	must.Eq(t, retrier.Unknown, failure(t, err).Outcome)
+	_, err = env.Call(t.Context(), newBooking(k.String(), false))
+	must.Eq(t, retrier.Unknown, finalFailure(t, err).Outcome)
 	must.Len(t, 0, other.calls)
 }
 
-// The answer to a booking is lost on the way from the agent. The entry asks the
-// same agent with the same key, which gives the answer again and runs nothing.
-func TestLostAnswerIsAskedForAgainWithTheSameKey(t *testing.T) {
-	w := newWorld(t)
+// The answer to a booking is lost on the way from the agent. The entry must retry at
+// the same agent with the same key, which returns the answer and runs nothing.
+func TestLostAnswerIsRetriedWithSameKey(t *testing.T) {
+	env := newTestEnv(t)
 	a := &fakeAgent{}
 	a.call = func(forwarder.CallOrder) (*forwarder.Reply, error) {
 		if len(a.calls) == 1 {
@@ -56,93 +56,93 @@
 		}
 		return &forwarder.Reply{Status: 200, Body: []byte("ok"), Replayed: true}, nil
 	}
-	w.add(t, "vm-1", messenger.KindService, a, 4)
-	w.add(t, "vm-2", messenger.KindService, &fakeAgent{call: a.call}, 4)
-	reply, err := w.Call(t.Context(), book("", false))
+	env.addAgent(t, "vm-1", messenger.KindService, a, 4)
+	env.addAgent(t, "vm-2", messenger.KindService, &fakeAgent{call: a.call}, 4)
+	reply, err := env.Call(t.Context(), newBooking("", false))
 	must.NoError(t, err)
 	must.True(t, reply.Replayed)
 	must.Len(t, 2, a.calls)
 	must.Eq(t, a.calls[0].Key, a.calls[1].Key)
 }
 
-// An agent refuses a booking, so that it certainly has not run; a call without a
-// key of the caller's goes on to another agent under a key of its own.
+// An agent refuses a booking, so that it certainly has not run. A call without a
+// caller's key must go on to another agent under a new key.
 func TestRefusedBookingGoesToAnotherAgent(t *testing.T) {
-	w := newWorld(t)
-	no := func(forwarder.CallOrder) (*forwarder.Reply, error) {
+	env := newTestEnv(t)
+	refuse := func(forwarder.CallOrder) (*forwarder.Reply, error) {
 		return nil, &forwarder.NotRunError{Reason: "leaving", KeyClosed: true}
 	}
-	w.add(t, "vm-1", messenger.KindService, &fakeAgent{call: no}, 4)
-	yes := &fakeAgent{}
-	w.add(t, "vm-2", messenger.KindService, yes, 4)
+	env.addAgent(t, "vm-1", messenger.KindService, &fakeAgent{call: refuse}, 4)
+	accepting := &fakeAgent{}
+	env.addAgent(t, "vm-2", messenger.KindService, accepting, 4)
 	for range 4 {
-		_, err := w.Call(t.Context(), book("", false))
+		_, err := env.Call(t.Context(), newBooking("", false))
 		must.NoError(t, err)
 	}
-	must.Len(t, 4, yes.calls)
-	k, err := deduplicator.ParseKey(yes.calls[0].Key)
+	must.Len(t, 4, accepting.calls)
+	k, err := deduplicator.ParseKey(accepting.calls[0].Key)
 	must.NoError(t, err)
 	must.Eq(t, "vm-2", k.Owner)
 }
 
-// The owner says that it closed the key without running it. That is the one
-// refusal after which a caller may book anew, and it must hear so.
-func TestOwnersRefusalSettlesTheKey(t *testing.T) {
-	w := newWorld(t)
-	no := func(forwarder.CallOrder) (*forwarder.Reply, error) {
+// Guards against a refusal by the key's owner that is not passed on as such: it is the
+// only refusal after which a caller may book again.
+func TestOwnerRefusalClosesKey(t *testing.T) {
+	env := newTestEnv(t)
+	refuse := func(forwarder.CallOrder) (*forwarder.Reply, error) {
 		return nil, &forwarder.NotRunError{Reason: "closed", KeyClosed: true}
 	}
-	w.add(t, "vm-1", messenger.KindService, &fakeAgent{call: no}, 4)
-	k, err := w.MintKey("farm", "bookings")
+	env.addAgent(t, "vm-1", messenger.KindService, &fakeAgent{call: refuse}, 4)
+	k, err := env.MintKey("farm", "bookings")
 	must.NoError(t, err)
-	_, err = w.Call(t.Context(), book(k.String(), false))
-	f := failure(t, err)
+	_, err = env.Call(t.Context(), newBooking(k.String(), false))
+	f := finalFailure(t, err)
 	must.Eq(t, retrier.NotRun, f.Outcome)
 	must.True(t, f.KeyClosed)
 }
 
-// The agent that a key is bound to is full. If the booking waited for it in the
-// common line, nobody behind it would be served although another replica is idle;
-// callers would see everything stand still for seconds.
-func TestBookingThatWaitsForItsOwnerHoldsUpNobody(t *testing.T) {
-	w := newWorld(t)
-	w.add(t, "vm-1", messenger.KindService, &fakeAgent{}, 4)
-	k, err := w.MintKey("farm", "bookings")
+// Guards against a blocked queue: a booking whose key is bound to a full agent must not
+// wait at its head, where it would block all requests for seconds although another
+// replica is idle.
+func TestBookingWaitingForOwnerBlocksNoOthers(t *testing.T) {
+	env := newTestEnv(t)
+	env.addAgent(t, "vm-1", messenger.KindService, &fakeAgent{}, 4)
+	k, err := env.MintKey("farm", "bookings")
 	must.NoError(t, err)
-	w.fill("vm-1")
-	ended := make(chan error, 1)
+	env.fillAgent("vm-1")
+	result := make(chan error, 1)
 	go func() {
-		_, err := w.Call(t.Context(), book(k.String(), true))
-		ended <- err
+		_, err := env.Call(t.Context(), newBooking(k.String(), true))
+		result <- err
 	}()
-	untilWaiting(t, w)
-	w.add(t, "vm-2", messenger.KindService, &fakeAgent{}, 4)
+	waitUntilInFlight(t, env)
+	env.addAgent(t, "vm-2", messenger.KindService, &fakeAgent{}, 4)
 	for range 3 {
-		_, err := w.Call(t.Context(), book("", false))
+		_, err := env.Call(t.Context(), newBooking("", false))
 		must.NoError(t, err)
 	}
-	must.Eq(t, 0, len(ended), must.Sprint("the others were served only after the one that waits"))
-	must.Eq(t, retrier.NotRun, failure(t, <-ended).Outcome)
+	must.Eq(t, 0, len(result), must.Sprint("the other requests were served only after the waiting one"))
+	must.Eq(t, retrier.NotRun, finalFailure(t, <-result).Outcome)
 }
 
-// untilWaiting returns once the dispatcher carries a request.
-func untilWaiting(t *testing.T, w *world) {
+// waitUntilInFlight returns once the dispatcher has a request in flight.
+func waitUntilInFlight(t *testing.T, env *testEnv) {
 	t.Helper()
-	carries := func() bool { return w.Carried() > 0 }
-	must.Wait(t, wait.InitialSuccess(wait.BoolFunc(carries), wait.Timeout(5*time.Second), wait.Gap(time.Millisecond)))
+	inFlight := func() bool { return env.InFlight() > 0 }
+	must.Wait(t, wait.InitialSuccess(wait.BoolFunc(inFlight), wait.Timeout(5*time.Second), wait.Gap(time.Millisecond)))
 }
 
-// A caller asks what became of a booking whose request is still under way. Told
-// "not run" it books anew; when the first request arrives after that, it must meet
-// a closed key and not book a second time.
-func TestLookupBindsAKeyThatIsStillUnderWay(t *testing.T) {
-	w := newWorld(t)
+// Guards against a second booking: a caller looks up a booking whose request is in
+// flight, receives "not run" and books again. When the first request arrives after
+// that, it must find a closed key.
+func TestLookupBindsKeyOfCallInFlight(t *testing.T) {
+	env := newTestEnv(t)
 	a := &fakeAgent{}
-	w.add(t, "vm-1", messenger.KindService, a, 4)
-	fate, err := w.Lookup(t.Context(), "farm", "bookings", "shed4-7")
+	env.addAgent(t, "vm-1", messenger.KindService, a, 4)
+	fate, err := env.Lookup(t.Context(), "farm", "bookings", "shed4-7")
 	must.NoError(t, err)
 	must.Eq(t, forwarder.FateNotRun, fate)
-	_, err = w.Call(t.Context(), book("shed4-7", true))
+	_, err = env.Call(t.Context(), newBooking("shed4-7", true))
 	must.NoError(t, err)
-	must.Eq(t, []string{a.calls[0].Key}, a.asked)
+	must.Eq(t, []string{a.calls[0].Key}, a.lookups)
 }
--- a/internal/dispatcher/dispatcher.go
+++ b/internal/dispatcher/dispatcher.go
@@ -1,6 +1,6 @@
-// Package dispatcher carries a caller's request through an entry: it checks and
+// Package dispatcher carries a caller's request through an entry: it validates and
 // limits it, picks an agent, sends it, and decides after each answer whether to
-// try again, resume, or tell the caller what is known.
+// retry, resume, or return a final answer.
 package dispatcher
 
 import (
@@ -26,10 +26,10 @@
 	"github.com/oriolecroft/oriolecroft/pkg/bundler"
 )
 
-// Dispatcher is an entry's decisions about requests. Its fields are set before
-// the first request.
+// Dispatcher handles an entry's requests. Its fields are set before the first
+// request.
 type Dispatcher struct {
-	// ID is the entry's.
+	// ID is the ID of the entry.
 	ID      string
 	State   *gossiper.State
 	Router  *router.Router
@@ -40,127 +40,127 @@
 	Clock   clock.WithTicker
 	// Deadline is the longest time for one request.
 	Deadline time.Duration
-	// QueueFor is the longest time a request waits in line for a replica.
+	// QueueFor is the longest time that a request is queued for a replica.
 	QueueFor time.Duration
 	// ResumeFor is how long a stream that was cut waits for its agent to return.
 	ResumeFor time.Duration
-	// StallFor is how long an attempt may bring nothing before it is given up.
+	// StallFor is how long an attempt may receive nothing before it is given up.
 	StallFor time.Duration
-	// Concurrent bounds the requests that this entry carries at once.
+	// Concurrent bounds the requests in flight at this entry.
 	Concurrent int
-	// Metrics takes the dispatcher's figures.
+	// Metrics holds the dispatcher's metrics.
 	Metrics metrics.Registry
 
-	queues  queues
-	carried atomic.Int64
+	queues   queues
+	inFlight atomic.Int64
 }
 
 // FailureError is the final answer to a request that was not served whole.
 type FailureError struct {
 	Outcome retrier.Outcome
-	// Status is the HTTP status that says the same.
+	// Status is the matching HTTP status.
 	Status  int
 	Message string
-	// RetryAfter is when to come back; 0 when that is of no use.
+	// RetryAfter is when to retry; 0 when that is of no use.
 	RetryAfter time.Duration
-	// KeyClosed means that the request's key will never run: make a new one.
+	// KeyClosed means that the request's key will never run and a new one is needed.
 	KeyClosed bool
 }
 
 func (e *FailureError) Error() string { return e.Outcome.String() + ": " + e.Message }
 
-// Bounds of the pause that a caller is told to make when nothing better is known.
+// Bounds of the retry delay that a caller is given when nothing better is known.
 // The spread keeps callers from returning all together.
 const (
-	shortestPause = 200 * time.Millisecond
-	longestPause  = 600 * time.Millisecond
+	minRetryAfter = 200 * time.Millisecond
+	maxRetryAfter = 600 * time.Millisecond
 )
 
-func pause() time.Duration {
-	return shortestPause + rand.N(longestPause-shortestPause)
+func randomRetryAfter() time.Duration {
+	return minRetryAfter + rand.N(maxRetryAfter-minRetryAfter)
 }
 
-// bundle gives the bundle in force, or why no new work may be taken.
-func (d *Dispatcher) bundle() (*bundler.Bundle, error) {
+// currentBundle returns the bundle in force, or why no new work may be taken.
+func (d *Dispatcher) currentBundle() (*bundler.Bundle, error) {
 	b, _ := d.State.Current()
 	if b == nil {
-		return nil, refuse(http.StatusServiceUnavailable, "no bundle is in force yet", pause())
+		return nil, newRefusal(http.StatusServiceUnavailable, "no bundle is in force yet", randomRetryAfter())
 	}
 	if err := d.State.MayServe(); err != nil {
-		return nil, refuse(http.StatusServiceUnavailable, err.Error(), pause())
+		return nil, newRefusal(http.StatusServiceUnavailable, err.Error(), randomRetryAfter())
 	}
 	return b, nil
 }
 
-// refuse is an answer before anything was sent.
-func refuse(status int, message string, after time.Duration) *FailureError {
+// newRefusal returns the answer to a request that was not sent to an agent.
+func newRefusal(status int, message string, after time.Duration) *FailureError {
 	return &FailureError{Outcome: retrier.NotRun, Status: status, Message: message, RetryAfter: after}
 }
 
-// carry counts a request in, or refuses it at once when this entry carries all it
-// may: more would only make every reply slower.
-func (d *Dispatcher) carry() error {
-	if n := d.carried.Add(1); n > int64(d.Concurrent) {
-		d.carried.Add(-1)
-		return refuse(http.StatusServiceUnavailable, "this entry carries all the requests it may", pause())
+// acquire counts a request in, or refuses it when this entry is at its limit: more
+// would only make every reply slower.
+func (d *Dispatcher) acquire() error {
+	if n := d.inFlight.Add(1); n > int64(d.Concurrent) {
+		d.inFlight.Add(-1)
+		return newRefusal(http.StatusServiceUnavailable, "this entry carries all the requests it may", randomRetryAfter())
 	}
 	return nil
 }
 
-// Carried is how many requests are under way here.
-func (d *Dispatcher) Carried() int { return int(d.carried.Load()) }
+// InFlight is the number of requests in progress here.
+func (d *Dispatcher) InFlight() int { return int(d.inFlight.Load()) }
 
-func (d *Dispatcher) drop() { d.carried.Add(-1) }
+func (d *Dispatcher) release() { d.inFlight.Add(-1) }
 
-// limit asks the limiter and turns its refusal into the final answer.
-func (d *Dispatcher) limit(workspace string, tokens, priority int) (*limiter.Ticket, error) {
+// admit applies the limiter and converts its refusal to the final answer.
+func (d *Dispatcher) admit(workspace string, tokens, priority int) (*limiter.Ticket, error) {
 	t, err := d.Limiter.Admit(workspace, tokens, priority)
 	if err == nil {
 		return t, nil
 	}
 	var l *limiter.LimitedError
 	if errors.As(err, &l) {
-		return nil, refuse(http.StatusTooManyRequests, err.Error(), l.RetryAfter)
+		return nil, newRefusal(http.StatusTooManyRequests, err.Error(), l.RetryAfter)
 	}
 	var unknown *limiter.UnknownWorkspaceError
 	if errors.As(err, &unknown) {
-		// No time to come back: asking again changes nothing.
-		return nil, refuse(http.StatusForbidden, err.Error(), 0)
+		// No RetryAfter, since a retry changes nothing.
+		return nil, newRefusal(http.StatusForbidden, err.Error(), 0)
 	}
-	return nil, refuse(http.StatusServiceUnavailable, err.Error(), pause())
+	return nil, newRefusal(http.StatusServiceUnavailable, err.Error(), randomRetryAfter())
 }
 
-// pickFailure turns the router's refusal into the final answer.
+// pickFailure converts the router's refusal to the final answer.
 func pickFailure(err error) *FailureError {
 	var (
-		final   *FailureError
-		shed    *limiter.ShedError
-		full    *router.FullError
-		none    *router.NoReplicaError
-		model   *router.UnknownModelError
-		service *router.UnknownServiceError
-		space   *router.UnknownWorkspaceError
-		barred  *router.NotAllowedError
+		final      *FailureError
+		shed       *limiter.ShedError
+		full       *router.FullError
+		none       *router.NoReplicaError
+		model      *router.UnknownModelError
+		service    *router.UnknownServiceError
+		workspace  *router.UnknownWorkspaceError
+		notAllowed *router.NotAllowedError
 	)
 	switch {
 	case errors.As(err, &final):
 		return final
 	case errors.As(err, &shed):
-		return refuse(http.StatusServiceUnavailable, err.Error(), shed.RetryAfter)
+		return newRefusal(http.StatusServiceUnavailable, err.Error(), shed.RetryAfter)
 	case errors.As(err, &full):
-		return refuse(http.StatusServiceUnavailable, err.Error(), full.RetryAfter)
+		return newRefusal(http.StatusServiceUnavailable, err.Error(), full.RetryAfter)
 	case errors.As(err, &none):
-		return refuse(http.StatusServiceUnavailable, err.Error(), pause())
+		return newRefusal(http.StatusServiceUnavailable, err.Error(), randomRetryAfter())
 	case errors.As(err, &model), errors.As(err, &service):
-		return refuse(http.StatusNotFound, err.Error(), 0)
-	case errors.As(err, &space), errors.As(err, &barred):
-		return refuse(http.StatusForbidden, err.Error(), 0)
+		return newRefusal(http.StatusNotFound, err.Error(), 0)
+	case errors.As(err, &workspace), errors.As(err, &notAllowed):
+		return newRefusal(http.StatusForbidden, err.Error(), 0)
 	default:
-		return refuse(http.StatusServiceUnavailable, err.Error(), pause())
+		return newRefusal(http.StatusServiceUnavailable, err.Error(), randomRetryAfter())
 	}
 }
 
-// outcomeOf is what an error from an agent says of the attempt.
+// outcomeOf is the outcome of an attempt that ended with an error.
 func outcomeOf(err error) retrier.Outcome {
 	var n *forwarder.NotRunError
 	if errors.As(err, &n) {
@@ -169,39 +169,39 @@
 	return retrier.Unknown
 }
 
-// isBusy tells whether an agent refused only because it was full.
+// isBusy reports whether an agent refused only because it was full.
 func isBusy(err error) bool {
 	var n *forwarder.NotRunError
 	return errors.As(err, &n) && n.Busy
 }
 
-// hear takes an agent's account of itself that came with an answer.
-func (d *Dispatcher) hear(s *messenger.AgentState) {
+// recordState records an agent's state that came with an answer.
+func (d *Dispatcher) recordState(s *messenger.AgentState) {
 	if s != nil {
 		d.Router.Report(*s)
 	}
 }
 
-// hearRefusal does so for an answer that is an error.
-func (d *Dispatcher) hearRefusal(err error) {
+// recordRefusalState does so for an answer that is an error.
+func (d *Dispatcher) recordRefusalState(err error) {
 	var n *forwarder.NotRunError
 	if errors.As(err, &n) {
-		d.hear(n.Agent)
+		d.recordState(n.Agent)
 	}
 }
 
-// retryAfterOf is when the agent said to come back, or a pause of our own.
+// retryAfterOf is the agent's retry delay, or a random one if it gave none.
 func retryAfterOf(err error) time.Duration {
 	var n *forwarder.NotRunError
 	if errors.As(err, &n) && n.RetryAfter > 0 {
 		return n.RetryAfter
 	}
-	return pause()
+	return randomRetryAfter()
 }
 
-// requestID keeps the caller's name for the request and makes it unique, since
-// callers may use one twice.
-func requestID(given string) string {
+// uniqueRequestID makes the caller's request ID unique, since callers may use one
+// twice.
+func uniqueRequestID(given string) string {
 	id := uuid.NewString()
 	if given == "" {
 		return id
@@ -209,26 +209,26 @@
 	return given + "~" + id
 }
 
-// answerMargin is how much before its caller's deadline a request is given up, so that the answer reaches the
-// caller within it.
+// answerMargin is how much before its caller's deadline a request is given up, so that the answer arrives
+// in time.
 const answerMargin = 15 * time.Millisecond
 
-// deadline is the shorter of the caller's, less the time for the answer, and the entry's.
-func (d *Dispatcher) deadline(wanted time.Duration) time.Duration {
+// timeLimit is the shorter of the caller's deadline, less the time for the answer, and the entry's.
+func (d *Dispatcher) timeLimit(wanted time.Duration) time.Duration {
 	if wanted > 0 && wanted < d.Deadline {
 		return max(wanted-answerMargin, wanted/2)
 	}
 	return d.Deadline
 }
 
-// logRoute writes the line that each routing decision gets.
+// logRoute logs a routing decision.
 func logRoute(request string, attempt int, c *router.Choice) {
 	klog.InfoS("Route", "request", request, "attempt", strconv.Itoa(attempt), "agent", c.AgentID,
 		"failureDomain", c.FailureDomain, "version", c.Version, "reason", c.Reason)
 }
 
-// logFailure writes the line of a request that could not be served whole.
+// logFailure logs a request that could not be served whole.
 func logFailure(request string, attempts int, err *FailureError) {
-	klog.InfoS("Give up", "request", request, "attempts", attempts, "outcome", err.Outcome.String(),
+	klog.InfoS("Request failed", "request", request, "attempts", attempts, "outcome", err.Outcome.String(),
 		"retryAfter", err.RetryAfter, "reason", err.Message)
 }
--- a/internal/dispatcher/world_test.go
+++ b/internal/dispatcher/env_test.go
@@ -30,30 +30,30 @@
 	"github.com/oriolecroft/oriolecroft/standins/imitator"
 )
 
-const tokens = 6
+const tokenCount = 6
 
-// fakeAgent answers orders as its fields say. Its HTTP side is the real one.
+// fakeAgent answers orders as its fields state, behind the real HTTP handler.
 type fakeAgent struct {
-	mu     sync.Mutex
-	start  string
-	orders []forwarder.GenerateOrder
-	calls  []forwarder.CallOrder
-	left   []string
-	// asked are the keys looked up.
-	asked []string
-	// cutAfter breaks the first stream before this event; 0 never.
+	mu          sync.Mutex
+	engineStart string
+	orders      []forwarder.GenerateOrder
+	calls       []forwarder.CallOrder
+	cancelled   []string
+	// lookups are the keys looked up.
+	lookups []string
+	// cutAfter breaks the first stream before this event; 0 means never.
 	cutAfter int
-	// startAfterCut is the engine's start id from then on; empty for no restart.
+	// startAfterCut is the engine's start ID from then on; empty for no restart.
 	startAfterCut string
-	// stallAt keeps the first stream silent from this event on; 0 never.
+	// stallAt stalls the first stream from this event on; 0 means never.
 	stallAt int
-	// endAt ends the streams before this event as if all had come; 0 never.
+	// endAt ends the streams before this event as if all had come; 0 means never.
 	endAt int
-	// mixAt gives the event of this index other weights; 0 never.
+	// mixAt gives the event of this index other weights; 0 means never.
 	mixAt int
-	// refuse is the answer to the first stream, after which refused is called.
-	refuse  *forwarder.NotRunError
-	refused func()
+	// refuse, if set, is the answer to streams; onRefuse is called with each.
+	refuse   *forwarder.NotRunError
+	onRefuse func()
 	// call answers a call; nil answers "ok".
 	call func(o forwarder.CallOrder) (*forwarder.Reply, error)
 }
@@ -64,17 +64,17 @@
 	cut := a.cutAfter
 	stall := a.stallAt
 	a.cutAfter, a.stallAt = 0, 0
-	engine := a.start
+	engine := a.engineStart
 	if cut > 0 && a.startAfterCut != "" {
-		a.start = a.startAfterCut
+		a.engineStart = a.startAfterCut
 	}
 	a.mu.Unlock()
 	if a.refuse != nil {
-		a.refused()
+		a.onRefuse()
 		return a.refuse
 	}
 	start(engine)
-	for i := o.From; i < tokens; i++ {
+	for i := o.From; i < tokenCount; i++ {
 		if cut > 0 && i == cut {
 			panic(http.ErrAbortHandler)
 		}
@@ -93,7 +93,7 @@
 			return err
 		}
 	}
-	return emit(forwarder.Event{Done: true, Tokens: tokens, Version: "v1", Weights: "w1"})
+	return emit(forwarder.Event{Done: true, Tokens: tokenCount, Version: "v1", Weights: "w1"})
 }
 
 func (a *fakeAgent) Call(_ context.Context, o forwarder.CallOrder, _ []byte) (*forwarder.Reply, error) {
@@ -109,7 +109,7 @@
 func (a *fakeAgent) Cancel(stream string) {
 	a.mu.Lock()
 	defer a.mu.Unlock()
-	a.left = append(a.left, stream)
+	a.cancelled = append(a.cancelled, stream)
 }
 
 func (a *fakeAgent) State() messenger.AgentState { return messenger.AgentState{} }
@@ -117,17 +117,17 @@
 func (a *fakeAgent) Lookup(key string) forwarder.Fate {
 	a.mu.Lock()
 	defer a.mu.Unlock()
-	a.asked = append(a.asked, key)
+	a.lookups = append(a.lookups, key)
 	return forwarder.FateNotRun
 }
 
-// world is one dispatcher before some fake agents.
-type world struct {
+// testEnv is one dispatcher in front of some fake agents.
+type testEnv struct {
 	*dispatcher.Dispatcher
 	sequence uint64
 }
 
-func newWorld(t *testing.T) *world {
+func newTestEnv(t *testing.T) *testEnv {
 	t.Helper()
 	public, private, err := bundler.GenerateKey()
 	must.NoError(t, err)
@@ -174,41 +174,41 @@
 	d.Router.SetBundle(b)
 	d.Limiter.SetBundle(b)
 	go func() { _ = d.Serve(t.Context()) }()
-	return &world{Dispatcher: d}
+	return &testEnv{Dispatcher: d}
 }
 
 func random() *rand.Rand { return rand.New(rand.NewPCG(1, 2)) }
 
-// add puts an agent into the world; the server can be closed to take it away.
-func (w *world) add(t *testing.T, id string, kind messenger.Kind, a *fakeAgent, limit int) *httptest.Server {
+// addAgent adds an agent to the environment; closing the server removes it.
+func (env *testEnv) addAgent(t *testing.T, id string, kind messenger.Kind, a *fakeAgent, limit int) *httptest.Server {
 	t.Helper()
-	if a.start == "" {
-		a.start = "engine-1"
+	if a.engineStart == "" {
+		a.engineStart = "engine-1"
 	}
 	h := httptest.NewServer(forwarder.Handler(a))
 	t.Cleanup(h.Close)
-	at := netip.MustParseAddrPort(strings.TrimPrefix(h.URL, "http://"))
-	w.sequence++
-	w.Router.Report(messenger.AgentState{
+	address := netip.MustParseAddrPort(strings.TrimPrefix(h.URL, "http://"))
+	env.sequence++
+	env.Router.Report(messenger.AgentState{
 		ID: id, Incarnation: "i-" + id, FailureDomain: "a", Region: "r", Kind: kind, Service: "bookings",
-		Address: at, Sequence: w.sequence, Gate: messenger.GateOpen, Limit: limit,
-		Model: "rota", Version: "v1", Manifest: bundler.Digest(nil), EngineStart: a.start, Revision: 1,
+		Address: address, Sequence: env.sequence, Gate: messenger.GateOpen, Limit: limit,
+		Model: "rota", Version: "v1", Manifest: bundler.Digest(nil), EngineStart: a.engineStart, Revision: 1,
 	})
 	return h
 }
 
-// fill makes an agent report that it is full.
-func (w *world) fill(id string) {
-	for _, a := range w.Router.Agents() {
+// fillAgent makes an agent report that it is full.
+func (env *testEnv) fillAgent(id string) {
+	for _, a := range env.Router.Agents() {
 		if a.ID == id {
-			w.sequence++
-			a.Sequence, a.Running = w.sequence, 2*a.Limit
-			w.Router.Report(a)
+			env.sequence++
+			a.Sequence, a.Running = env.sequence, 2*a.Limit
+			env.Router.Report(a)
 		}
 	}
 }
 
-// newStore is the platform's key-value service.
+// newStore is a stand-in of the key-value service.
 func newStore(t *testing.T) storer.Store {
 	t.Helper()
 	h := httptest.NewServer((&imitator.KV{}).Handler())
@@ -216,20 +216,20 @@
 	return &storer.HTTP{Address: netip.MustParseAddrPort(strings.TrimPrefix(h.URL, "http://")), Timeout: time.Second}
 }
 
-// sink collects a stream.
-type sink struct {
+// fakeSink collects a stream.
+type fakeSink struct {
 	events []forwarder.Event
 	resume string
-	// leaveAt makes the caller leave at this event; 0 never.
+	// leaveAt makes the caller leave at this event; 0 means never.
 	leaveAt int
 }
 
-func (s *sink) Begin(resume string) error {
+func (s *fakeSink) Start(resume string) error {
 	s.resume = resume
 	return nil
 }
 
-func (s *sink) Event(e forwarder.Event) error {
+func (s *fakeSink) Event(e forwarder.Event) error {
 	if s.leaveAt > 0 && e.Index == s.leaveAt {
 		return context.Canceled
 	}
@@ -237,16 +237,16 @@
 	return nil
 }
 
-func ask() dispatcher.GenerateRequest {
+func newRequest() dispatcher.GenerateRequest {
 	return dispatcher.GenerateRequest{Workspace: "farm", Model: "rota", Prompt: "who turns up at dawn"}
 }
 
-func book(key string, first bool) dispatcher.CallRequest {
+func newBooking(key string, first bool) dispatcher.CallRequest {
 	return dispatcher.CallRequest{Workspace: "farm", Service: "bookings", Method: "POST", Path: "/book", Key: key, First: first}
 }
 
-// failure is the final answer that a call must have given.
-func failure(t *testing.T, err error) *dispatcher.FailureError {
+// finalFailure returns the final answer that a request must have ended with.
+func finalFailure(t *testing.T, err error) *dispatcher.FailureError {
 	t.Helper()
 	var f *dispatcher.FailureError
 	must.True(t, errors.As(err, &f), must.Sprintf("want a final answer, got %v", err))
--- a/internal/dispatcher/generate.go
+++ b/internal/dispatcher/generate.go
@@ -9,56 +9,56 @@
 	"github.com/oriolecroft/oriolecroft/internal/retrier"
 )
 
-// Sink takes a stream's events on their way to the caller.
+// Sink receives a stream's events for the caller.
 type Sink interface {
-	// Begin comes before the first event. With the resume token the caller can
-	// read on through any entry when this one is lost.
-	Begin(resume string) error
+	// Start comes before the first event. With the resume token the caller can
+	// resume through any entry when this one is lost.
+	Start(resume string) error
 	Event(e forwarder.Event) error
 }
 
 // Generate serves a request to a model. A *FailureError is the final answer; it
 // comes either before the first event or in place of the last.
 func (d *Dispatcher) Generate(ctx context.Context, g GenerateRequest, s Sink) error {
-	began := d.Clock.Now()
+	startedAt := d.Clock.Now()
 	err := d.generate(ctx, g, s)
-	d.countEnd(began, err)
+	d.recordResult(startedAt, err)
 	return err
 }
 
 func (d *Dispatcher) generate(ctx context.Context, g GenerateRequest, s Sink) error {
-	g.Defaults()
+	g.SetDefaults()
 	if err := g.Validate(); err != nil {
-		return refuse(http.StatusBadRequest, err.Error(), 0)
+		return newRefusal(http.StatusBadRequest, err.Error(), 0)
 	}
-	b, err := d.bundle()
+	b, err := d.currentBundle()
 	if err != nil {
 		return err
 	}
-	t, err := d.limit(g.Workspace, g.MaxTokens, g.Priority)
+	t, err := d.admit(g.Workspace, g.MaxTokens, g.Priority)
 	if err != nil {
 		return err
 	}
 	defer t.Done()
-	if err := d.carry(); err != nil {
+	if err := d.acquire(); err != nil {
 		return err
 	}
-	defer d.drop()
-	wait := d.deadline(time.Duration(g.DeadlineMS) * time.Millisecond)
-	ctx, cancel := context.WithTimeout(ctx, wait)
+	defer d.release()
+	timeLimit := d.timeLimit(time.Duration(g.DeadlineMS) * time.Millisecond)
+	ctx, cancel := context.WithTimeout(ctx, timeLimit)
 	defer cancel()
 	r := &generation{
 		dispatcher: d,
 		request:    g,
-		id:         requestID(g.RequestID),
-		began:      d.Clock.Now(),
+		id:         uniqueRequestID(g.RequestID),
+		startedAt:  d.Clock.Now(),
 		revision:   b.Revision,
-		deadline:   d.Clock.Now().Add(wait),
+		deadline:   d.Clock.Now().Add(timeLimit),
 		sink:       s,
 		earlier:    retrier.NotRun,
 	}
-	if err := r.resume(); err != nil {
+	if err := r.resumeStream(); err != nil {
 		return err
 	}
-	return r.run(ctx)
+	return r.serve(ctx)
 }
--- a/internal/dispatcher/generation.go
+++ b/internal/dispatcher/generation.go
@@ -14,43 +14,43 @@
 	"github.com/oriolecroft/oriolecroft/internal/router"
 )
 
-// generation is one streamed reply under way. It is bound to one version and one
-// engine start by its first event: after that it can be resumed, never spliced.
+// generation is one streamed reply in progress. Its first event binds it to one version
+// and one engine start: after that it can be resumed, never spliced.
 type generation struct {
 	dispatcher *Dispatcher
 	request    GenerateRequest
 	id         string
-	began      time.Time
+	startedAt  time.Time
 	revision   uint64
 	deadline   time.Time
 	sink       Sink
 
-	// attempts counts all, failures those that the retry budget paid for.
+	// attempts counts all, failures those charged to the retry budget.
 	attempts, failures int
-	refusals           []string
-	// next is the index of the event that the caller still needs.
-	next int
-	bond
-	// earlier joins the outcomes of the attempts before the present one.
+	failedAgents       []string
+	// nextEvent is the index of the event that the caller still needs.
+	nextEvent int
+	streamBinding
+	// earlier joins the outcomes of the attempts before the current one.
 	earlier retrier.Outcome
-	// busy says that the request had its turn and found its replica full.
-	busy bool
-	// agent is the last agent's account of itself at the end of its stream.
-	agent *messenger.AgentState
-	// left says that the caller reads no more.
-	left bool
-	// cutAt is when the stream broke; zero while it flows.
-	cutAt time.Time
+	// foundFull is set when the request had its turn and its replica was full.
+	foundFull bool
+	// agentState is the last agent's state at the end of its stream.
+	agentState *messenger.AgentState
+	// callerLeft is set once the caller stopped reading.
+	callerLeft bool
+	// cutTime is when the stream broke; zero while it flows.
+	cutTime time.Time
 }
 
 const (
-	// resumePause is about how often a cut stream's agent is asked again.
-	resumePause = 150 * time.Millisecond
-	// busyPause bounds the pause after an agent said that it is full.
-	busyPause = 10 * time.Millisecond
+	// resumeInterval is the mean time between attempts to resume a cut stream.
+	resumeInterval = 150 * time.Millisecond
+	// maxBusyPause bounds the pause after an agent reported that it is full.
+	maxBusyPause = 10 * time.Millisecond
 )
 
-func (g *generation) run(ctx context.Context) error {
+func (g *generation) serve(ctx context.Context) error {
 	g.dispatcher.Policy.Budget.First()
 	for {
 		g.attempts++
@@ -58,20 +58,20 @@
 		if err == nil {
 			return nil
 		}
-		if f := g.giveUp(ctx, err); f != nil {
+		if f := g.decideRetry(ctx, err); f != nil {
 			logFailure(g.id, g.attempts, f)
 			return f
 		}
 	}
 }
 
-// giveUp decides after a failed attempt: nil means try again now.
-func (g *generation) giveUp(ctx context.Context, err error) *FailureError {
+// decideRetry handles a failed attempt: nil means retry now.
+func (g *generation) decideRetry(ctx context.Context, err error) *FailureError {
 	var f *finalError
 	if errors.As(err, &f) {
-		return g.final(f.failure)
+		return g.finalFailure(f.failure)
 	}
-	if g.again(ctx, err) {
+	if g.retryWithoutBudget(ctx, err) {
 		return nil
 	}
 	g.failures++
@@ -81,7 +81,7 @@
 		Earlier:    g.earlier,
 		Idempotent: true,
 		Number:     g.failures,
-		Streamed:   g.next > 0,
+		Streamed:   g.nextEvent > 0,
 		SameEngine: g.EngineStart != "",
 		Now:        g.dispatcher.Clock.Now(),
 		Deadline:   g.deadline,
@@ -90,7 +90,7 @@
 	if decision.Retry && sleep(ctx, g.dispatcher.Clock, decision.Delay) {
 		return nil
 	}
-	return g.final(&FailureError{
+	return g.finalFailure(&FailureError{
 		Outcome:    outcome,
 		Status:     http.StatusServiceUnavailable,
 		Message:    err.Error() + " (" + decision.Reason + ")",
@@ -98,25 +98,25 @@
 	})
 }
 
-// again tells whether the next attempt costs nothing of the retry budget. An
-// agent that was full has done no work for the request, which goes back in line;
-// a stream that was cut is read on from where it was, and no work is done anew.
-func (g *generation) again(ctx context.Context, err error) bool {
+// retryWithoutBudget reports whether the next attempt is free of the retry budget. A
+// full agent has done no work for the request, which returns to the queue; a cut
+// stream resumes where it broke, and no work is repeated.
+func (g *generation) retryWithoutBudget(ctx context.Context, err error) bool {
 	d := g.dispatcher
 	now := d.Clock.Now()
-	if g.next > 0 {
-		if g.cutAt.IsZero() {
-			g.cutAt = now
+	if g.nextEvent > 0 {
+		if g.cutTime.IsZero() {
+			g.cutTime = now
 		}
-		return now.Sub(g.cutAt) < d.ResumeFor && sleep(ctx, d.Clock, resumePause/2+rand.N(resumePause))
+		return now.Sub(g.cutTime) < d.ResumeFor && sleep(ctx, d.Clock, resumeInterval/2+rand.N(resumeInterval))
 	}
-	g.busy = isBusy(err)
-	return g.busy && now.Before(g.deadline) && sleep(ctx, d.Clock, rand.N(busyPause))
+	g.foundFull = isBusy(err)
+	return g.foundFull && now.Before(g.deadline) && sleep(ctx, d.Clock, rand.N(maxBusyPause))
 }
 
-// final keeps a refusal honest: only if no attempt may have run is it "not run".
-func (g *generation) final(f *FailureError) *FailureError {
-	if g.next > 0 {
+// finalFailure answers "not run" only if no attempt may have run.
+func (g *generation) finalFailure(f *FailureError) *FailureError {
+	if g.nextEvent > 0 {
 		f.Outcome = retrier.Ran
 		return f
 	}
@@ -124,7 +124,7 @@
 	return f
 }
 
-// finalError is a failure after which no further attempt makes sense.
+// finalError is a failure after which no further attempt is made.
 type finalError struct {
 	failure *FailureError
 }
@@ -143,41 +143,41 @@
 		Owner:       g.Owner,
 		Version:     g.Version,
 		EngineStart: g.EngineStart,
-		Avoid:       g.refusals,
+		Avoid:       g.failedAgents,
 	}
-	c, err := d.pick(ctx, r, g.deadline, g.busy)
+	c, err := d.pick(ctx, r, g.deadline, g.foundFull)
 	if err != nil {
-		return g.noChoice(err)
+		return g.pickError(err)
 	}
 	logRoute(g.id, g.attempts, c)
-	d.count(figureAttempts)
-	err = g.relay(ctx, c)
-	g.end(ctx, c, err)
-	d.finished(r, attemptOutcome(err) != retrier.NotRun)
+	d.incCounter(metricAttempts)
+	err = g.relayStream(ctx, c)
+	g.finishAttempt(ctx, c, err)
+	d.attemptFinished(r, attemptOutcome(err) != retrier.NotRun)
 	return err
 }
 
-// end gives the attempt back and takes in what its answer said of the agent.
-func (g *generation) end(ctx context.Context, c *router.Choice, err error) {
+// finishAttempt ends the attempt and records the agent's state from its answer.
+func (g *generation) finishAttempt(ctx context.Context, c *router.Choice, err error) {
 	var f *finalError
-	given := ctx.Err() != nil || g.left
-	if given || errors.As(err, &f) {
-		g.cancel(ctx, c)
+	abandoned := ctx.Err() != nil || g.callerLeft
+	if abandoned || errors.As(err, &f) {
+		g.cancelStream(ctx, c)
 	}
-	if given {
-		// The caller left or ran out of time, which says nothing of the replica.
+	if abandoned {
+		// The caller left or ran out of time, which is no fault of the replica.
 		c.Release()
 		return
 	}
 	c.Done(attemptOutcome(err))
-	g.dispatcher.hear(g.agent)
-	g.dispatcher.hearRefusal(err)
+	g.dispatcher.recordState(g.agentState)
+	g.dispatcher.recordRefusalState(err)
 }
 
-// noChoice is final before the first event; a stream that was cut waits for its
-// agent to come back, since only there it can be resumed.
-func (g *generation) noChoice(err error) error {
-	if g.next > 0 {
+// pickError is final before the first event; a stream that was cut waits for its
+// agent to return, since only there it can be resumed.
+func (g *generation) pickError(err error) error {
+	if g.nextEvent > 0 {
 		return &forwarder.NotRunError{Reason: err.Error()}
 	}
 	return &finalError{failure: pickFailure(err)}
@@ -190,30 +190,30 @@
 	return outcomeOf(err)
 }
 
-// relay sends one attempt and passes its events on.
-func (g *generation) relay(ctx context.Context, c *router.Choice) error {
-	if g.next == 0 {
+// relayStream sends one attempt and forwards its events.
+func (g *generation) relayStream(ctx context.Context, c *router.Choice) error {
+	if g.nextEvent == 0 {
 		g.Stream = g.id + "." + strconv.Itoa(g.attempts)
 	}
-	ctx, w, stop := g.dispatcher.watch(ctx, c.AgentID)
+	ctx, w, stop := g.dispatcher.startWatchdog(ctx, c.AgentID)
 	defer stop()
-	stream, err := g.dispatcher.Agents.Generate(ctx, c.Address, g.order(c))
+	stream, err := g.dispatcher.Agents.Generate(ctx, c.Address, g.generateOrder(c))
 	if err != nil {
-		g.avoid(c.AgentID, err)
+		g.avoidAgent(c.AgentID, err)
 		return err
 	}
 	defer stream.Close()
-	if g.next > 0 && stream.EngineStart != g.EngineStart {
-		return &finalError{failure: g.ended("the engine restarted")}
+	if g.nextEvent > 0 && stream.EngineStart != g.EngineStart {
+		return &finalError{failure: g.incompleteReply("the engine restarted")}
 	}
 	for {
 		e, err := stream.Next()
 		if err != nil {
 			return &forwarder.UnknownError{Reason: err.Error()}
 		}
-		w.event()
-		g.agent = e.Agent
-		if err := g.pass(e, c, stream); err != nil {
+		w.recordEvent()
+		g.agentState = e.Agent
+		if err := g.forwardEvent(e, c, stream); err != nil {
 			return err
 		}
 		if e.Done {
@@ -222,15 +222,15 @@
 	}
 }
 
-// avoid keeps further attempts away from an agent that failed. One that was only
-// full may be free by the time it is this request's turn.
-func (g *generation) avoid(id string, err error) {
-	if g.next == 0 && !isBusy(err) {
-		g.refusals = append(g.refusals, id)
+// avoidAgent excludes an agent that failed from further attempts. One that was only
+// full may be free by the request's next turn.
+func (g *generation) avoidAgent(id string, err error) {
+	if g.nextEvent == 0 && !isBusy(err) {
+		g.failedAgents = append(g.failedAgents, id)
 	}
 }
 
-func (g *generation) order(c *router.Choice) forwarder.GenerateOrder {
+func (g *generation) generateOrder(c *router.Choice) forwarder.GenerateOrder {
 	return forwarder.GenerateOrder{
 		Attempt:     forwarder.Attempt{RequestID: g.id, Number: g.attempts},
 		Workspace:   g.request.Workspace,
@@ -243,53 +243,53 @@
 		Version:     c.Version,
 		EngineStart: g.EngineStart,
 		Stream:      g.Stream,
-		From:        g.next,
+		From:        g.nextEvent,
 		DeadlineMS:  g.deadline.Sub(g.dispatcher.Clock.Now()).Milliseconds(),
 	}
 }
 
-// pass checks one event against what the reply is bound to and hands it on. An
-// event that is out of order or of other weights would make the reply mixed; the
-// stream ends there instead.
-func (g *generation) pass(e forwarder.Event, c *router.Choice, s *forwarder.Stream) error {
+// forwardEvent checks one event against the reply's binding and forwards it. An event
+// that is out of order or of other weights would make the reply mixed, so the stream
+// ends there.
+func (g *generation) forwardEvent(e forwarder.Event, c *router.Choice, s *forwarder.Stream) error {
 	if e.Failure != nil {
 		return &forwarder.UnknownError{Reason: e.Failure.Message}
 	}
-	if err := g.bind(e, c, s); err != nil {
+	if err := g.bindStream(e, c, s); err != nil {
 		return err
 	}
 	if e.Weights != g.Weights || e.Version != g.Version || e.AdapterWeights != g.AdapterWeights {
-		return &finalError{failure: g.ended("the weights changed")}
+		return &finalError{failure: g.incompleteReply("the weights changed")}
 	}
-	if position(e) != g.next {
-		return &finalError{failure: g.ended("events were lost")}
+	if eventPosition(e) != g.nextEvent {
+		return &finalError{failure: g.incompleteReply("events were lost")}
 	}
 	e.Agent = nil
 	if err := g.sink.Event(e); err != nil {
-		g.left = true
-		return &finalError{failure: g.ended("the caller left")}
+		g.callerLeft = true
+		return &finalError{failure: g.incompleteReply("the caller left")}
 	}
 	if !e.Done {
-		g.next++
-		g.cutAt = time.Time{}
+		g.nextEvent++
+		g.cutTime = time.Time{}
 	}
 	return nil
 }
 
-// position is how many events come before this one.
-func position(e forwarder.Event) int {
+// eventPosition is the number of events before this one.
+func eventPosition(e forwarder.Event) int {
 	if e.Done {
 		return e.Tokens
 	}
 	return e.Index
 }
 
-// ended is the honest end of a stream that can not be completed.
-func (g *generation) ended(why string) *FailureError {
+// incompleteReply is the failure of a stream that can not be completed.
+func (g *generation) incompleteReply(why string) *FailureError {
 	return &FailureError{
 		Outcome:    retrier.Ran,
 		Status:     http.StatusBadGateway,
 		Message:    "the reply is not whole: " + why,
-		RetryAfter: pause(),
+		RetryAfter: randomRetryAfter(),
 	}
 }
--- a/internal/dispatcher/key.go
+++ b/internal/dispatcher/key.go
@@ -13,7 +13,7 @@
 	"github.com/oriolecroft/oriolecroft/internal/router"
 )
 
-// newKey binds a fresh key to the chosen agent's present incarnation.
+// newKey binds a fresh key to the chosen agent's current incarnation.
 func (d *Dispatcher) newKey(workspace, service string, c *router.Choice) deduplicator.Key {
 	return deduplicator.Key{
 		Workspace:   workspace,
@@ -25,26 +25,26 @@
 	}
 }
 
-// boundKey finds the bound key behind what the caller gave. One of the caller's own
-// making is claimed if it has not been yet, whether for a call or for a question:
-// asked after and closed by its owner, it must not run when a call with it that is
-// still under way arrives; told "not run", the caller has booked anew by then.
-func (d *Dispatcher) boundKey(ctx context.Context, workspace, service, key string) (deduplicator.Key, error) {
+// resolveKey finds the bound key for the caller's key. One of the caller's own making
+// is claimed if it has not been yet, for a call and for a lookup alike: a lookup
+// closes it at its owner, and a call with it that is in flight must not run after
+// that, since the caller may have booked again after "not run".
+func (d *Dispatcher) resolveKey(ctx context.Context, workspace, service, key string) (deduplicator.Key, error) {
 	if !deduplicator.IsKey(key) {
-		return d.claim(ctx, workspace, service, key)
+		return d.claimKey(ctx, workspace, service, key)
 	}
 	k, err := deduplicator.ParseKey(key)
 	if err != nil {
-		return deduplicator.Key{}, refuse(http.StatusBadRequest, err.Error(), 0)
+		return deduplicator.Key{}, newRefusal(http.StatusBadRequest, err.Error(), 0)
 	}
 	if k.Workspace != workspace || k.Service != service {
-		return deduplicator.Key{}, refuse(http.StatusBadRequest, "key: was made for another workspace or service", 0)
+		return deduplicator.Key{}, newRefusal(http.StatusBadRequest, "key: was made for another workspace or service", 0)
 	}
 	return k, nil
 }
 
-// claim gives the bound key behind a caller's own, binding it if need be.
-func (d *Dispatcher) claim(ctx context.Context, workspace, service, key string) (deduplicator.Key, error) {
+// claimKey returns the bound key for a caller's own, binding it if need be.
+func (d *Dispatcher) claimKey(ctx context.Context, workspace, service, key string) (deduplicator.Key, error) {
 	fresh, err := d.mint(workspace, service)
 	if err != nil {
 		return deduplicator.Key{}, err
@@ -53,9 +53,9 @@
 	var invalid *deduplicator.KeyError
 	switch {
 	case errors.As(err, &invalid):
-		return deduplicator.Key{}, refuse(http.StatusBadRequest, err.Error(), 0)
+		return deduplicator.Key{}, newRefusal(http.StatusBadRequest, err.Error(), 0)
 	case err != nil:
-		return deduplicator.Key{}, refuse(http.StatusServiceUnavailable, err.Error(), pause())
+		return deduplicator.Key{}, newRefusal(http.StatusServiceUnavailable, err.Error(), randomRetryAfter())
 	}
 	return k, nil
 }
--- a/internal/dispatcher/request.go
+++ b/internal/dispatcher/request.go
@@ -9,13 +9,13 @@
 
 // Bounds of a request.
 const (
-	MaxPrompt        = 1 << 20
+	MaxPromptBytes   = 1 << 20
 	MaxTokens        = 32768
 	DefaultMaxTokens = 256
 	// MaxDeadlineMS is a day.
 	MaxDeadlineMS = 24 * 60 * 60 * 1000
-	maxName       = 128
-	maxKey        = 1024
+	maxNameBytes  = 128
+	maxKeyBytes   = 1024
 )
 
 // GenerateRequest is a caller's request to a model.
@@ -35,27 +35,27 @@
 	DeadlineMS int64 `json:"deadlineMs,omitempty"`
 
 	// Resume is the token of a reply that broke off, From the index of the first
-	// event still wanted.
+	// event still needed.
 	Resume string `json:"-"`
 	From   int    `json:"-"`
 }
 
-// Defaults fills what was left out.
-func (g *GenerateRequest) Defaults() {
+// SetDefaults fills in omitted fields.
+func (g *GenerateRequest) SetDefaults() {
 	if g.MaxTokens == 0 {
 		g.MaxTokens = DefaultMaxTokens
 	}
 }
 
-// Validate reports all faults as one *InvalidError.
+// Validate reports all problems as one *InvalidError.
 func (g *GenerateRequest) Validate() error {
-	var f faults
-	f.name("workspace", g.Workspace, true)
-	f.name("model", g.Model, true)
-	f.name("adapter", g.Adapter, false)
-	f.name("requestId", g.RequestID, false)
-	if len(g.Prompt) == 0 || len(g.Prompt) > MaxPrompt {
-		f.add("prompt", "%d bytes long, must be 1 to %d", len(g.Prompt), MaxPrompt)
+	var f problemList
+	f.checkName("workspace", g.Workspace, true)
+	f.checkName("model", g.Model, true)
+	f.checkName("adapter", g.Adapter, false)
+	f.checkName("requestId", g.RequestID, false)
+	if len(g.Prompt) == 0 || len(g.Prompt) > MaxPromptBytes {
+		f.add("prompt", "%d bytes long, must be 1 to %d", len(g.Prompt), MaxPromptBytes)
 	}
 	if !utf8.ValidString(g.Prompt) {
 		f.add("prompt", "is not UTF-8")
@@ -82,19 +82,19 @@
 	// Key makes the call idempotent: one from Dispatcher.MintKey, or the
 	// caller's own. Empty means that the caller never repeats this call.
 	Key string
-	// First is the caller's word that no earlier attempt with this key was made.
+	// First states that no earlier attempt with this key was made.
 	First    bool
 	Deadline time.Duration
 }
 
-// Validate reports all faults as one *InvalidError.
+// Validate reports all problems as one *InvalidError.
 func (c *CallRequest) Validate() error {
-	var f faults
-	f.name("workspace", c.Workspace, true)
-	f.name("service", c.Service, true)
-	f.name("requestId", c.RequestID, false)
-	if len(c.Key) > maxKey {
-		f.add("key", "%d bytes long, must be at most %d", len(c.Key), maxKey)
+	var f problemList
+	f.checkName("workspace", c.Workspace, true)
+	f.checkName("service", c.Service, true)
+	f.checkName("requestId", c.RequestID, false)
+	if len(c.Key) > maxKeyBytes {
+		f.add("key", "%d bytes long, must be at most %d", len(c.Key), maxKeyBytes)
 	}
 	if strings.ContainsFunc(c.Key, func(r rune) bool { return r <= ' ' || r > '~' }) {
 		f.add("key", "must be printable ASCII without spaces")
@@ -102,34 +102,34 @@
 	return f.err()
 }
 
-// InvalidError names every faulty field of a request; it was not run.
+// InvalidError lists every invalid field of a request; it was not run.
 type InvalidError struct {
 	Problems []string
 }
 
 func (e *InvalidError) Error() string { return strings.Join(e.Problems, "; ") }
 
-type faults struct {
+type problemList struct {
 	problems []string
 }
 
-func (f *faults) add(field, format string, args ...any) {
+func (f *problemList) add(field, format string, args ...any) {
 	f.problems = append(f.problems, field+": "+fmt.Sprintf(format, args...))
 }
 
-func (f *faults) name(field, value string, needed bool) {
+func (f *problemList) checkName(field, value string, needed bool) {
 	if value == "" && needed {
 		f.add(field, "is missing")
 	}
-	if len(value) > maxName {
-		f.add(field, "%d bytes long, must be at most %d", len(value), maxName)
+	if len(value) > maxNameBytes {
+		f.add(field, "%d bytes long, must be at most %d", len(value), maxNameBytes)
 	}
 	if strings.ContainsFunc(value, func(r rune) bool { return r < ' ' || r == 0x7f }) {
 		f.add(field, "has control characters")
 	}
 }
 
-func (f *faults) err() error {
+func (f *problemList) err() error {
 	if len(f.problems) == 0 {
 		return nil
 	}
--- a/internal/dispatcher/resume.go
+++ b/internal/dispatcher/resume.go
@@ -15,13 +15,13 @@
 	"github.com/oriolecroft/oriolecroft/internal/router"
 )
 
-// cancelTimeout bounds the word to an agent that a stream is not wanted.
+// cancelTimeout bounds the request to an agent to cancel a stream.
 const cancelTimeout = time.Second
 
-// bond is what a streamed reply is bound to from its first event on. A reply
-// whose events came from two engine starts, or from other weights, would be mixed.
-type bond struct {
-	// Owner is the agent whose engine runs the stream, Stream its name there.
+// streamBinding is what a streamed reply is bound to from its first event on. Events
+// from two engine starts, or from other weights, would make a mixed reply.
+type streamBinding struct {
+	// Owner is the agent whose engine runs the stream, Stream its ID there.
 	Owner          string `json:"owner"`
 	Stream         string `json:"stream"`
 	EngineStart    string `json:"engineStart"`
@@ -30,11 +30,11 @@
 	AdapterWeights string `json:"adapterWeights,omitempty"`
 }
 
-// resumeToken is what a caller needs to read on through another entry.
+// resumeToken is what a caller needs to resume through another entry.
 type resumeToken struct {
 	Workspace string `json:"workspace"`
 	Model     string `json:"model"`
-	bond
+	streamBinding
 }
 
 func (t resumeToken) encode() string {
@@ -45,7 +45,7 @@
 	return base64.RawURLEncoding.EncodeToString(data)
 }
 
-func decodeResume(text string) (resumeToken, error) {
+func decodeResumeToken(text string) (resumeToken, error) {
 	var t resumeToken
 	data, err := base64.RawURLEncoding.DecodeString(text)
 	if err != nil {
@@ -54,56 +54,56 @@
 	return t, json.Unmarshal(data, &t)
 }
 
-// resume takes up a stream that the caller began to read through another entry.
-// Without any event read there is nothing to be bound to, and the request is run
-// anew.
-func (g *generation) resume() error {
+// resumeStream continues a stream that the caller started to read through another
+// entry. If no event was read there is nothing to be bound to, and the request runs
+// again.
+func (g *generation) resumeStream() error {
 	if g.request.Resume == "" || g.request.From == 0 {
 		return nil
 	}
-	t, err := decodeResume(g.request.Resume)
+	t, err := decodeResumeToken(g.request.Resume)
 	if err != nil {
-		return refuse(http.StatusBadRequest, "resume token: "+err.Error(), 0)
+		return newRefusal(http.StatusBadRequest, "resume token: "+err.Error(), 0)
 	}
 	if t.Workspace != g.request.Workspace || t.Model != g.request.Model {
-		return refuse(http.StatusBadRequest, "resume token: is of another workspace or model", 0)
+		return newRefusal(http.StatusBadRequest, "resume token: is of another workspace or model", 0)
 	}
-	g.bond = t.bond
-	g.next = g.request.From
-	g.cutAt = g.dispatcher.Clock.Now()
-	klog.InfoS("Resume", "request", g.id, "agent", g.Owner, "from", g.next)
+	g.streamBinding = t.streamBinding
+	g.nextEvent = g.request.From
+	g.cutTime = g.dispatcher.Clock.Now()
+	klog.InfoS("Resume", "request", g.id, "agent", g.Owner, "from", g.nextEvent)
 	return nil
 }
 
-// bind takes the reply's bond from its first event.
-func (g *generation) bind(e forwarder.Event, c *router.Choice, s *forwarder.Stream) error {
-	if g.next > 0 {
+// bindStream binds the reply to its first event.
+func (g *generation) bindStream(e forwarder.Event, c *router.Choice, s *forwarder.Stream) error {
+	if g.nextEvent > 0 {
 		return nil
 	}
-	g.dispatcher.time(figureFirstToken, g.began)
+	g.dispatcher.recordDuration(metricFirstToken, g.startedAt)
 	g.Owner, g.EngineStart = c.AgentID, s.EngineStart
 	g.Version, g.Weights, g.AdapterWeights = e.Version, e.Weights, e.AdapterWeights
-	t := resumeToken{Workspace: g.request.Workspace, Model: g.request.Model, bond: g.bond}
-	if err := g.sink.Begin(t.encode()); err != nil {
-		g.left = true
-		return &finalError{failure: g.ended("the caller left")}
+	t := resumeToken{Workspace: g.request.Workspace, Model: g.request.Model, streamBinding: g.streamBinding}
+	if err := g.sink.Start(t.encode()); err != nil {
+		g.callerLeft = true
+		return &finalError{failure: g.incompleteReply("the caller left")}
 	}
 	return nil
 }
 
-// cancel tells the agent that nobody reads the stream any more. The agent may be silent: a caller that still
-// waits for its answer doesn't wait for that.
-func (g *generation) cancel(ctx context.Context, c *router.Choice) {
-	klog.InfoS("Cancel", "request", g.id, "event", g.next)
-	if g.left || errors.Is(ctx.Err(), context.Canceled) {
-		g.dispatcher.cancel(c.Address, g.Stream)
+// cancelStream cancels the stream at the agent. A caller that still waits for its answer does not wait for
+// that, since the agent may be unresponsive.
+func (g *generation) cancelStream(ctx context.Context, c *router.Choice) {
+	klog.InfoS("Cancel", "request", g.id, "event", g.nextEvent)
+	if g.callerLeft || errors.Is(ctx.Err(), context.Canceled) {
+		g.dispatcher.cancelStream(c.Address, g.Stream)
 		return
 	}
-	go g.dispatcher.cancel(c.Address, g.Stream)
+	go g.dispatcher.cancelStream(c.Address, g.Stream)
 }
 
-// cancel tells an agent that nobody reads a stream any more.
-func (d *Dispatcher) cancel(agent netip.AddrPort, stream string) {
+// cancelStream cancels an unread stream at an agent.
+func (d *Dispatcher) cancelStream(agent netip.AddrPort, stream string) {
 	ctx, stop := context.WithTimeout(context.Background(), cancelTimeout)
 	defer stop()
 	if err := d.Agents.Cancel(ctx, agent, stream); err != nil {
--- a/internal/dispatcher/silent_agent_test.go
+++ b/internal/dispatcher/unresponsive_agent_test.go
@@ -12,36 +12,36 @@
 	"github.com/oriolecroft/oriolecroft/pkg/bundler"
 )
 
-// Guards against callers that leave without an answer, because their entry waits at a silent agent for
-// as long as they do.
-func TestCallerOfASilentAgentIsAnsweredWithinItsDeadline(t *testing.T) {
-	const wait = time.Second
+// Guards against callers that leave without an answer because their entry waits for an unresponsive
+// agent as long as they do.
+func TestCallerOfUnresponsiveAgentIsAnsweredWithinDeadline(t *testing.T) {
+	const timeLimit = time.Second
 	for _, kind := range []messenger.Kind{messenger.KindEngine, messenger.KindService} {
 		t.Run(string(kind), func(t *testing.T) {
 			t.Parallel()
-			w := newWorld(t)
+			env := newTestEnv(t)
 			l, err := net.Listen("tcp", "127.0.0.1:0")
 			must.NoError(t, err)
 			defer l.Close()
-			w.Router.Report(messenger.AgentState{
+			env.Router.Report(messenger.AgentState{
 				ID: "silent", Incarnation: "i", FailureDomain: "a", Region: "r", Kind: kind, Service: "bookings",
 				Address: netip.MustParseAddrPort(l.Addr().String()), Sequence: 1, Gate: messenger.GateOpen, Limit: 4,
 				Model: "rota", Version: "v1", Manifest: bundler.Digest(nil), EngineStart: "e", Revision: 1,
 			})
 			began := time.Now()
 			if kind == messenger.KindEngine {
-				g := ask()
-				g.DeadlineMS = wait.Milliseconds()
-				err = w.Generate(t.Context(), g, &sink{})
+				g := newRequest()
+				g.DeadlineMS = timeLimit.Milliseconds()
+				err = env.Generate(t.Context(), g, &fakeSink{})
 			} else {
-				c := book("", false)
-				c.Deadline = wait
-				_, err = w.Call(t.Context(), c)
+				c := newBooking("", false)
+				c.Deadline = timeLimit
+				_, err = env.Call(t.Context(), c)
 			}
 			took := time.Since(began)
-			f := failure(t, err)
+			f := finalFailure(t, err)
 			t.Logf("status %d, outcome %v, after %v", f.Status, f.Outcome, took)
-			must.Less(t, wait, took)
+			must.Less(t, timeLimit, took)
 		})
 	}
 }
--- a/internal/dispatcher/waiting.go
+++ b/internal/dispatcher/waiting.go
@@ -12,77 +12,76 @@
 	"github.com/oriolecroft/oriolecroft/internal/router"
 )
 
-// pumpEvery is how often the first in line is woken although nothing has ended
-// here: places are also freed by other entries' requests, and by replicas that
-// come back.
-const pumpEvery = 20 * time.Millisecond
+// advanceInterval is how often queues are advanced although nothing has ended here:
+// slots are also freed by other entries' requests, and by replicas that come back.
+const advanceInterval = 20 * time.Millisecond
 
-// ownerPause is about how often a full agent that alone may get a request is
-// tried again.
-const ownerPause = 20 * time.Millisecond
+// ownerRetryInterval is the mean time between attempts at a full agent that alone
+// may get a request.
+const ownerRetryInterval = 20 * time.Millisecond
 
 // queues holds one queue for each model and service, since each has capacity of
 // its own.
 type queues struct {
-	mu     sync.Mutex
-	byName map[target]*limiter.Queue
+	mu       sync.Mutex
+	byTarget map[target]*limiter.Queue
 }
 
-// target is a model, or a service; the other name is empty.
+// target is a model or a service; the other name is empty.
 type target struct {
 	model, service string
 }
 
-// queue is where requests for the same model or service wait.
+// queue returns the queue of requests for the same model or service.
 func (d *Dispatcher) queue(r router.Request) *limiter.Queue {
-	name := target{model: r.Model, service: r.Service}
+	key := target{model: r.Model, service: r.Service}
 	d.queues.mu.Lock()
 	defer d.queues.mu.Unlock()
-	if d.queues.byName == nil {
-		d.queues.byName = map[target]*limiter.Queue{}
+	if d.queues.byTarget == nil {
+		d.queues.byTarget = map[target]*limiter.Queue{}
 	}
-	q := d.queues.byName[name]
+	q := d.queues.byTarget[key]
 	if q == nil {
 		q = &limiter.Queue{Clock: d.Clock, Random: rand.New(rand.NewPCG(rand.Uint64(), rand.Uint64()))}
-		d.queues.byName[name] = q
+		d.queues.byTarget[key] = q
 	}
 	return q
 }
 
-// pump wakes the first in line of each queue.
-func (d *Dispatcher) pump() {
+// advanceQueues gives the first request in each queue its turn.
+func (d *Dispatcher) advanceQueues() {
 	d.queues.mu.Lock()
 	defer d.queues.mu.Unlock()
-	for t, q := range d.queues.byName {
+	for t, q := range d.queues.byTarget {
 		q.Expire()
 		d.Router.SetWaiting(t.model, t.service, q.Len())
 		q.Next()
 	}
 }
 
-// Serve keeps the queues moving until the context ends.
+// Serve advances the queues until the context ends.
 func (d *Dispatcher) Serve(ctx context.Context) error {
-	t := d.Clock.NewTicker(pumpEvery)
+	t := d.Clock.NewTicker(advanceInterval)
 	defer t.Stop()
 	for {
 		select {
 		case <-ctx.Done():
 			return ctx.Err()
 		case <-t.C():
-			d.pump()
+			d.advanceQueues()
 		}
 	}
 }
 
 func (d *Dispatcher) String() string { return "dispatcher" }
 
-// item is what a queue needs to know of a request.
-func (d *Dispatcher) item(r router.Request, deadline time.Time) limiter.Item {
-	until := d.Clock.Now().Add(d.QueueFor)
-	if deadline.Before(until) {
-		until = deadline
+// queueItem describes a request for its queue.
+func (d *Dispatcher) queueItem(r router.Request, deadline time.Time) limiter.Item {
+	expires := d.Clock.Now().Add(d.QueueFor)
+	if deadline.Before(expires) {
+		expires = deadline
 	}
-	i := limiter.Item{Workspace: r.Workspace, Priority: r.Priority, Cost: 1, Deadline: until}
+	i := limiter.Item{Workspace: r.Workspace, Priority: r.Priority, Cost: 1, Deadline: expires}
 	if b, _ := d.State.Current(); b != nil {
 		w, _ := b.Workspace(r.Workspace)
 		i.Priority += w.Priority * priorityLevels
@@ -90,16 +89,16 @@
 	return i
 }
 
-// priorityLevels is how many priorities of requests lie between two of
-// workspaces: a request's own priority orders it within its workspace only.
+// priorityLevels is the number of request priorities between two workspace
+// priorities: a request's own priority orders it within its workspace only.
 const priorityLevels = 1000
 
-// pick chooses a replica, waiting in line while all are full. Nobody is passed by
-// a newcomer that happens to find the place just freed.
+// pick chooses a replica, waiting in the queue while all are full. A newcomer that
+// finds a slot just freed can not overtake the queue.
 //
-// Again is set for a request that had its turn and found its replica full; it goes
-// before those that have not, or it would wait twice.
-func (d *Dispatcher) pick(ctx context.Context, r router.Request, deadline time.Time, again bool) (*router.Choice, error) {
+// foundFull is set for a request that had its turn and found its replica full; it
+// goes before those that have not, or it would wait twice.
+func (d *Dispatcher) pick(ctx context.Context, r router.Request, deadline time.Time, foundFull bool) (*router.Choice, error) {
 	if r.Owner != "" {
 		return d.pickOwner(ctx, r, deadline)
 	}
@@ -110,19 +109,19 @@
 			return c, err
 		}
 	}
-	i := d.item(r, deadline)
-	i.Again = again
+	i := d.queueItem(r, deadline)
+	i.Again = foundFull
 	w, err := q.Join(i)
 	for err == nil {
-		if err = wait(ctx, q, w); err != nil {
+		if err = waitForTurn(ctx, q, w); err != nil {
 			return nil, err
 		}
-		// Those who refused it before may have room by now; were it to wait for the
-		// others only, it would hold up all behind it.
+		// Agents that refused it before may have free slots; if it waited only for the
+		// others, it would block all requests behind it.
 		r.Avoid = nil
 		c, pickErr := d.Router.Pick(r)
 		if !isFull(pickErr) {
-			// There may be room for the next as well.
+			// There may be a slot for the next as well.
 			q.Next()
 			return c, pickErr
 		}
@@ -131,24 +130,24 @@
 	return nil, err
 }
 
-// pickOwner waits for the one agent that may get the request, outside the line:
-// at its head a request whose agent is gone would hold up all others, though
-// every other replica is idle.
+// pickOwner waits for the one agent that may get the request, outside the queue: at
+// its head a request whose agent is gone would block all others, though every other
+// replica is idle.
 func (d *Dispatcher) pickOwner(ctx context.Context, r router.Request, deadline time.Time) (*router.Choice, error) {
-	until := d.item(r, deadline).Deadline
+	expires := d.queueItem(r, deadline).Deadline
 	for {
 		c, err := d.Router.Pick(r)
-		if !isFull(err) || !d.Clock.Now().Before(until) {
+		if !isFull(err) || !d.Clock.Now().Before(expires) {
 			return c, err
 		}
-		if !sleep(ctx, d.Clock, ownerPause/2+rand.N(ownerPause)) {
+		if !sleep(ctx, d.Clock, ownerRetryInterval/2+rand.N(ownerRetryInterval)) {
 			return nil, err
 		}
 	}
 }
 
-// wait returns nil when it is the request's turn.
-func wait(ctx context.Context, q *limiter.Queue, w *limiter.Waiter) error {
+// waitForTurn returns nil when it is the request's turn.
+func waitForTurn(ctx context.Context, q *limiter.Queue, w *limiter.Waiter) error {
 	select {
 	case <-w.Ready():
 		return w.Err()
@@ -156,7 +155,7 @@
 		if !w.Leave() && w.Err() == nil {
 			q.Next()
 		}
-		return refuse(http.StatusServiceUnavailable, "given up while waiting in line", pause())
+		return newRefusal(http.StatusServiceUnavailable, "given up while waiting in line", randomRetryAfter())
 	}
 }
 
@@ -165,9 +164,9 @@
 	return errors.As(err, &f)
 }
 
-// finished gives the place of an attempt that has ended on. Only one that ran
-// counts for the rate by which waits are foretold; refusals end far sooner.
-func (d *Dispatcher) finished(r router.Request, ran bool) {
+// attemptFinished passes on the slot of an attempt that has ended. Only one that ran
+// counts for the rate that predicts waits; refusals end far sooner.
+func (d *Dispatcher) attemptFinished(r router.Request, ran bool) {
 	q := d.queue(r)
 	if ran {
 		q.Finished(1)
--- a/internal/receiver/receiver_test.go
+++ b/internal/receiver/receiver_test.go
@@ -131,7 +131,7 @@
 		{"wrong type", "POST", models, `{"maxTokens":"many"}`, nil, 400, "maxTokens"},
 		{"fraction of a token", "POST", models, `{"maxTokens":1.5}`, nil, 400, "maxTokens"},
 		{"too large", "POST", models, `{"prompt":"` + strings.Repeat("x", 4<<20) + `"}`, nil, 413, "body"},
-		{"prompt too long", "POST", models, `{"workspace":"farm","model":"rota","prompt":"` + strings.Repeat("x", dispatcher.MaxPrompt+1) + `"}`, nil, 400, "prompt"},
+		{"prompt too long", "POST", models, `{"workspace":"farm","model":"rota","prompt":"` + strings.Repeat("x", dispatcher.MaxPromptBytes+1) + `"}`, nil, 400, "prompt"},
 		{"no workspace", "POST", models, `{"model":"rota","prompt":"p"}`, nil, 400, "workspace"},
 		{"no prompt", "POST", models, `{"workspace":"farm","model":"rota"}`, nil, 400, "prompt"},
 		{"too many tokens", "POST", models, `{"workspace":"farm","model":"rota","prompt":"p","maxTokens":40000}`, nil, 400, "maxTokens"},
--- a/internal/receiver/stream.go
+++ b/internal/receiver/stream.go
@@ -20,8 +20,8 @@
 	id int
 }
 
-// Begin sends the headers.
-func (s *eventStream) Begin(resume string) error {
+// Start sends the headers.
+func (s *eventStream) Start(resume string) error {
 	s.started = true
 	s.writer.Header().Set("Content-Type", "text/event-stream")
 	s.writer.Header().Set("Cache-Control", "no-store")
@@ -37,7 +37,7 @@
 	}
 	if !s.started {
 		// The rest of a reply that began through another entry.
-		if err := s.Begin(s.resume); err != nil {
+		if err := s.Start(s.resume); err != nil {
 			return err
 		}
 	}
