--- a/internal/agent/agent.go
+++ b/internal/agent/agent.go
@@ -146,23 +146,23 @@
 	known  bool
 }
 
-func (p *healthRecord) set(h driver.Health) {
-	p.mu.Lock()
-	defer p.mu.Unlock()
-	p.health, p.known = h, true
+func (r *healthRecord) set(h driver.Health) {
+	r.mu.Lock()
+	defer r.mu.Unlock()
+	r.health, r.known = h, true
 }
 
-func (p *healthRecord) clear() {
-	p.mu.Lock()
-	defer p.mu.Unlock()
-	p.health, p.known = driver.Health{}, false
+func (r *healthRecord) clear() {
+	r.mu.Lock()
+	defer r.mu.Unlock()
+	r.health, r.known = driver.Health{}, false
 }
 
 // get returns the last result; ok is false while the upstream does not answer.
-func (p *healthRecord) get() (h driver.Health, ok bool) {
-	p.mu.Lock()
-	defer p.mu.Unlock()
-	return p.health, p.known
+func (r *healthRecord) get() (h driver.Health, ok bool) {
+	r.mu.Lock()
+	defer r.mu.Unlock()
+	return r.health, r.known
 }
 
 // probe queries the upstream's state and passes it to the gate, one query at a time:
--- a/internal/agent/holds.go
+++ b/internal/agent/holds.go
@@ -14,8 +14,8 @@
 // earlier notice: each request is checked against the bundle by itself.
 const holdInterval = 50 * time.Millisecond
 
-// listedTTL is how long an entry's report stays valid that the platform lists this
-// VM as leaving; entries repeat it with each answer.
+// listedTTL is how long a report by an entry that the platform lists this VM as
+// leaving stays valid; entries repeat it with each answer.
 const listedTTL = 3 * time.Second
 
 // atomicTime is a time that several goroutines set and read.
@@ -23,10 +23,10 @@
 	nanos atomic.Int64
 }
 
-func (s *atomicTime) set(t time.Time) { s.nanos.Store(t.UnixNano()) }
+func (a *atomicTime) set(t time.Time) { a.nanos.Store(t.UnixNano()) }
 
-func (s *atomicTime) within(now time.Time, d time.Duration) bool {
-	nanos := s.nanos.Load()
+func (a *atomicTime) within(now time.Time, d time.Duration) bool {
+	nanos := a.nanos.Load()
 	return nanos != 0 && now.Sub(time.Unix(0, nanos)) < d
 }
 
--- a/internal/agent/links.go
+++ b/internal/agent/links.go
@@ -131,7 +131,7 @@
 	return l.sequence
 }
 
-// handlePush applies news that an entry sent unasked. It can carry a higher bundle but
+// handlePush applies unrequested news from an entry. It can carry a higher bundle but
 // confirms no freshness: how long it lay in a socket is unknown.
 func (l *links) handlePush(n messenger.News) {
 	l.applyNews(n)
--- a/internal/agent/runner.go
+++ b/internal/agent/runner.go
@@ -17,9 +17,9 @@
 	agent *Agent
 }
 
-// checkAllowed refuses what the bundle in force does not allow here. Each request is
+// checkAllowed refuses work that the bundle in force does not allow here. Each request is
 // checked by itself: a process that was suspended resumes with outdated holds, and
-// would admit what arrived meanwhile.
+// would admit requests that arrived meanwhile.
 func (r *runner) checkAllowed(lookupDomains func(*bundler.Bundle) ([]string, bool)) error {
 	a := r.agent
 	if err := a.State.MayServe(); err != nil {
--- a/internal/agent/streams.go
+++ b/internal/agent/streams.go
@@ -15,7 +15,7 @@
 const (
 	// cancelTimeout bounds the request to an engine to cancel a stream.
 	cancelTimeout = time.Second
-	// streamHoldTime is how long a stream whose entry vanished goes on, so that its
+	// streamHoldTime is how long a stream whose entry disconnected goes on, so that its
 	// caller can resume it through another entry.
 	streamHoldTime = 6 * time.Second
 )
--- a/internal/agent/switch_test.go
+++ b/internal/agent/switch_test.go
@@ -37,8 +37,8 @@
 	must.Eq(t, right, env.readAll(s))
 }
 
-// The same for an adapter alone, which the engine confuses with another file. After
-// the reload, a reply with the right bytes must not be cut.
+// The same for an adapter alone, which the engine loads from another file. After the
+// reload, a reply with the right bytes must not be cut.
 func TestReplyFromWrongAdapterIsCutAndAdapterReloaded(t *testing.T) {
 	env := startEngine(t, &imitator.Engine{})
 	swapURL := regexp.MustCompile(`(/weights/[^"]*)(.*)/weights/[^"]*`)
--- a/internal/agent/switcher.go
+++ b/internal/agent/switcher.go
@@ -139,7 +139,7 @@
 }
 
 // wantedModel is the model that this engine should hold by the bundle in force. An
-// engine without an assignment takes the only model there is.
+// engine without an assignment takes the only model, if there is just one.
 func (s *switcher) wantedModel() (bundler.Model, uint64, bool) {
 	b, _ := s.agent.State.Current()
 	if b == nil {
--- a/internal/dispatcher/call.go
+++ b/internal/dispatcher/call.go
@@ -59,9 +59,9 @@
 	foundFull bool
 	// mintedHere is set when boundKey was made here, for a caller without one.
 	mintedHere bool
-	// mayHaveRun is set while an attempt unknown to this entry may have run: the
-	// caller gave a key that it may have used before, perhaps through another
-	// entry. The answer "not run" would then invite a second booking; only the
+	// mayHaveRun is set while an attempt may have run whose result this entry does
+	// not have: the caller gave a key that it may have used before, perhaps
+	// through another entry. The answer "not run" would then invite a second booking; only the
 	// key's owner can give it.
 	mayHaveRun bool
 }
