--- a/cmd/oriolecroft/platform_agent.go
+++ b/cmd/oriolecroft/platform_agent.go
@@ -116,7 +116,7 @@
 	})
 	ramping := metrics.GetOrRegisterGauge("ramping."+s.Service, d.metrics)
 	d.tick(func() { ramping.Update(count(ledger.Ramping())) })
-	g := &granter.Granter{Ledger: ledger, Holds: st.Holds, EngineStart: st.EngineStart, Poll: st.Poll, Clock: d.clock, Metrics: d.metrics}
+	g := &granter.Granter{Ledger: ledger, Holds: st.HeldVersion, EngineStart: st.EngineStart, Poll: st.Poll, Clock: d.clock, Metrics: d.metrics}
 	if err := addAgentListeners(d, l, digests, g); err != nil {
 		return err
 	}
--- a/internal/agent/switcher.go
+++ b/internal/agent/switcher.go
@@ -212,7 +212,7 @@
 
 func (s *switcher) whole(m bundler.Model) bool {
 	for _, d := range manifests(m) {
-		if _, ok := s.agent.Loader.Whole(d); !ok {
+		if _, ok := s.agent.Loader.Complete(d); !ok {
 			return false
 		}
 	}
@@ -295,7 +295,7 @@
 }
 
 func (s *switcher) loadOrder(m bundler.Model, fence uint64) (driver.LoadOrder, error) {
-	manifest, ok := s.agent.Loader.Whole(m.Manifest)
+	manifest, ok := s.agent.Loader.Complete(m.Manifest)
 	if !ok {
 		return driver.LoadOrder{}, errors.New("weights were evicted before the order")
 	}
--- a/internal/loader/adopt.go
+++ b/internal/loader/adopt.go
@@ -18,7 +18,7 @@
 	}
 	m := s.manifest
 	if s.transfer == nil && !l.admit(s, l.Clock.Now()) {
-		return &NotWholeError{Manifest: digest, All: len(m.Chunks)}
+		return &IncompleteError{Manifest: digest, All: len(m.Chunks)}
 	}
 	for i, data := range chunks {
 		if i < 0 || i >= len(m.Chunks) || bundler.Digest(data) != m.Chunks[i] {
--- a/internal/loader/failures_test.go
+++ b/internal/loader/failures_test.go
@@ -195,7 +195,7 @@
 		a.await(t, v2)
 		// A fetch that was already on its way may still have reached the origin.
 		must.LessEq(t, before+4, o.total(v1))
-		_, whole := a.Whole(v1.digest)
+		_, whole := a.Complete(v1.digest)
 		must.False(t, whole)
 	})
 }
@@ -237,7 +237,7 @@
 		o.setFault(func(string, int) ([]byte, error) { return nil, errDown })
 		before := o.total(v1)
 		a.Want([]string{v1.digest})
-		_, whole := a.Whole(v1.digest)
+		_, whole := a.Complete(v1.digest)
 		must.True(t, whole)
 		a.await(t, v1)
 		must.Eq(t, before, o.total(v1))
@@ -303,7 +303,7 @@
 		a.await(t, v1)
 		a.Keep(v2.digest)
 		a.await(t, v2)
-		_, whole := a.Whole(v1.digest)
+		_, whole := a.Complete(v1.digest)
 		must.False(t, whole)
 	})
 }
--- a/internal/loader/fuzz_test.go
+++ b/internal/loader/fuzz_test.go
@@ -53,7 +53,7 @@
 	}
 	must.LessEq(t, shelfMemory, held)
 	for _, w := range s.all {
-		_, whole := s.Whole(w.digest)
+		_, whole := s.Complete(w.digest)
 		r, err := s.Weights(w.digest)
 		must.Eq(t, whole, err == nil)
 		must.True(t, whole || !s.keep[w.digest], must.Sprint("the engine's weights are gone"))
@@ -94,7 +94,7 @@
 				"keep": func(t *rapid.T) {
 					clear(s.keep)
 					d := digest.Draw(t, "keep")
-					if _, whole := s.Whole(d); whole {
+					if _, whole := s.Complete(d); whole {
 						s.keep[d] = true
 						s.Keep(d)
 						return
@@ -124,7 +124,7 @@
 			<-time.After(10 * time.Minute)
 			s.check(t)
 			if len(s.want) > 0 && len(s.keep) == 0 {
-				_, whole := s.Whole(s.want[0])
+				_, whole := s.Complete(s.want[0])
 				must.True(t, whole, must.Sprintf("%s never came: %+v", s.want[0], s.Progress()))
 			}
 			cancel()
--- a/internal/loader/loader.go
+++ b/internal/loader/loader.go
@@ -109,13 +109,13 @@
 	order    planner.Order
 }
 
-// NotWholeError reports weights of which chunks are still missing.
-type NotWholeError struct {
+// IncompleteError reports weights of which chunks are still missing.
+type IncompleteError struct {
 	Manifest  string
 	Have, All int
 }
 
-func (e *NotWholeError) Error() string {
+func (e *IncompleteError) Error() string {
 	return fmt.Sprintf("weights %s not whole: %d of %d chunks", e.Manifest, e.Have, e.All)
 }
 
@@ -328,8 +328,8 @@
 	return hs
 }
 
-// Whole gives the manifest once all its chunks are held.
-func (l *Loader) Whole(manifest string) (*fetcher.Manifest, bool) {
+// Complete gives the manifest once all its chunks are held.
+func (l *Loader) Complete(manifest string) (*fetcher.Manifest, bool) {
 	l.setUp()
 	l.mu.Lock()
 	defer l.mu.Unlock()
@@ -365,10 +365,10 @@
 	defer l.mu.Unlock()
 	s := l.sets[manifest]
 	if s == nil || s.transfer == nil {
-		return nil, &NotWholeError{Manifest: manifest}
+		return nil, &IncompleteError{Manifest: manifest}
 	}
 	if !s.transfer.Whole() {
-		return nil, &NotWholeError{Manifest: manifest, Have: s.transfer.Count(), All: s.transfer.Chunks}
+		return nil, &IncompleteError{Manifest: manifest, Have: s.transfer.Count(), All: s.transfer.Chunks}
 	}
 	r := &reader{chunkSize: s.manifest.ChunkSize, size: s.manifest.Size}
 	for _, c := range s.manifest.Chunks {
--- a/internal/stager/cold_test.go
+++ b/internal/stager/cold_test.go
@@ -13,61 +13,61 @@
 	"github.com/oriolecroft/oriolecroft/internal/suspender"
 )
 
-// An engine starts anew while its agent hears nothing: the store is silent and so are the
-// entries that it asks. The record that tells for how long the engine is cold comes seconds
-// later. An agent that took it for warm meanwhile would let in all that the entries send, the
-// engine would fall over, and all that runs there would be lost.
-func TestEngineIsColdUntilItsRecordIsHeard(t *testing.T) {
+// Guards against overloading a restarted engine during an outage of the store. The record that
+// states how long the engine is cold arrives seconds late. An agent that treated it as warm
+// meanwhile would grant all requests, the engine would crash, and all requests running there would
+// be lost.
+func TestEngineIsColdUntilItsRecordArrives(t *testing.T) {
 	const (
 		rate  = 2
 		burst = 20
 	)
-	e := &engine{born: 1}
+	e := &engine{startedAt: 1}
 	vm := &suspender.VM{Steady: clock.RealClock{}}
-	w := newWorldOn(t, vm.Clock(), e, time.Hour)
-	w.put("table", rate)
-	w.put("upstream", 0)
+	f := newFixtureWithClock(t, vm.Clock(), e, time.Hour)
+	f.put("table", rate)
+	f.put("upstream", 0)
 	vm.Suspend(20 * time.Second)
-	eventually(t, func() bool { return w.granted(burst) == burst })
+	eventually(t, func() bool { return f.granted(burst) == burst })
 
-	e.startAnew()
-	eventually(t, func() bool { return w.granted(burst) == 0 })
+	e.restart()
+	eventually(t, func() bool { return f.granted(burst) == 0 })
 	vm.Suspend(3 * time.Second)
-	must.LessEq(t, 2*rate, w.granted(burst))
+	must.LessEq(t, 2*rate, f.granted(burst))
 
-	w.put("upstream", 0)
+	f.put("upstream", 0)
 	vm.Suspend(time.Second)
-	eventually(t, func() bool { return w.granted(burst) == burst })
+	eventually(t, func() bool { return f.granted(burst) == burst })
 
-	// A record that never comes must not keep the engine nearly idle for good.
-	e.startAnew()
-	eventually(t, func() bool { return w.granted(burst) == 0 })
+	// A record that never arrives must not keep the engine nearly idle forever.
+	e.restart()
+	eventually(t, func() bool { return f.granted(burst) == 0 })
 	vm.Suspend(20 * time.Second)
-	eventually(t, func() bool { return w.granted(burst) == burst })
+	eventually(t, func() bool { return f.granted(burst) == burst })
 }
 
-func (e *engine) startAnew() {
+func (e *engine) restart() {
 	e.mu.Lock()
 	defer e.mu.Unlock()
-	e.born++
+	e.startedAt++
 }
 
 // put writes a record of one byte.
-func (w *world) put(key string, value byte) {
-	w.registrar.Apply(registrar.Batch{After: w.revision, At: w.revision + 1, Records: []registrar.Record{
-		{Key: key, Value: []byte{value}, Revision: w.revision + 1}}})
-	w.revision++
+func (f *fixture) put(key string, value byte) {
+	f.registrar.Apply(registrar.Batch{After: f.revision, At: f.revision + 1, Records: []registrar.Record{
+		{Key: key, Value: []byte{value}, Revision: f.revision + 1}}})
+	f.revision++
 }
 
-// granted is how many of some requests at once get a place.
-func (w *world) granted(n int) int {
+// granted returns how many of n simultaneous requests get a slot.
+func (f *fixture) granted(n int) int {
 	granted := 0
 	for i := range n {
 		id := fmt.Sprint("burst-", i)
-		if w.ledger.Reserve(scheduler.Job{ID: id, Prompt: 1, Patience: time.Hour, Left: time.Millisecond}, nil).Granted {
+		if f.ledger.Reserve(scheduler.Job{ID: id, Prompt: 1, Patience: time.Hour, Left: time.Millisecond}, nil).Granted {
 			granted++
 		}
-		w.ledger.Ended(id)
+		f.ledger.Ended(id)
 	}
 	return granted
 }
--- a/internal/stager/rot_test.go
+++ b/internal/stager/corrupt_test.go
@@ -8,21 +8,20 @@
 	"github.com/shoenig/test/must"
 )
 
-// An agent reads back what lies staged and finds all of it right. Before it has given the
-// order it stands still for four seconds, and a chunk turns bad meanwhile. The engine takes
-// what lies there without a look: callers would get words made with spoilt weights until
-// the next version is loaded.
-func TestChunkThatRottedWhileTheAgentStoodStillIsMended(t *testing.T) {
-	e := &engine{born: 1}
+// An agent reads back the staged chunks and finds all of them right. Before it sends the load order
+// it is paused for four seconds, and a chunk is corrupted meanwhile. The engine does not check:
+// callers would get tokens generated from corrupted weights until the next version is loaded.
+func TestChunkCorruptedWhileTheAgentIsPausedIsReplaced(t *testing.T) {
+	e := &engine{startedAt: 1}
 	var once sync.Once
 	clean := false
-	e.reading = func(chunk int) {
+	e.onRead = func(chunk int) {
 		e.mu.Lock()
 		right := true
 		for i := range chunkCount {
 			right = right && string(e.staged[i]) == string(chunkOf(1, i))
 		}
-		// The reading that finds all right begins with all of them right.
+		// The read that finds all chunks right starts with all of them right.
 		clean = chunk == 0 && right || clean && right
 		last := clean && chunk == chunkCount-1
 		e.mu.Unlock()
@@ -36,7 +35,7 @@
 			time.Sleep(4 * time.Second)
 		})
 	}
-	newWorld(t, e, 8*time.Second)
+	newFixture(t, e, 8*time.Second)
 	eventually(t, func() bool { return e.holds() == 1 })
 	e.mu.Lock()
 	defer e.mu.Unlock()
--- a/internal/stager/digests.go
+++ b/internal/stager/digests.go
@@ -22,7 +22,7 @@
 	"github.com/oriolecroft/oriolecroft/pkg/bundler"
 )
 
-// Origin is where weights come from when no agent has them.
+// Origin is the source of weights that no agent has.
 type Origin interface {
 	Digests(ctx context.Context, model string, version uint64) (Digests, error)
 	// Chunk fetches a chunk of at most size bytes.
@@ -39,22 +39,22 @@
 	return d.ChunkBytes == other.ChunkBytes && slices.Equal(d.SHA256, other.SHA256)
 }
 
-// Digester learns which chunks make up a version, and keeps it. The origin names
-// versions by number, the loader by the digest of their manifest. It is safe for
-// concurrent use. Set the exported fields before use.
+// Digester learns which chunks make up a version, and stores the list. The origin identifies
+// versions by number, the loader by the digest of their manifest. It is safe for concurrent use.
+// Set the exported fields before use.
 type Digester struct {
-	// Client asks other agents.
+	// Client sends requests to other agents.
 	Client *http.Client
-	// Upload bounds the lists sent to other agents, in bytes; nil means no bound. Who asks beyond
-	// it is refused, and finds one that has got the list meanwhile.
+	// Upload limits the lists sent to other agents, in bytes; nil means no limit. Requests beyond
+	// it are refused, and the requester finds another agent that has received the list meanwhile.
 	Upload *rate.Limiter
 
 	mu       sync.Mutex
 	versions map[versionKey]*version
 	chunks   map[string]chunkOf
 	origin   Origin
-	// asked is for how long each version had been wanted when the origin was last asked.
-	asked map[versionKey]time.Duration
+	// lastOriginRequest is how long each version had been wanted when the origin was last asked.
+	lastOriginRequest map[versionKey]time.Duration
 }
 
 type versionKey struct {
@@ -75,46 +75,46 @@
 	chunk int
 }
 
-// VersionsPath is where agents tell each other a version's manifest.
+// VersionsPath is where agents serve the manifests of versions to each other.
 const VersionsPath = "/versions/"
 
 const (
-	// listShare is the part of the origin's link that chunk lists may take while chunks are fetched.
+	// listShare is the share of the origin's link for chunk lists while chunks are fetched.
 	listShare = 0.3
-	// digestBytes is what a chunk takes in a list: its digest in hexadecimal, with quotes and a comma.
-	digestBytes = 68
-	// originLists is how many times the origin is asked for a list: a spoilt one would make every right
-	// chunk look wrong.
-	originLists = 2
-	// defaultOriginStep is OriginStep for an origin whose link isn't known.
+	// listEntryBytes is a chunk's size in a list: its hexadecimal digest, quotes and a comma.
+	listEntryBytes = 68
+	// originListRequests is how many times the origin is asked for a list: with a corrupted list,
+	// every correct chunk would look wrong.
+	originListRequests = 2
+	// defaultOriginStep is the OriginStep for an origin with an unknown link rate.
 	defaultOriginStep = 50 * time.Millisecond
-	// askOriginAgain is the least time until an agent that asked the origin without success asks
-	// again.
-	askOriginAgain = 400 * time.Millisecond
-	// peerTimeout bounds a question to another agent: the list of a hundred chunks takes
-	// 0.1 s on a link of a megabit a second.
+	// originRetryInterval is the least time after a failed request to the origin before an agent's
+	// next.
+	originRetryInterval = 400 * time.Millisecond
+	// peerTimeout limits a request to another agent: a list of a hundred chunks takes 0.1 s on a
+	// link of one megabit per second.
 	peerTimeout = 250 * time.Millisecond
-	// roundTimeout bounds all questions of one round: the agent looks at its engine only
-	// between two rounds.
+	// roundTimeout limits all requests of one round: the agent polls its engine only between
+	// rounds.
 	roundTimeout = 300 * time.Millisecond
-	// othersAsked is how many peers are asked each time, all together: on links that are saturated
-	// with chunks an answer takes as long as a whole round on idle ones.
-	othersAsked = 6
+	// maxPeersAsked is how many peers are asked in parallel each round: on links saturated with
+	// chunks a response takes as long as a whole round on idle ones.
+	maxPeersAsked = 6
 )
 
-// OriginStep is how long each agent leaves the origin to the one before it in rank. The origin's link
-// is shared by all, and it takes few connections. The link's rate is in bytes a second; 0 when it isn't
-// known.
+// OriginStep is how long each agent waits for the agent before it in rank to ask the origin. All
+// share the origin's link, and it accepts few connections. The link's rate is in bytes per second;
+// 0 when unknown.
 func OriginStep(chunks int, rate int64) time.Duration {
 	if chunks <= 0 || rate <= 0 {
 		return defaultOriginStep
 	}
-	lists := originLists * digestBytes * float64(chunks)
+	lists := originListRequests * listEntryBytes * float64(chunks)
 	return time.Duration(lists / (listShare * float64(rate)) * float64(time.Second))
 }
 
-// Known gives the digest of a version's manifest.
-func (d *Digester) Known(model string, number uint64) (digest string, ok bool) {
+// ManifestDigest returns the digest of a version's manifest.
+func (d *Digester) ManifestDigest(model string, number uint64) (digest string, ok bool) {
 	d.mu.Lock()
 	defer d.mu.Unlock()
 	v := d.versions[versionKey{model, number}]
@@ -124,10 +124,10 @@
 	return v.digest, true
 }
 
-// Learn tries to learn a version's manifest from the other agents, or from the origin when this agent's
-// rank is due, a step after the one before it. Since is for how long it has been wanted. Peers are
-// picked at random: were those in rank before the others asked first, all lists would leave over their
-// links, and who asks all in turn waits for each one that is dead.
+// Learn tries to learn a version's manifest from the peers, or from the origin when this agent's
+// rank is due, one step after the rank before it. Since is how long the version has been wanted.
+// Peers are picked at random: if those ahead in rank were asked first, all lists would be sent over
+// their links, and asking all peers in turn would wait for each one that is dead.
 func (d *Digester) Learn(ctx context.Context, k versionKey, self string, peers []peerAgent, since, step time.Duration) {
 	own := planner.Score(k.String(), self)
 	rank := 0
@@ -136,7 +136,7 @@
 			rank++
 		}
 	}
-	if d.takeTurn(k, time.Duration(rank)*step, since) && d.fromOrigin(ctx, k) {
+	if d.claimOriginTurn(k, time.Duration(rank)*step, since) && d.fromOrigin(ctx, k) {
 		return
 	}
 	ctx, cancel := context.WithTimeout(ctx, roundTimeout)
@@ -144,36 +144,36 @@
 	d.fromPeers(ctx, k, peers)
 }
 
-// fromPeers asks a few peers together, and leaves the others' answers as soon as one is good.
+// fromPeers asks a few peers in parallel, and returns at the first valid response.
 func (d *Digester) fromPeers(ctx context.Context, k versionKey, peers []peerAgent) {
-	order := rand.Perm(len(peers))
-	order = order[:min(len(order), othersAsked)]
-	learned := make(chan bool, len(order))
-	for _, i := range order {
+	picked := rand.Perm(len(peers))
+	picked = picked[:min(len(picked), maxPeersAsked)]
+	learned := make(chan bool, len(picked))
+	for _, i := range picked {
 		go func() { learned <- d.fromPeer(ctx, k, peers[i].chunks) }()
 	}
-	for range order {
+	for range picked {
 		if <-learned {
 			return
 		}
 	}
 }
 
-// takeTurn tells whether the origin may be asked now, and notes that it is. Who asked in vain
-// leaves it to those before it for as long once more. When the origin has been down for a
-// while, every agent's first turn has come; were all to ask at each look, they would take the
-// origin's few connections at its return from those that draw the chunks.
-func (d *Digester) takeTurn(k versionKey, turn, since time.Duration) bool {
+// claimOriginTurn reports whether the origin may be asked, and records the request. After a failed
+// request an agent waits for its rank's time once more. After a long outage of the origin every
+// agent's first turn is due; if all asked at each attempt, they would take the origin's few
+// connections at its return from the agents that fetch the chunks.
+func (d *Digester) claimOriginTurn(k versionKey, turn, since time.Duration) bool {
 	d.mu.Lock()
 	defer d.mu.Unlock()
-	last, ok := d.asked[k]
-	if since < turn || ok && since >= last && since-last < max(turn, askOriginAgain) {
+	last, ok := d.lastOriginRequest[k]
+	if since < turn || ok && since >= last && since-last < max(turn, originRetryInterval) {
 		return false
 	}
-	if d.asked == nil {
-		d.asked = map[versionKey]time.Duration{}
+	if d.lastOriginRequest == nil {
+		d.lastOriginRequest = map[versionKey]time.Duration{}
 	}
-	d.asked[k] = since
+	d.lastOriginRequest[k] = since
 	return true
 }
 
@@ -186,7 +186,7 @@
 	}
 	res, err := d.Client.Do(r)
 	if err != nil {
-		klog.V(1).InfoS("Agent did not tell a version", "peer", a, "version", k, "err", err)
+		klog.V(1).InfoS("Manifest not received from peer", "peer", a, "version", k, "err", err)
 		return false
 	}
 	defer res.Body.Close()
@@ -196,16 +196,16 @@
 	m := new(fetcher.Manifest)
 	body := bodyreader.Reader{Response: res}
 	if err := body.ReadJSON(fetcher.MaxManifestBytes, m); err != nil {
-		klog.InfoS("Agent told a version that can't be read", "peer", a, "version", k, "err", err)
+		klog.InfoS("Manifest from peer not readable", "peer", a, "version", k, "err", err)
 		return false
 	}
 	if m.Model != k.model || m.Version != strconv.FormatUint(k.version, 10) {
 		return false
 	}
-	return d.keep(k, m)
+	return d.store(k, m)
 }
 
-// fromOrigin asks the origin for both lists at once, since the link may be saturated with chunks.
+// fromOrigin requests both lists at once, since the link may be saturated with chunks.
 func (d *Digester) fromOrigin(ctx context.Context, k versionKey) bool {
 	d.mu.Lock()
 	o := d.origin
@@ -213,8 +213,8 @@
 	if o == nil {
 		return false
 	}
-	var lists [originLists]Digests
-	var errs [originLists]error
+	var lists [originListRequests]Digests
+	var errs [originListRequests]error
 	var calls sync.WaitGroup
 	for i := range lists {
 		calls.Go(func() { lists[i], errs[i] = o.Digests(ctx, k.model, k.version) })
@@ -225,13 +225,13 @@
 		return false
 	}
 	if !lists[0].equal(lists[1]) {
-		klog.InfoS("Origin gave two different chunk lists", "version", k)
+		klog.InfoS("Origin sent two different chunk lists", "version", k)
 		return false
 	}
-	return d.keep(k, manifest(k, lists[0]))
+	return d.store(k, newManifest(k, lists[0]))
 }
 
-func manifest(k versionKey, ds Digests) *fetcher.Manifest {
+func newManifest(k versionKey, ds Digests) *fetcher.Manifest {
 	m := &fetcher.Manifest{
 		Model: k.model, Version: strconv.FormatUint(k.version, 10),
 		ChunkSize: ds.ChunkBytes, Size: ds.ChunkBytes * int64(len(ds.SHA256)),
@@ -242,7 +242,7 @@
 	return m
 }
 
-func (d *Digester) keep(k versionKey, m *fetcher.Manifest) bool {
+func (d *Digester) store(k versionKey, m *fetcher.Manifest) bool {
 	body, err := json.Marshal(m)
 	if err != nil {
 		klog.ErrorS(err, "Manifest not encoded", "version", k)
@@ -250,7 +250,7 @@
 	}
 	digest := bundler.Digest(body)
 	if _, err := fetcher.ParseManifest(digest, body); err != nil {
-		klog.ErrorS(err, "Manifest of no use", "version", k)
+		klog.ErrorS(err, "Manifest not valid", "version", k)
 		return false
 	}
 	d.mu.Lock()
@@ -266,18 +266,18 @@
 	for i, c := range m.Chunks {
 		d.chunks[c] = chunkOf{k, i}
 	}
-	klog.InfoS("Version known", "model", k.model, "version", k.version, "manifest", digest, "chunks", len(m.Chunks))
+	klog.InfoS("Manifest of version learned", "model", k.model, "version", k.version, "manifest", digest, "chunks", len(m.Chunks))
 	return true
 }
 
-// SetOrigin names the origin.
+// SetOrigin sets the origin.
 func (d *Digester) SetOrigin(o Origin) {
 	d.mu.Lock()
 	defer d.mu.Unlock()
 	d.origin = o
 }
 
-// Handler tells other agents the manifests of known versions.
+// Handler serves the manifests of known versions to other agents.
 func (d *Digester) Handler() http.Handler {
 	return http.HandlerFunc(func(w http.ResponseWriter, r *http.Request) {
 		model, number, _ := strings.Cut(strings.TrimPrefix(r.URL.Path, VersionsPath), "/")
@@ -299,7 +299,7 @@
 		}
 		w.Header().Set("Content-Type", "application/json")
 		if _, err := w.Write(v.body); err != nil {
-			klog.V(1).InfoS("Version not sent", "err", err)
+			klog.V(1).InfoS("Manifest of version not sent", "err", err)
 		}
 	})
 }
@@ -318,7 +318,7 @@
 	return nil, &fetcher.NotHeldError{Source: "known versions", Digest: digest}
 }
 
-// Chunk implements fetcher.Source: it draws a chunk from the origin.
+// Chunk implements fetcher.Source: it fetches a chunk from the origin.
 func (d *Digester) Chunk(ctx context.Context, digest string, size int64) ([]byte, error) {
 	d.mu.Lock()
 	c, ok := d.chunks[digest]
--- a/internal/stager/export_test.go
+++ b/internal/stager/export_test.go
@@ -6,7 +6,7 @@
 	"time"
 )
 
-// LearnFrom has an agent look once for a version's chunks among others.
+// LearnFrom makes one attempt of an agent to learn a version's chunks from others.
 func (d *Digester) LearnFrom(ctx context.Context, model string, number uint64, self netip.AddrPort, others []netip.AddrPort, since, step time.Duration) {
 	var peers []peerAgent
 	for _, a := range others {
@@ -15,5 +15,5 @@
 	d.Learn(ctx, versionKey{model, number}, self.String(), peers, since, step)
 }
 
-// LearnEvery is the pause between two such looks.
-const LearnEvery = learnEvery
+// LearnInterval is the pause between two such attempts.
+const LearnInterval = learnInterval
--- a/internal/stager/poll_test.go
+++ b/internal/stager/poll_test.go
@@ -9,33 +9,33 @@
 	clocktest "k8s.io/utils/clock/testing"
 )
 
-// Guards against grants for an engine that has restarted since its agent last asked it: an entry that
-// knows of the restart has the agent ask at once.
+// Guards against grants for an engine that has restarted since its agent last polled it: an entry
+// that detects the restart makes the agent poll at once.
 func TestAgentPollsItsEngineAtOnce(t *testing.T) {
-	e := &engine{born: 1}
+	e := &engine{startedAt: 1}
 	c := clocktest.NewFakeClock(time.Unix(1000, 0))
-	w := newWorldOn(t, c, e, time.Hour)
-	sees := func(born int64) func() bool {
-		return func() bool { b, _ := w.stager.EngineStart(); return b.Equal(time.UnixMilli(born)) }
+	f := newFixtureWithClock(t, c, e, time.Hour)
+	observed := func(born int64) func() bool {
+		return func() bool { b, _ := f.stager.EngineStart(); return b.Equal(time.UnixMilli(born)) }
 	}
-	eventually(t, sees(1))
-	e.startAnew()
-	w.stager.Poll()
-	eventually(t, sees(2))
+	eventually(t, observed(1))
+	e.restart()
+	f.stager.Poll()
+	eventually(t, observed(2))
 	c.Step(20 * time.Millisecond)
-	_, ago := w.stager.EngineStart()
+	_, ago := f.stager.EngineStart()
 	must.Eq(t, 20*time.Millisecond, ago)
 }
 
-// Guards against an engine that has loaded its weights and takes no requests until its agent asks
-// it the next time, 0.15 s after the last one.
+// Guards against an engine that has loaded its weights and takes no requests until its agent polls
+// it again, 0.15 s after the last time.
 func TestAgentPollsOftenWhenItsEngineShouldHaveLoaded(t *testing.T) {
-	var looks atomic.Int64
-	e := &engine{born: 1, loads: 300 * time.Millisecond}
-	e.looking = func() { looks.Add(1) }
-	newWorld(t, e, 8*time.Second)
+	var reports atomic.Int64
+	e := &engine{startedAt: 1, loadTime: 300 * time.Millisecond}
+	e.onReport = func() { reports.Add(1) }
+	newFixture(t, e, 8*time.Second)
 	eventually(t, func() bool { e.mu.Lock(); defer e.mu.Unlock(); return e.orders == 1 })
-	before := looks.Load()
+	before := reports.Load()
 	eventually(t, func() bool { return e.holds() == 1 })
-	must.GreaterEq(t, 5, looks.Load()-before)
+	must.GreaterEq(t, 5, reports.Load()-before)
 }
--- a/internal/stager/ramp.go
+++ b/internal/stager/ramp.go
@@ -6,25 +6,25 @@
 	"github.com/oriolecroft/oriolecroft/internal/scheduler"
 )
 
-// returnedAfter is for how long an engine has to leave its agent without an answer before its return
-// begins a slow start. A single late answer is usual on a busy VM.
-const returnedAfter = 500 * time.Millisecond
+// minOutage is how long an engine must be unresponsive for its return to begin a slow start. A
+// single late response is usual on a busy VM.
+const minOutage = 500 * time.Millisecond
 
-// noteSilence notes that the engine doesn't answer.
-func (s *Stager) noteSilence() {
-	if s.silentSince.IsZero() {
-		s.silentSince = s.Clock.Now()
+// markUnresponsive records that the engine does not respond.
+func (s *Stager) markUnresponsive() {
+	if s.unresponsiveSince.IsZero() {
+		s.unresponsiveSince = s.Clock.Now()
 	}
 }
 
-// noteAnswer has the ledger begin a slow start if the engine has just started or answers again. An agent
-// that itself has just started knows an engine that did so with it by its lack of weights.
-func (s *Stager) noteAnswer(r Report) {
-	silentSince := s.silentSince
-	s.silentSince = time.Time{}
+// markResponsive begins a slow start if the engine has just started or responds again. An agent
+// that has itself just started recognizes an engine that started with it by its lack of weights.
+func (s *Stager) markResponsive(r Report) {
+	silentSince := s.unresponsiveSince
+	s.unresponsiveSince = time.Time{}
 	switch {
 	case r.StartedAt.Equal(s.engineStart):
-		if !silentSince.IsZero() && s.Clock.Since(silentSince) >= returnedAfter {
+		if !silentSince.IsZero() && s.Clock.Since(silentSince) >= minOutage {
 			s.Ledger.BeginRamp(scheduler.EngineReturned)
 		}
 	case !s.engineStart.IsZero() || len(r.Models) == 0:
--- a/internal/stager/ramp_test.go
+++ b/internal/stager/ramp_test.go
@@ -7,26 +7,26 @@
 	"github.com/shoenig/test/must"
 )
 
-func (e *engine) setAbsent(absent bool) {
+func (e *engine) setUnresponsive(absent bool) {
 	e.mu.Lock()
 	defer e.mu.Unlock()
-	e.absent = absent
+	e.unresponsive = absent
 }
 
-// Guards against an engine that is flooded after its start, one that is held back as its agent alone has
-// restarted, and one that is held back after a single report was late.
+// Guards against an engine that is flooded after its start, one that is throttled although only its
+// agent has restarted, and one that is throttled after a single late report.
 func TestSlowStartOfAnEngine(t *testing.T) {
-	e := &engine{born: 1, held: 1}
-	w := newWorld(t, e, time.Hour)
-	eventually(t, w.open)
-	must.False(t, w.ledger.Ramping(), must.Sprint("only the agent has started"))
+	e := &engine{startedAt: 1, held: 1}
+	f := newFixture(t, e, time.Hour)
+	eventually(t, f.isOpen)
+	must.False(t, f.ledger.Ramping(), must.Sprint("only the agent has restarted"))
 
-	e.startAnew()
-	eventually(t, w.ledger.Ramping)
-	eventually(t, func() bool { return !w.ledger.Ramping() })
+	e.restart()
+	eventually(t, f.ledger.Ramping)
+	eventually(t, func() bool { return !f.ledger.Ramping() })
 
-	e.setAbsent(true)
+	e.setUnresponsive(true)
 	time.Sleep(time.Second)
-	e.setAbsent(false)
-	eventually(t, w.ledger.Ramping)
+	e.setUnresponsive(false)
+	eventually(t, f.ledger.Ramping)
 }
--- a/internal/stager/stager_test.go
+++ b/internal/stager/stager_test.go
@@ -33,36 +33,36 @@
 	model      = "m"
 )
 
-// chunkOf makes the bytes of a version's chunk.
+// chunkOf returns the bytes of a version's chunk.
 func chunkOf(version uint64, chunk int) []byte {
 	return fmt.Appendf(nil, "version %d chunk %d", version, chunk)
 }
 
-// engine loads whatever lies staged, unchecked, as a real one does.
+// engine loads whatever is staged without checking it, like a real one.
 type engine struct {
-	mu     sync.Mutex
-	staged map[int][]byte
-	held   uint64
-	born   int64
-	// loaded is what lay staged at the last order.
+	mu        sync.Mutex
+	staged    map[int][]byte
+	held      uint64
+	startedAt int64
+	// loaded is what was staged at the last order.
 	loaded map[int][]byte
 	orders int
-	// versions are those of the orders.
+	// versions lists the versions of the orders.
 	versions []uint64
-	// rot, when set, spoils the next chunk that is staged.
-	rot bool
-	// running requests keep an order waiting.
+	// corruptNext, when set, corrupts the next chunk that is staged.
+	corruptNext bool
+	// running is the number of requests that delay an order.
 	running int
-	// slow is how long the engine takes to say which chunks lie staged, or to stage one.
-	slow time.Duration
-	// absent engines don't answer.
-	absent bool
-	// loads is how long loading takes.
-	loads time.Duration
-	// looking and reading, when set, are called while the engine is asked what it does, and
-	// which bytes lie staged.
-	looking func()
-	reading func(chunk int)
+	// delay is how long the engine takes to stage a chunk.
+	delay time.Duration
+	// unresponsive engines refuse calls for their report.
+	unresponsive bool
+	// loadTime is how long loading takes.
+	loadTime time.Duration
+	// onReport and onRead, when set, are called while the engine's report is requested, and while a
+	// staged chunk is read back.
+	onReport func()
+	onRead   func(chunk int)
 }
 
 var (
@@ -72,17 +72,17 @@
 
 func (e *engine) Report(context.Context) (stager.Report, error) {
 	e.mu.Lock()
-	looking := e.looking
+	looking := e.onReport
 	e.mu.Unlock()
 	if looking != nil {
 		looking()
 	}
 	e.mu.Lock()
 	defer e.mu.Unlock()
-	if e.absent {
-		return stager.Report{}, errAbsent
+	if e.unresponsive {
+		return stager.Report{}, errRefused
 	}
-	r := stager.Report{StartedAt: time.UnixMilli(e.born), Running: e.running}
+	r := stager.Report{StartedAt: time.UnixMilli(e.startedAt), Running: e.running}
 	if e.held > 0 {
 		r.Models = []registrar.HeldModel{{Name: model, Version: e.held}}
 	}
@@ -91,13 +91,13 @@
 
 func (e *engine) Stage(_ context.Context, _ string, chunk int, data []byte) error {
 	e.mu.Lock()
-	slow := e.slow
+	slow := e.delay
 	e.mu.Unlock()
 	time.Sleep(slow)
 	e.mu.Lock()
 	defer e.mu.Unlock()
-	if e.rot {
-		e.rot = false
+	if e.corruptNext {
+		e.corruptNext = false
 		data = []byte("spoilt")
 	}
 	e.staged[chunk] = data
@@ -107,7 +107,7 @@
 func (e *engine) Staged(_ context.Context, _ string, chunk int, _ int64) ([]byte, error) {
 	e.mu.Lock()
 	data, ok := e.staged[chunk]
-	reading := e.reading
+	reading := e.onRead
 	e.mu.Unlock()
 	if reading != nil {
 		reading(chunk)
@@ -124,7 +124,7 @@
 	return slices.Sorted(maps.Keys(e.staged)), nil
 }
 
-var errAbsent = errors.New("connection refused")
+var errRefused = errors.New("connection refused")
 
 func (e *engine) Load(_ context.Context, _ string, version uint64) error {
 	e.mu.Lock()
@@ -135,11 +135,11 @@
 	for i, data := range e.staged {
 		e.loaded[i] = data
 	}
-	if e.loads == 0 {
+	if e.loadTime == 0 {
 		e.held = version
 		return nil
 	}
-	time.AfterFunc(e.loads, func() {
+	time.AfterFunc(e.loadTime, func() {
 		e.mu.Lock()
 		defer e.mu.Unlock()
 		e.held = version
@@ -153,8 +153,8 @@
 	return e.held
 }
 
-// lies tells whether these chunks of a version lie staged.
-func (e *engine) lies(version uint64, chunks ...int) bool {
+// hasStaged reports whether these chunks of a version are staged.
+func (e *engine) hasStaged(version uint64, chunks ...int) bool {
 	e.mu.Lock()
 	defer e.mu.Unlock()
 	for _, i := range chunks {
@@ -165,20 +165,20 @@
 	return true
 }
 
-// origin gives every version; while spoilt it gives wrong digests now and then.
+// origin serves every version; while differing is set, its lists of digests are wrong.
 type origin struct {
-	mu    sync.Mutex
-	asked int
+	mu           sync.Mutex
+	listRequests int
 	// differing makes each list of digests differ from the one before.
 	differing bool
-	// withheld chunks are not given; drawn are those given so far.
+	// withheld chunks are not served; served lists those served so far.
 	withheld map[int]bool
-	// withheldVersion is given nothing of; 0 for none.
+	// withheldVersion is the version of which nothing is served; 0 for none.
 	withheldVersion uint64
-	drawn           []int
-	// drawnOf counts the chunks given of each version.
-	drawnOf map[uint64]int
-	// down refuses all lists of digests; listed are the versions whose list was given.
+	served          []int
+	// servedOf counts the chunks served of each version.
+	servedOf map[uint64]int
+	// down refuses all lists of digests; listed are the versions whose list was served.
 	down   bool
 	listed map[uint64]bool
 }
@@ -186,7 +186,7 @@
 func (o *origin) Digests(_ context.Context, _ string, version uint64) (stager.Digests, error) {
 	o.mu.Lock()
 	defer o.mu.Unlock()
-	o.asked++
+	o.listRequests++
 	if o.down {
 		return stager.Digests{}, errWithheld
 	}
@@ -200,7 +200,7 @@
 		d.SHA256 = append(d.SHA256, hex.EncodeToString(sum[:]))
 	}
 	if o.differing {
-		sum := sha256.Sum256(fmt.Append(nil, o.asked))
+		sum := sha256.Sum256(fmt.Append(nil, o.listRequests))
 		d.SHA256[0] = hex.EncodeToString(sum[:])
 	}
 	return d, nil
@@ -213,17 +213,17 @@
 		return nil, errWithheld
 	}
 	if version > 1 {
-		o.drawn = append(o.drawn, chunk)
+		o.served = append(o.served, chunk)
 	}
-	if o.drawnOf == nil {
-		o.drawnOf = map[uint64]int{}
+	if o.servedOf == nil {
+		o.servedOf = map[uint64]int{}
 	}
-	o.drawnOf[version]++
+	o.servedOf[version]++
 	return chunkOf(version, chunk), nil
 }
 
-// world is one agent beside one engine.
-type world struct {
+// fixture is one agent beside one engine.
+type fixture struct {
 	loader    *loader.Loader
 	stager    *stager.Stager
 	registrar *registrar.Registrar
@@ -234,38 +234,38 @@
 	stop      context.CancelFunc
 }
 
-func newWorld(t *testing.T, e *engine, bound time.Duration, found ...registrar.Record) *world {
-	return newWorldOn(t, clock.RealClock{}, e, bound, found...)
+func newFixture(t *testing.T, e *engine, bound time.Duration, found ...registrar.Record) *fixture {
+	return newFixtureWithClock(t, clock.RealClock{}, e, bound, found...)
 }
 
-// newWorldOn makes one whose ages are told by the given clock.
-func newWorldOn(t *testing.T, c clock.WithTicker, e *engine, bound time.Duration, found ...registrar.Record) *world {
-	return newWorldWith(t, c, e, &origin{}, bound, found...)
+// newFixtureWithClock makes a fixture whose ages are measured by the given clock.
+func newFixtureWithClock(t *testing.T, c clock.WithTicker, e *engine, bound time.Duration, found ...registrar.Record) *fixture {
+	return newFixtureWithOrigin(t, c, e, &origin{}, bound, found...)
 }
 
-func newWorldWith(t *testing.T, c clock.WithTicker, e *engine, o *origin, bound time.Duration, found ...registrar.Record) *world {
-	w := &world{engine: e, origin: o, ledger: &scheduler.Ledger{Clock: c}, revision: 1}
+func newFixtureWithOrigin(t *testing.T, c clock.WithTicker, e *engine, o *origin, bound time.Duration, found ...registrar.Record) *fixture {
+	f := &fixture{engine: e, origin: o, ledger: &scheduler.Ledger{Clock: c}, revision: 1}
 	if e.staged == nil {
 		e.staged = map[int][]byte{}
 	}
-	w.registrar = &registrar.Registrar{Clock: c, Decode: decode}
-	w.registrar.Apply(registrar.Batch{Whole: true, At: 1, Records: append(found, registrar.Record{Key: "table", Revision: 1})})
+	f.registrar = &registrar.Registrar{Clock: c, Decode: decode}
+	f.registrar.Apply(registrar.Batch{Whole: true, At: 1, Records: append(found, registrar.Record{Key: "table", Revision: 1})})
 	client := &http.Client{}
 	digests := &stager.Digester{Client: client}
 	l := &loader.Loader{ID: "self", Region: "r", Clock: clock.RealClock{}, Sources: []fetcher.Source{digests}, Memory: 1 << 20,
 		Peer:     func(a netip.AddrPort) fetcher.Source { return &fetcher.HTTP{Address: a, Client: client} },
 		Patience: 50 * time.Millisecond, Settle: time.Millisecond, Poll: 20 * time.Millisecond}
 	s := &stager.Stager{ID: "agent", Service: "s", Address: netip.MustParseAddrPort("127.0.0.1:1"), Region: "r",
-		Registrar: w.registrar, Loader: l, Ledger: w.ledger, Engine: e, Bound: bound, Clock: c, Digests: digests,
-		Origin: func(netip.AddrPort) stager.Origin { return w.origin }}
-	w.loader = l
-	w.stager, w.ledger.Expiry = s, s.Expiry
+		Registrar: f.registrar, Loader: l, Ledger: f.ledger, Engine: e, Bound: bound, Clock: c, Digests: digests,
+		Origin: func(netip.AddrPort) stager.Origin { return f.origin }}
+	f.loader = l
+	f.stager, f.ledger.Expiry = s, s.Expiry
 	ctx, stop := context.WithCancel(context.Background())
-	w.stop = stop
+	f.stop = stop
 	t.Cleanup(stop)
 	go func() { _ = l.Serve(ctx) }()
 	go func() { _ = s.Serve(ctx) }()
-	return w
+	return f
 }
 
 func decode(key string, value []byte) (registrar.Fact, error) {
@@ -293,21 +293,21 @@
 	return registrar.Weights{Model: model, Version: uint64(value[0])}, nil
 }
 
-// name makes a version the one to hold.
-func (w *world) name(version byte) {
-	w.registrar.Apply(naming(w.revision, version))
-	w.revision++
+// announce makes a version the one to hold.
+func (f *fixture) announce(version byte) {
+	f.registrar.Apply(announcement(f.revision, version))
+	f.revision++
 }
 
-// naming is the change after a revision that makes a version the one to hold.
-func naming(after uint64, version byte) registrar.Batch {
+// announcement returns the change after a revision that makes a version the one to hold.
+func announcement(after uint64, version byte) registrar.Batch {
 	return registrar.Batch{After: after, At: after + 1, Records: []registrar.Record{
 		{Key: "weights", Value: []byte{version}, Revision: after + 1}}}
 }
 
-func (w *world) open() bool {
-	v := w.ledger.Reserve(scheduler.Job{ID: "probe", Prompt: 1, Patience: time.Hour, Left: time.Millisecond}, nil)
-	w.ledger.Ended("probe")
+func (f *fixture) isOpen() bool {
+	v := f.ledger.Reserve(scheduler.Job{ID: "probe", Prompt: 1, Patience: time.Hour, Left: time.Millisecond}, nil)
+	f.ledger.Ended("probe")
 	return v.Granted
 }
 
@@ -316,20 +316,20 @@
 	must.Wait(t, wait.InitialSuccess(wait.BoolFunc(f), wait.Timeout(10*time.Second), wait.Gap(10*time.Millisecond)))
 }
 
-// An engine is added empty. It must not get a request before it holds whole weights.
-func TestEmptyEngineIsFilledBeforeItOpens(t *testing.T) {
-	e := &engine{born: 1}
-	w := newWorld(t, e, 8*time.Second)
-	must.False(t, w.open())
+// An added engine is empty. It must not get a request before it holds complete weights.
+func TestEmptyEngineIsLoadedBeforeItOpens(t *testing.T) {
+	e := &engine{startedAt: 1}
+	f := newFixture(t, e, 8*time.Second)
+	must.False(t, f.isOpen())
 	eventually(t, func() bool { return e.holds() == 1 })
-	eventually(t, w.open)
+	eventually(t, f.isOpen)
 }
 
-// A chunk turns bad between its staging and the order. The engine does not check, and
-// would answer from spoilt weights.
-func TestRottenChunkIsMendedBeforeTheOrder(t *testing.T) {
-	e := &engine{born: 1, rot: true}
-	newWorld(t, e, 8*time.Second)
+// Guards against a chunk that is corrupted between its staging and the load order: the engine does
+// not check, and would generate from corrupted weights.
+func TestCorruptStagedChunkIsReplacedBeforeTheLoadOrder(t *testing.T) {
+	e := &engine{startedAt: 1, corruptNext: true}
+	newFixture(t, e, 8*time.Second)
 	eventually(t, func() bool { return e.holds() == 1 })
 	e.mu.Lock()
 	defer e.mu.Unlock()
@@ -338,176 +338,172 @@
 	}
 }
 
-// A restarted engine keeps what was staged and holds nothing. Its agent must notice,
-// and have it loaded again before requests go there.
+// A restarted engine keeps what was staged and holds nothing. Its agent must detect the restart and
+// order a load before requests are sent there.
 func TestRestartedEngineIsLoadedAgain(t *testing.T) {
-	e := &engine{born: 1}
-	w := newWorld(t, e, 8*time.Second)
-	eventually(t, w.open)
+	e := &engine{startedAt: 1}
+	f := newFixture(t, e, 8*time.Second)
+	eventually(t, f.isOpen)
 	e.mu.Lock()
-	e.born, e.held, e.orders = 2, 0, 0
+	e.startedAt, e.held, e.orders = 2, 0, 0
 	e.mu.Unlock()
 	eventually(t, func() bool { e.mu.Lock(); defer e.mu.Unlock(); return e.orders == 1 })
-	eventually(t, w.open)
+	eventually(t, f.isOpen)
 }
 
-// A new version is named. Were the engine to stop at once, all engines would; it goes
-// on with the old weights until its turn, and then takes the new ones.
-func TestNamedVersionIsTakenInTurn(t *testing.T) {
+// If engines stopped at the announcement of a version, all would stop at once. An engine continues
+// with the old weights until its switch, and then loads the new ones.
+func TestAnnouncedVersionIsLoadedAtTheSwitchTime(t *testing.T) {
 	const bound = 3 * time.Second
-	e := &engine{born: 1}
-	vm := &suspender.VM{Steady: stillClock{at: time.Unix(1000, 0)}}
-	w := newWorldOn(t, vm.Clock(), e, bound)
-	eventually(t, w.open)
-	w.name(2)
-	eventually(t, func() bool { return e.lies(2, 0, 1, 2, 3, 4, 5) })
+	e := &engine{startedAt: 1}
+	vm := &suspender.VM{Steady: fixedClock{at: time.Unix(1000, 0)}}
+	f := newFixtureWithClock(t, vm.Clock(), e, bound)
+	eventually(t, f.isOpen)
+	f.announce(2)
+	eventually(t, func() bool { return e.hasStaged(2, 0, 1, 2, 3, 4, 5) })
 	must.Eq(t, 1, e.holds())
-	must.True(t, w.open(), must.Sprint("the old weights still serve"))
-	// The only engine's turn is half-way.
+	must.True(t, f.isOpen(), must.Sprint("the old weights must still serve"))
+	// The switch of the only engine is due at half the bound.
 	vm.Suspend(bound/2 + time.Millisecond)
 	eventually(t, func() bool { return e.holds() == 2 })
-	eventually(t, w.open)
+	eventually(t, f.isOpen)
 }
 
-// stillClock stands still, and its timers run: ages are those that a test makes, however
-// long its steps take on a busy machine.
-type stillClock struct {
+// fixedClock always shows the same time, but its timers run: ages are those that a test sets,
+// however long its steps take on a busy machine.
+type fixedClock struct {
 	clock.RealClock
 	at time.Time
 }
 
-func (c stillClock) Now() time.Time                  { return c.at }
-func (c stillClock) Since(t time.Time) time.Duration { return c.at.Sub(t) }
-
-// All agents lose their memory just before the engines' turns to take a new version, and
-// all that is left is what lies staged. If that is the old version, the new one has to
-// come from the origin once more, and callers are refused until then.
-func TestWholeWeightsAreStagedBeforeTheTurn(t *testing.T) {
-	e := &engine{born: 1}
-	w := newWorld(t, e, time.Minute)
-	eventually(t, w.open)
-	w.name(2)
-	eventually(t, func() bool { return e.lies(2, 0, 1, 2, 3, 4, 5) })
-	must.Eq(t, 1, e.holds(), must.Sprint("the engine goes on with the old weights until its turn"))
-	must.True(t, w.open())
-}
-
-// The origin goes down while a version is on its way, and then the agent is killed. The
-// chunks that had come must not be drawn once more when both are back: all agents lose
-// theirs together when the power fails, and the whole version would have to cross the
-// origin's link again before anything is served.
-func TestArrivedChunksOutliveTheirAgent(t *testing.T) {
-	e := &engine{born: 1}
-	w := newWorld(t, e, time.Minute)
-	eventually(t, w.open)
-	w.origin.mu.Lock()
-	w.origin.withheld = map[int]bool{2: true, 4: true}
-	w.origin.mu.Unlock()
-	w.name(2)
-	eventually(t, func() bool { return e.lies(2, 0, 1, 3, 5) })
-	w.stop()
+func (c fixedClock) Now() time.Time                  { return c.at }
+func (c fixedClock) Since(t time.Time) time.Duration { return c.at.Sub(t) }
+
+// All agents lose their memory just before the engines switch to a new version, and only the staged
+// chunks are left. If they are the old version's, the new one has to come from the origin again,
+// and callers are refused until then.
+func TestCompleteWeightsAreStagedBeforeTheSwitch(t *testing.T) {
+	e := &engine{startedAt: 1}
+	f := newFixture(t, e, time.Minute)
+	eventually(t, f.isOpen)
+	f.announce(2)
+	eventually(t, func() bool { return e.hasStaged(2, 0, 1, 2, 3, 4, 5) })
+	must.Eq(t, 1, e.holds(), must.Sprint("the engine must keep the old weights until its switch"))
+	must.True(t, f.isOpen())
+}
+
+// The origin fails while a version is being fetched, and then the agent is killed. Chunks that
+// arrived must not be fetched again when both are back: after a power failure all agents lose
+// theirs together, and the complete version would have to cross the origin's link again before any
+// request is served.
+func TestStagedChunksSurviveAnAgentRestart(t *testing.T) {
+	e := &engine{startedAt: 1}
+	f := newFixture(t, e, time.Minute)
+	eventually(t, f.isOpen)
+	f.origin.mu.Lock()
+	f.origin.withheld = map[int]bool{2: true, 4: true}
+	f.origin.mu.Unlock()
+	f.announce(2)
+	eventually(t, func() bool { return e.hasStaged(2, 0, 1, 3, 5) })
+	f.stop()
 	e.mu.Lock()
-	e.born, e.held = 2, 0
+	e.startedAt, e.held = 2, 0
 	e.mu.Unlock()
-	next := newWorld(t, e, time.Minute, registrar.Record{Key: "weights", Value: []byte{2}, Revision: 1})
-	eventually(t, next.open)
+	next := newFixture(t, e, time.Minute, registrar.Record{Key: "weights", Value: []byte{2}, Revision: 1})
+	eventually(t, next.isOpen)
 	must.Eq(t, 2, e.holds())
 	next.origin.mu.Lock()
 	defer next.origin.mu.Unlock()
-	slices.Sort(next.origin.drawn)
-	must.Eq(t, []int{2, 4}, slices.Compact(next.origin.drawn))
+	slices.Sort(next.origin.served)
+	must.Eq(t, []int{2, 4}, slices.Compact(next.origin.served))
 }
 
-// A version is named and its chunks can't be had. When the old weights' time is over, the
-// agent is still busy asking others who don't answer. No reply may begin on the old
-// weights meanwhile: callers would get answers from weights that the operators replaced.
-func TestOldWeightsEndInTimeWhileTheAgentIsBusy(t *testing.T) {
-	e := &engine{born: 1}
-	w := newWorld(t, e, 2*time.Second)
-	eventually(t, w.open)
+// The chunks of an announced version are unavailable. When the old weights expire, the agent is
+// still waiting for slow calls. No reply may start on the old weights meanwhile: callers would get
+// replies from weights that the operators replaced.
+func TestOldWeightsExpireWhileTheAgentIsBusy(t *testing.T) {
+	e := &engine{startedAt: 1}
+	f := newFixture(t, e, 2*time.Second)
+	eventually(t, f.isOpen)
 	e.mu.Lock()
-	e.slow = 1500 * time.Millisecond
+	e.delay = 1500 * time.Millisecond
 	e.mu.Unlock()
-	w.origin.mu.Lock()
-	w.origin.withheld = map[int]bool{2: true}
-	w.origin.mu.Unlock()
-	w.name(2)
-	// What is being asked of the engine takes until after the bound less its margin of 0.7 s.
+	f.origin.mu.Lock()
+	f.origin.withheld = map[int]bool{2: true}
+	f.origin.mu.Unlock()
+	f.announce(2)
+	// The pending calls to the engine take until after the bound less its margin of 0.7 s.
 	time.Sleep(1400 * time.Millisecond)
-	must.False(t, w.open())
-}
-
-// An agent's VM is frozen for 9.4 s. Its engine is to take version 7; meanwhile versions 8
-// and 9 are named. Between processes a record carried only the newest version, so the agent
-// heard of 9 alone, took that for what replaced 7, and let requests begin on 7 until 7.3 s
-// after 9, which was 11.5 s after 8. Callers got replies from weights that the operators had
-// replaced, when 8 s are allowed. What settled it: on waking the agent logged "Weights named
-// version=9" and never 8, "Place asked granted=true" for both requests, and "Engine closed
-// why=old weights" 7.4 s after 9.
-func TestNamingMissedByAStoppedAgentCounts(t *testing.T) {
-	e := &engine{born: 1}
-	w := newWorld(t, e, 2*time.Second)
-	eventually(t, w.open)
-	w.origin.mu.Lock()
-	w.origin.withheld = map[int]bool{2: true}
-	w.origin.mu.Unlock()
-	seen := &registrar.Registrar{Clock: clock.RealClock{}, Decode: decode}
-	seen.Apply(w.registrar.Since(0))
-	seen.Apply(naming(w.revision, 2))
+	must.False(t, f.isOpen())
+}
+
+// Guards against an announcement lost behind a newer one. An agent was suspended for 9.4 s while
+// its engine was to load version 7 and versions 8 and 9 were announced. Records between processes
+// carried only the newest version, so the agent measured the expiry of 7 from 9 instead of 8, and
+// let requests start on 7 until 11.5 s after 8 (7.3 s after 9), with a bound of 8 s.
+func TestAnnouncementMissedByASuspendedAgentCounts(t *testing.T) {
+	e := &engine{startedAt: 1}
+	f := newFixture(t, e, 2*time.Second)
+	eventually(t, f.isOpen)
+	f.origin.mu.Lock()
+	f.origin.withheld = map[int]bool{2: true}
+	f.origin.mu.Unlock()
+	peer := &registrar.Registrar{Clock: clock.RealClock{}, Decode: decode}
+	peer.Apply(f.registrar.Since(0))
+	peer.Apply(announcement(f.revision, 2))
 	time.Sleep(1500 * time.Millisecond)
-	seen.Apply(naming(w.revision+1, 3))
-	w.registrar.Apply(seen.Since(w.revision))
+	peer.Apply(announcement(f.revision+1, 3))
+	f.registrar.Apply(peer.Since(f.revision))
 	must.Eq(t, 1, e.holds())
-	// The bound less its margin of 0.7 s has passed since the first of the two namings.
-	must.False(t, w.open())
-}
-
-// Two versions are named two seconds apart, and the origin goes down before the first is
-// whole. When it is back, the bound after which only the second may serve is nearly over:
-// were the first fetched and loaded then, it would serve nothing, and callers would be
-// refused for as long as that takes.
-func TestVersionThatMayNotServeAnyMoreIsLeftOut(t *testing.T) {
-	e := &engine{born: 1}
-	w := newWorld(t, e, 2700*time.Millisecond)
-	eventually(t, w.open)
-	w.origin.mu.Lock()
-	w.origin.withheld = map[int]bool{2: true}
-	w.origin.mu.Unlock()
-	w.name(2)
+	// The bound less its margin of 0.7 s has passed since the first of the two announcements.
+	must.False(t, f.isOpen())
+}
+
+// Two versions are announced two seconds apart, and the origin fails before the first is complete.
+// At its return the bound after which only the second may serve is nearly over: if the first were
+// fetched and loaded then, it would serve nothing, and callers would be refused meanwhile.
+func TestVersionCloseToItsExpiryIsSkipped(t *testing.T) {
+	e := &engine{startedAt: 1}
+	f := newFixture(t, e, 2700*time.Millisecond)
+	eventually(t, f.isOpen)
+	f.origin.mu.Lock()
+	f.origin.withheld = map[int]bool{2: true}
+	f.origin.mu.Unlock()
+	f.announce(2)
 	time.Sleep(800 * time.Millisecond)
-	w.name(3)
+	f.announce(3)
 	time.Sleep(800 * time.Millisecond)
-	w.origin.mu.Lock()
-	w.origin.withheld = nil
-	w.origin.mu.Unlock()
+	f.origin.mu.Lock()
+	f.origin.withheld = nil
+	f.origin.mu.Unlock()
 	eventually(t, func() bool { return e.holds() > 1 })
 	must.Eq(t, 3, e.holds())
 }
 
-// The origin's list of digests may come spoilt, and every right chunk would look
-// wrong for good. Two lists that differ are both mistrusted.
-func TestSpoiltDigestsAreAskedAgain(t *testing.T) {
-	e := &engine{born: 1}
-	w := newWorld(t, e, 3*time.Second)
-	eventually(t, w.open)
-	w.origin.mu.Lock()
-	w.origin.differing = true
-	w.origin.mu.Unlock()
-	w.name(2)
+// The origin's list of digests may be corrupted, and every correct chunk would then look wrong
+// forever. Two lists that differ are both rejected.
+func TestCorruptDigestListIsRequestedAgain(t *testing.T) {
+	e := &engine{startedAt: 1}
+	f := newFixture(t, e, 3*time.Second)
+	eventually(t, f.isOpen)
+	f.origin.mu.Lock()
+	f.origin.differing = true
+	f.origin.mu.Unlock()
+	f.announce(2)
 	time.Sleep(200 * time.Millisecond)
 	must.Eq(t, 1, e.holds())
-	w.origin.mu.Lock()
-	w.origin.differing = false
-	w.origin.mu.Unlock()
+	f.origin.mu.Lock()
+	f.origin.differing = false
+	f.origin.mu.Unlock()
 	eventually(t, func() bool { return e.holds() == 2 })
 }
 
-// An agent starts beside an engine with old weights, long after a newer version was
-// named. Nobody can tell how long ago, so nothing old may begin a reply.
+// An agent starts beside an engine with old weights, long after a newer version was announced. The
+// age of that is unknown, so no reply may start on the old weights.
 func TestOldWeightsOfUnknownAgeServeNothing(t *testing.T) {
-	e := &engine{born: 1, held: 1}
-	w := newWorldWith(t, clock.RealClock{}, e, &origin{differing: true}, 8*time.Second,
+	e := &engine{startedAt: 1, held: 1}
+	f := newFixtureWithOrigin(t, clock.RealClock{}, e, &origin{differing: true}, 8*time.Second,
 		registrar.Record{Key: "weights", Value: []byte{2}, Revision: 1, Age: registrar.UnknownAge})
 	time.Sleep(400 * time.Millisecond)
-	must.False(t, w.open())
+	must.False(t, f.isOpen())
 }
--- a/internal/stager/versions.go
+++ b/internal/stager/versions.go
@@ -18,22 +18,21 @@
 )
 
 const (
-	// firstSwitch and lastSwitch are when, as parts of the bound after the naming of a
-	// version, the first and the last engine of a service switch. An engine takes
-	// nothing while its requests end and it loads, so all at once would leave callers
-	// without any: the switches are spread over the time there is. Before the first,
-	// few agents have the weights; after the last, one that is slow would pass the
-	// bound.
-	firstSwitch = 0.5
-	lastSwitch  = 0.9
-	// overrun is how much later than its turn a request may be expected to end. The
-	// order waits for it, and fewer are turned away meanwhile. Of all requests of two
-	// days with two versions each, 0.037 were refused with none, 0.024 with 0.6 s, 0.022
-	// with 1 s, 0.021 with 1.5 s and 0.027 with 2.5 s.
-	overrun = 1500 * time.Millisecond
-	// expected is the share of a version's chunks from which an agent counts on
-	// having it whole by the engine's turn.
-	expected = 0.6
+	// firstSwitchFraction and lastSwitchFraction are when, as fractions of the bound after the
+	// announcement of a version, the first and the last engine of a service switch. An engine takes
+	// no requests while its running ones end and it loads. If all engines switched at once, none
+	// would be left, so the switches are spread over the available time. Before the first, few
+	// agents have the weights; after the last, a slow one would exceed the bound.
+	firstSwitchFraction = 0.5
+	lastSwitchFraction  = 0.9
+	// maxSwitchOverrun is how much later than the switch a request may be expected to end. The
+	// order waits for it, and fewer requests are refused meanwhile. Over two days with two versions
+	// each, the share of requests refused was 0.037 without it, 0.024 with 0.6 s, 0.022 with 1 s,
+	// 0.021 with 1.5 s and 0.027 with 2.5 s.
+	maxSwitchOverrun = 1500 * time.Millisecond
+	// expectedCompleteShare is the share of a version's chunks from which an agent expects to have
+	// all of them by the engine's switch.
+	expectedCompleteShare = 0.6
 )
 
 // peerAgent is the agent beside another engine of the service.
@@ -56,28 +55,28 @@
 	return ps
 }
 
-// self names this agent among the others.
-func (s *Stager) self() string { return s.Address.String() }
+// peerID identifies this agent among its peers.
+func (s *Stager) peerID() string { return s.Address.String() }
 
-// target has the announced versions fetched, and gives the newest one that is complete
-// here and whether it is this engine's turn to switch.
-func (s *Stager) target(ctx context.Context, model string, held uint64) (version uint64, turn bool) {
+// targetVersion fetches the announced versions, and returns the newest one that is complete here
+// and whether this engine is due to switch.
+func (s *Stager) targetVersion(ctx context.Context, model string, held uint64) (version uint64, turn bool) {
 	s.setOrigin()
 	peers := s.peers()
-	s.fetch(ctx, model, s.pending(model, held), peers)
-	for v, _ := s.newest(); v > held; v-- {
-		if s.whole(model, v) && !s.passing(v) {
-			return v, held == 0 || s.turn(held)
+	s.fetchPending(ctx, model, s.pending(model, held), peers)
+	for v, _ := s.newestVersion(); v > held; v-- {
+		if s.isComplete(model, v) && !s.expiresBeforeUse(v) {
+			return v, held == 0 || s.isTurn(held)
 		}
 	}
 	return held, false
 }
 
-// fetch has the first of the pending versions fetched and the others prefetched: the origin
-// may become unreachable before the first is complete.
-func (s *Stager) fetch(ctx context.Context, model string, pending []registrar.Naming, peers []peerAgent) {
-	s.unlisted = false
-	maps.DeleteFunc(s.wantedAt, func(version uint64, _ time.Time) bool {
+// fetchPending fetches the first of the pending versions and prefetches the others: the origin may
+// become unreachable before the first is complete.
+func (s *Stager) fetchPending(ctx context.Context, model string, pending []registrar.Naming, peers []peerAgent) {
+	s.listPending = false
+	maps.DeleteFunc(s.wantedSince, func(version uint64, _ time.Time) bool {
 		return !slices.ContainsFunc(pending, func(n registrar.Naming) bool { return n.Version == version })
 	})
 	var ahead []string
@@ -85,9 +84,9 @@
 		digest, ok := s.manifestDigest(ctx, model, n, peers)
 		switch {
 		case !ok:
-			s.unlisted = true
+			s.listPending = true
 		case i == 0:
-			s.want(ctx, model, digest, peers)
+			s.requestManifest(ctx, model, digest, peers)
 		default:
 			ahead = append(ahead, digest)
 		}
@@ -96,13 +95,13 @@
 	s.setHolders(ahead, peers)
 }
 
-// manifestDigest gives the digest of a version's manifest once that is known, to the loader too.
+// manifestDigest returns the digest of a version's manifest once known, and gives it to the loader.
 func (s *Stager) manifestDigest(ctx context.Context, model string, n registrar.Naming, peers []peerAgent) (digest string, ok bool) {
-	if digest, ok = s.Digests.Known(model, n.Version); ok {
+	if digest, ok = s.Digests.ManifestDigest(model, n.Version); ok {
 		return digest, true
 	}
-	s.Digests.Learn(ctx, versionKey{model, n.Version}, s.self(), peers, min(s.Clock.Since(n.Learned), s.wantedFor(n.Version)), s.originStep())
-	if digest, ok = s.Digests.Known(model, n.Version); !ok {
+	s.Digests.Learn(ctx, versionKey{model, n.Version}, s.peerID(), peers, min(s.Clock.Since(n.Learned), s.wantedDuration(n.Version)), s.originStep())
+	if digest, ok = s.Digests.ManifestDigest(model, n.Version); !ok {
 		return "", false
 	}
 	body, err := s.Digests.Manifest(ctx, digest)
@@ -110,12 +109,12 @@
 		err = s.Loader.AddManifest(digest, body)
 	}
 	if err != nil {
-		klog.ErrorS(err, "Manifest not taken over", "agent", s.ID, "manifest", digest)
+		klog.ErrorS(err, "Manifest not added to the loader", "agent", s.ID, "manifest", digest)
 	}
 	return digest, true
 }
 
-// origin is where weights come from, by the route table; nil when there is none.
+// origin returns the weights' origin in the route table; nil when there is none.
 func (s *Stager) origin() *matcher.Origin {
 	for _, service := range s.Registrar.View().Table.Services {
 		if service.Origin != nil {
@@ -125,7 +124,7 @@
 	return nil
 }
 
-// originStep is how long each agent leaves the origin to the one before it in rank.
+// originStep is how long each agent waits for the agent before it in rank to ask the origin.
 func (s *Stager) originStep() time.Duration {
 	origin := s.origin()
 	if origin == nil {
@@ -139,28 +138,28 @@
 	if origin == nil {
 		return
 	}
-	if s.originAt != origin.Address {
-		// A client made anew each time would leave its connections behind, and the
-		// origin accepts only a few.
-		s.originAt = origin.Address
-		s.Digests.SetOrigin(s.Origin(s.originAt))
+	if s.originAddress != origin.Address {
+		// A new client each time would leave the connections of the old one open, and the origin
+		// accepts only a few.
+		s.originAddress = origin.Address
+		s.Digests.SetOrigin(s.Origin(s.originAddress))
 	}
 	s.Loader.SetSourceRegion(s.Regions[origin.FailureDomain])
 }
 
-func (s *Stager) whole(model string, version uint64) bool {
-	digest, ok := s.Digests.Known(model, version)
+func (s *Stager) isComplete(model string, version uint64) bool {
+	digest, ok := s.Digests.ManifestDigest(model, version)
 	if !ok {
 		return false
 	}
-	_, whole := s.Loader.Whole(digest)
+	_, whole := s.Loader.Complete(digest)
 	return whole
 }
 
-// want has the loader fetch a version. What is whole already stays, as other agents
-// may still need it.
-func (s *Stager) want(ctx context.Context, model, digest string, peers []peerAgent) {
-	s.preload(ctx, model, digest)
+// requestManifest makes the loader fetch a version. Complete versions are kept, as other agents may
+// still need them.
+func (s *Stager) requestManifest(ctx context.Context, model, digest string, peers []peerAgent) {
+	s.adoptStaged(ctx, model, digest)
 	digests := []string{digest}
 	for _, p := range s.Loader.Progress() {
 		if p.Manifest != digest && p.AllChunks > 0 && p.Chunks == p.AllChunks {
@@ -171,7 +170,7 @@
 	s.setHolders(digests, peers)
 }
 
-// setHolders names the other agents as possible holders of some manifests.
+// setHolders lists the peers as possible holders of some manifests.
 func (s *Stager) setHolders(digests []string, peers []peerAgent) {
 	if len(digests) == 0 {
 		return
@@ -188,30 +187,30 @@
 	s.Loader.SetHolders(hs)
 }
 
-// preload takes over what already lies staged, once after the engine first answered. Engines that
-// were there from the start have the first version staged, and those whose agent
-// restarted what was there before.
-func (s *Stager) preload(ctx context.Context, model, digest string) {
-	if s.preloaded || s.engineStart.IsZero() {
+// adoptStaged takes over chunks that are already staged, once after the engine's first response.
+// Engines that exist from the start have the first version staged; after a restart of the agent
+// alone, what it staged before is still there.
+func (s *Stager) adoptStaged(ctx context.Context, model, digest string) {
+	if s.stagedAdopted || s.engineStart.IsZero() {
 		return
 	}
-	s.preloaded = true
+	s.stagedAdopted = true
 	body, err := s.Digests.Manifest(ctx, digest)
 	if err != nil {
-		klog.ErrorS(err, "Manifest lost", "manifest", digest)
+		klog.ErrorS(err, "Manifest of staged chunks not available", "manifest", digest)
 		return
 	}
 	m, err := fetcher.ParseManifest(digest, body)
 	if err != nil {
-		klog.ErrorS(err, "Manifest not read", "manifest", digest)
+		klog.ErrorS(err, "Manifest of staged chunks not valid", "manifest", digest)
 		return
 	}
-	there, err := s.Engine.StagedChunks(ctx, model)
+	indexes, err := s.Engine.StagedChunks(ctx, model)
 	if err != nil {
 		klog.ErrorS(err, "Staged chunks not listed", "agent", s.ID, "model", model)
 	}
 	staged := map[int][]byte{}
-	for _, i := range there {
+	for _, i := range indexes {
 		data, err := s.Engine.Staged(ctx, model, i, m.ChunkSize)
 		if err != nil {
 			klog.InfoS("Staged chunk not read", "agent", s.ID, "chunk", i, "err", err)
@@ -220,11 +219,11 @@
 		staged[i] = data
 	}
 	if err := s.Loader.Adopt(digest, body, staged); err != nil {
-		klog.ErrorS(err, "Staged chunks not taken over", "agent", s.ID)
+		klog.ErrorS(err, "Staged chunks not adopted", "agent", s.ID)
 		return
 	}
-	klog.InfoS("Staged chunks taken over", "agent", s.ID, "manifest", digest, "chunks", len(staged),
-		"share", s.progressOf(digest))
+	klog.InfoS("Staged chunks adopted", "agent", s.ID, "manifest", digest, "chunks", len(staged),
+		"share", s.manifestProgress(digest))
 }
 
 func (s *Stager) chunkCount() int {
@@ -235,59 +234,58 @@
 	return e.Chunks
 }
 
-// switchAt is when this engine should switch to a version named at the given time.
-// The turns are dealt over the engines in the order of a hash of their addresses,
-// which all agents see alike but for those that come and go; disagreement only makes
-// the turns uneven.
+// switchAt is when this engine should switch to a version announced at the given time. The engines
+// are ordered by a hash of their addresses, which all agents compute alike except for engines that
+// are being added or removed. Different views only make the spacing uneven.
 func (s *Stager) switchAt(learned time.Time) time.Time {
-	own, before, all := planner.Score(s.Service, s.self()), 0, 1
+	own, lower, all := planner.Score(s.Service, s.peerID()), 0, 1
 	for _, p := range s.peers() {
 		all++
 		if planner.Score(s.Service, p.id) < own {
-			before++
+			lower++
 		}
 	}
-	part := firstSwitch + (lastSwitch-firstSwitch)*float64(before)/float64(all)
+	part := firstSwitchFraction + (lastSwitchFraction-firstSwitchFraction)*float64(lower)/float64(all)
 	return learned.Add(time.Duration(part * float64(s.Bound)))
 }
 
-// turn tells whether it is this engine's turn to leave the version that it holds.
-func (s *Stager) turn(held uint64) bool {
-	at, superseded := s.superseded(held)
+// isTurn reports whether this engine is due to switch from the version that it holds.
+func (s *Stager) isTurn(held uint64) bool {
+	at, superseded := s.supersededAt(held)
 	return !superseded || !s.Clock.Now().Before(s.switchAt(at))
 }
 
-// announceSwitch has the ledger let in only what ends before this engine's turn,
-// once the weights for it are sure to be here by then.
-func (s *Stager) announceSwitch(model string, held uint64) {
-	named, superseded := s.superseded(held)
+// limitGrantsToSwitch makes the ledger grant slots only to requests that end before this engine's
+// switch, once the weights for it are expected in time.
+func (s *Stager) limitGrantsToSwitch(model string, held uint64) {
+	announced, superseded := s.supersededAt(held)
 	if !superseded || held == 0 {
 		s.Ledger.OpenUntil(time.Time{})
 		return
 	}
-	newer := s.after(held)
-	here := slices.ContainsFunc(newer, func(n registrar.Naming) bool { return s.whole(model, n.Version) })
-	coming := slices.ContainsFunc(newer, func(n registrar.Naming) bool { return s.progress(model, n.Version) >= expected })
-	at := s.switchAt(named)
-	// When the turn comes and the weights don't, as with the origin out of reach, the
-	// engine goes on for as long as the bound allows.
-	if here || coming && s.Clock.Now().Before(at) {
-		s.Ledger.OpenUntil(at.Add(overrun))
+	newer := s.newerThan(held)
+	complete := slices.ContainsFunc(newer, func(n registrar.Naming) bool { return s.isComplete(model, n.Version) })
+	arriving := slices.ContainsFunc(newer, func(n registrar.Naming) bool { return s.progress(model, n.Version) >= expectedCompleteShare })
+	at := s.switchAt(announced)
+	// If the weights have not arrived by the switch, as when the origin is unreachable, the engine
+	// keeps serving for as long as the bound allows.
+	if complete || arriving && s.Clock.Now().Before(at) {
+		s.Ledger.OpenUntil(at.Add(maxSwitchOverrun))
 		return
 	}
 	s.Ledger.OpenUntil(time.Time{})
 }
 
-// progress is the share of a version's chunks that are here.
+// progress returns the share of a version's chunks that this agent holds.
 func (s *Stager) progress(model string, version uint64) float64 {
-	digest, ok := s.Digests.Known(model, version)
+	digest, ok := s.Digests.ManifestDigest(model, version)
 	if !ok {
 		return 0
 	}
-	return s.progressOf(digest)
+	return s.manifestProgress(digest)
 }
 
-func (s *Stager) progressOf(digest string) float64 {
+func (s *Stager) manifestProgress(digest string) float64 {
 	for _, p := range s.Loader.Progress() {
 		if p.Manifest == digest && p.AllChunks > 0 {
 			return float64(p.Chunks) / float64(p.AllChunks)
@@ -296,13 +294,13 @@
 	return 0
 }
 
-// chunks gives a whole version's chunks in order.
-func (s *Stager) chunks(model string, version uint64) ([][]byte, bool) {
-	digest, ok := s.Digests.Known(model, version)
+// readChunks returns all chunks of a complete version in order.
+func (s *Stager) readChunks(model string, version uint64) ([][]byte, bool) {
+	digest, ok := s.Digests.ManifestDigest(model, version)
 	if !ok {
 		return nil, false
 	}
-	m, ok := s.Loader.Whole(digest)
+	m, ok := s.Loader.Complete(digest)
 	if !ok {
 		return nil, false
 	}
