--- a/internal/loader/adopt.go
+++ b/internal/loader/adopt.go
@@ -5,14 +5,14 @@
 	"github.com/oriolecroft/oriolecroft/pkg/bundler"
 )
 
-// Adopt takes over a manifest and those of its chunks that the caller has already,
-// such as what the engine kept through a restart of its agent. Chunks whose digest
-// is wrong are passed over. Without it every restart would draw the weights again.
+// Adopt adds a manifest and those of its chunks that the caller already has, such as the chunks
+// staged at the engine before its agent restarted, so that a restart does not fetch the weights
+// again. Chunks with a wrong digest are skipped.
 func (l *Loader) Adopt(digest string, body []byte, chunks map[int][]byte) error {
 	l.setUp()
 	l.mu.Lock()
 	defer l.mu.Unlock()
-	s, err := l.accept(digest, body)
+	s, err := l.storeManifest(digest, body)
 	if err != nil {
 		return err
 	}
@@ -24,40 +24,40 @@
 		if i < 0 || i >= len(m.Chunks) || bundler.Digest(data) != m.Chunks[i] {
 			continue
 		}
-		l.gain(m.Chunks[i], data)
+		l.storeChunk(m.Chunks[i], data)
 	}
-	l.announce()
-	l.nudge()
+	l.notifyChanged()
+	l.triggerStep()
 	return nil
 }
 
-// AddManifest takes over a manifest that the caller has already. Otherwise peers are asked for
-// it first, over links that are saturated while weights spread.
+// AddManifest adds a manifest that the caller already has. Otherwise it would first be requested
+// from peers, over links that are saturated while weights spread.
 func (l *Loader) AddManifest(digest string, body []byte) error {
 	l.setUp()
 	l.mu.Lock()
 	defer l.mu.Unlock()
-	_, err := l.accept(digest, body)
-	l.nudge()
+	_, err := l.storeManifest(digest, body)
+	l.triggerStep()
 	return err
 }
 
-// accept keeps a manifest and gives its set.
-func (l *Loader) accept(digest string, body []byte) (*set, error) {
+// storeManifest validates and stores a manifest, and returns its set.
+func (l *Loader) storeManifest(digest string, body []byte) (*weightSet, error) {
 	m, err := fetcher.ParseManifest(digest, body)
 	if err != nil {
 		return nil, err
 	}
-	l.open(digest)
+	l.ensureSet(digest)
 	s := l.sets[digest]
 	if s.manifest == nil {
-		s.take(m, body)
+		s.setManifest(m, body)
 	}
 	return s, nil
 }
 
-// gain keeps verified bytes and tells all transfers that want them.
-func (l *Loader) gain(digest string, data []byte) {
+// storeChunk stores verified bytes and updates all transfers that include them.
+func (l *Loader) storeChunk(digest string, data []byte) {
 	c := l.chunks[digest]
 	if c == nil || c.data != nil {
 		return
@@ -67,14 +67,14 @@
 		if s.transfer == nil {
 			continue
 		}
-		for _, i := range s.places[digest] {
+		for _, i := range s.chunkIndexes[digest] {
 			s.transfer.Gain(i)
 		}
 	}
 }
 
-// SetSourceRegion names where Sources stand, once that is known; transfers that
-// have begun keep what they were started with.
+// SetSourceRegion sets the region of Sources once it is known; transfers that have started keep
+// their previous value.
 func (l *Loader) SetSourceRegion(region string) {
 	l.setUp()
 	l.mu.Lock()
--- a/internal/loader/failures_test.go
+++ b/internal/loader/failures_test.go
@@ -18,13 +18,13 @@
 	"github.com/oriolecroft/oriolecroft/internal/planner"
 )
 
-// total is how often the origin was asked for chunks of the weights.
-func (o *origin) total(w weights) int {
+// chunkRequests returns how often the origin was asked for chunks of the weights.
+func (o *origin) chunkRequests(w weights) int {
 	o.mu.Lock()
 	defer o.mu.Unlock()
 	n := 0
 	for _, c := range w.manifest.Chunks {
-		n += o.asked[c]
+		n += o.requests[c]
 	}
 	return n
 }
@@ -37,8 +37,8 @@
 
 var errDown = &fetcher.UnavailableError{Source: "origin", Status: http.StatusServiceUnavailable}
 
-// downAfter is the fault of an origin that goes down after so many answers.
-func downAfter(answers int) func(string, int) ([]byte, error) {
+// failAfter returns the fault of an origin that fails after so many responses.
+func failAfter(answers int) func(string, int) ([]byte, error) {
 	given := 0
 	return func(string, int) ([]byte, error) {
 		given++
@@ -49,9 +49,9 @@
 	}
 }
 
-// peer serves another agent's wire by a handler of the test's own and claims to
-// hold all chunks of the weights.
-func (n *network) peer(t *testing.T, id string, w weights, chunk http.HandlerFunc) messenger.Holder {
+// newPeer serves the chunk requests to an agent by the test's own handler. The agent claims to hold
+// all chunks of the weights.
+func (n *network) newPeer(t *testing.T, id string, w weights, chunk http.HandlerFunc) messenger.Holder {
 	all := planner.NewBitmap(len(w.manifest.Chunks))
 	for i := range w.manifest.Chunks {
 		all.Set(i)
@@ -68,54 +68,51 @@
 }
 
 func TestCorruptChunkFromPeer(t *testing.T) {
-	// A peer's memory has gone bad, and each chunk that it sends has one byte
-	// wrong. Were it taken, an engine would serve from wrong weights and callers
-	// would read nonsense. The chunk is thrown away, the peer isn't asked again,
-	// and nobody gets the wrong bytes from this agent.
+	// A peer's memory is faulty, and each chunk that it sends has one wrong byte. If it were
+	// accepted, an engine would serve from wrong weights. The chunk is discarded, the peer isn't
+	// asked again, and no other agent gets the wrong bytes from this one.
 	inBubble(t, func(t *testing.T, n *network) {
 		w := publish("v1", 30)
 		o := newOrigin(w)
-		var asked atomic.Int32
-		bad := n.peer(t, "vm-bad", w, func(rw http.ResponseWriter, r *http.Request) {
-			asked.Add(1)
+		var requests atomic.Int32
+		bad := n.newPeer(t, "vm-bad", w, func(rw http.ResponseWriter, r *http.Request) {
+			requests.Add(1)
 			body := bytes.Clone(o.bodies[r.PathValue("digest")])
 			body[len(body)/2] ^= 1
 			rw.Write(body)
 		})
-		a := n.start(t, "vm-0", o)
+		a := n.startAgent(t, "vm-0", o)
 		a.SetHolders([]messenger.Holder{bad})
 		a.Want([]string{w.digest})
 		a.await(t, w)
-		must.Between(t, 1, asked.Load(), 4)
-		must.Eq(t, int(asked.Load()), a.Progress()[0].Corrupt)
+		must.Between(t, 1, requests.Load(), 4)
+		must.Eq(t, int(requests.Load()), a.Progress()[0].Corrupt)
 		must.Eq(t, 0, a.Progress()[0].FromPeers)
 	})
 }
 
-func TestUncheckedSourceIsChecked(t *testing.T) {
-	// A source of another make returns what it got without checking it. The
-	// loader must not rely on each source's care, or one wrong chunk would spread
-	// to all agents.
+func TestUnverifiedSourceIsVerified(t *testing.T) {
+	// A source returns data without checking it. The loader must not rely on the checks of each
+	// source, or one wrong chunk would spread to all agents.
 	inBubble(t, func(t *testing.T, n *network) {
 		w := publish("v1", 10)
-		lying := newOrigin(w)
-		lying.setFault(func(digest string, _ int) ([]byte, error) {
+		corrupting := newOrigin(w)
+		corrupting.setFault(func(digest string, _ int) ([]byte, error) {
 			if digest == w.digest {
 				return nil, nil
 			}
 			return make([]byte, 1000), nil
 		})
 		good := newOrigin(w)
-		a := n.start(t, "vm-0", lying, good)
+		a := n.startAgent(t, "vm-0", corrupting, good)
 		a.Want([]string{w.digest})
 		a.await(t, w)
 	})
 }
 
 func TestCorruptChunkFromOrigin(t *testing.T) {
-	// The origin's disk or its link flips bits now and then: each chunk arrives
-	// corrupt the first time. The agent must ask again and end with right bytes,
-	// or an operator sees a roll-out that never finishes.
+	// The origin's disk or link flips bits occasionally: each chunk is corrupt in its first
+	// response. The agent must retry until the bytes are right, or a roll-out never finishes.
 	inBubble(t, func(t *testing.T, n *network) {
 		w := publish("v1", 10)
 		o := newOrigin(w)
@@ -125,29 +122,29 @@
 			}
 			return nil, nil
 		})
-		a := n.start(t, "vm-0", o)
+		a := n.startAgent(t, "vm-0", o)
 		a.Want([]string{w.digest})
 		a.await(t, w)
 		must.Eq(t, 10, a.Progress()[0].Corrupt)
 	})
 }
 
-func TestPeerDiesInMidChunk(t *testing.T) {
-	// A VM is lost while it sends a chunk, so the connection breaks after half the
-	// bytes. Were the half taken for the whole, the weights would be wrong; were
-	// the chunk forgotten, they would never be whole.
+func TestPeerCrashesDuringChunk(t *testing.T) {
+	// A VM is lost while it sends a chunk, so the connection breaks after half the bytes. If the
+	// half were accepted as the chunk, the weights would be wrong; if the chunk were dropped, they
+	// would never be complete.
 	inBubble(t, func(t *testing.T, n *network) {
 		w := publish("v1", 20)
 		o := newOrigin(w)
-		dying := n.peer(t, "vm-dying", w, func(rw http.ResponseWriter, r *http.Request) {
+		crashing := n.newPeer(t, "vm-dying", w, func(rw http.ResponseWriter, r *http.Request) {
 			body := bytes.Clone(o.bodies[r.PathValue("digest")])
 			rw.Header().Set("Content-Length", strconv.Itoa(len(body)))
 			rw.Write(body[:len(body)/2])
 			_ = http.NewResponseController(rw).Flush()
 			panic(http.ErrAbortHandler)
 		})
-		a := n.start(t, "vm-0", o)
-		a.SetHolders([]messenger.Holder{dying})
+		a := n.startAgent(t, "vm-0", o)
+		a.SetHolders([]messenger.Holder{crashing})
 		a.Want([]string{w.digest})
 		a.await(t, w)
 		must.Eq(t, 0, a.Progress()[0].Corrupt)
@@ -155,21 +152,21 @@
 }
 
 func TestStalledLink(t *testing.T) {
-	// The link to a peer stalls: the connection stays open, and after half a chunk
-	// nothing more comes. TCP reports nothing for a long time. Without a limit on
-	// silence the chunk stays in flight and the engine waits for it without end.
+	// The link to a peer stalls: the connection stays open, and after half a chunk nothing more
+	// arrives. TCP reports nothing for a long time. Without a timeout the chunk stays in flight and
+	// the engine waits for it forever.
 	inBubble(t, func(t *testing.T, n *network) {
 		w := publish("v1", 20)
 		o := newOrigin(w)
 		ended := make(chan struct{})
-		stalled := n.peer(t, "vm-stalled", w, func(rw http.ResponseWriter, _ *http.Request) {
+		stalled := n.newPeer(t, "vm-stalled", w, func(rw http.ResponseWriter, _ *http.Request) {
 			rw.Header().Set("Content-Length", "1000")
 			rw.Write(make([]byte, 500))
 			_ = http.NewResponseController(rw).Flush()
 			<-ended
 		})
 		t.Cleanup(func() { close(ended) })
-		a := n.start(t, "vm-0", o)
+		a := n.startAgent(t, "vm-0", o)
 		a.Peer = func(at netip.AddrPort) fetcher.Source {
 			return &fetcher.HTTP{Address: at, Timeout: 100 * time.Millisecond, Client: n.client}
 		}
@@ -180,29 +177,29 @@
 }
 
 func TestNewerVersionStopsOlderTransfer(t *testing.T) {
-	// Operators roll v2 while v1 has arrived by half and the rest of v1 is slow.
-	// Were v1 fetched to its end, v2 would wait behind bytes that nobody wants.
+	// Operators roll out v2 while half of v1 has arrived and the rest of v1 is slow. If v1 were
+	// completed first, v2 would wait for unwanted bytes.
 	inBubble(t, func(t *testing.T, n *network) {
 		v1, v2 := publish("v1", 20), publish("v2", 20)
 		o := newOrigin(v1, v2)
-		o.setFault(downAfter(11))
-		a := n.start(t, "vm-0", o)
+		o.setFault(failAfter(11))
+		a := n.startAgent(t, "vm-0", o)
 		a.Want([]string{v1.digest})
 		a.awaitChunks(t, v1, 10)
 		a.Want([]string{v2.digest})
 		o.setFault(nil)
-		before := o.total(v1)
+		before := o.chunkRequests(v1)
 		a.await(t, v2)
 		// A fetch that was already on its way may still have reached the origin.
-		must.LessEq(t, before+4, o.total(v1))
+		must.LessEq(t, before+4, o.chunkRequests(v1))
 		_, whole := a.Complete(v1.digest)
 		must.False(t, whole)
 	})
 }
 
-func TestNearlyWholeOlderVersionIsFinished(t *testing.T) {
-	// v2 is rolled when one chunk of v1 is missing. Thrown away, v1 could serve
-	// neither now nor after a rollback; finished, it costs one chunk.
+func TestNearlyCompleteOlderVersionIsFinished(t *testing.T) {
+	// v2 is rolled out when one chunk of v1 is missing. If v1 were dropped, it could not serve
+	// before v2 or after a rollback; completing it costs one chunk.
 	inBubble(t, func(t *testing.T, n *network) {
 		v1, v2 := publish("v1", 20), publish("v2", 20)
 		o := newOrigin(v1, v2)
@@ -212,7 +209,7 @@
 			}
 			return nil, nil
 		})
-		a := n.start(t, "vm-0", o)
+		a := n.startAgent(t, "vm-0", o)
 		a.Want([]string{v1.digest})
 		a.awaitChunks(t, v1, 19)
 		a.Want([]string{v2.digest})
@@ -223,38 +220,38 @@
 }
 
 func TestRollbackToVersionInMemory(t *testing.T) {
-	// v2 turns out bad and operators go back to v1, which is still in memory. At
-	// that moment the origin is down. The rollback must need no bytes at all, or
-	// callers stay on the bad version until the origin is back.
+	// v2 is faulty and operators roll back to v1, which is still in memory, while the origin is
+	// down. The rollback must fetch nothing, or callers stay on the faulty version until the origin
+	// is back.
 	inBubble(t, func(t *testing.T, n *network) {
 		v1, v2 := publish("v1", 20), publish("v2", 20)
 		o := newOrigin(v1, v2)
-		a := n.start(t, "vm-0", o)
+		a := n.startAgent(t, "vm-0", o)
 		a.Want([]string{v1.digest})
 		a.await(t, v1)
 		a.Want([]string{v2.digest})
 		a.await(t, v2)
 		o.setFault(func(string, int) ([]byte, error) { return nil, errDown })
-		before := o.total(v1)
+		before := o.chunkRequests(v1)
 		a.Want([]string{v1.digest})
 		_, whole := a.Complete(v1.digest)
 		must.True(t, whole)
 		a.await(t, v1)
-		must.Eq(t, before, o.total(v1))
+		must.Eq(t, before, o.chunkRequests(v1))
 	})
 }
 
 func TestOriginDown(t *testing.T) {
-	// The weight store and the origin are down: before the manifest has come, in
-	// the middle, or when only the last chunks are missing. A user notices a
-	// roll-out that never ends if an agent gives up or never asks again.
+	// The weight store and the origin are down: before the manifest has arrived, in the middle, or
+	// when only the last chunks are missing. If an agent gave up or never retried, a roll-out would
+	// never end.
 	for name, chunks := range map[string]int{"start": -1, "middle": 10, "end": 18} {
 		t.Run(name, func(t *testing.T) {
 			inBubble(t, func(t *testing.T, n *network) {
 				w := publish("v1", 20)
 				o := newOrigin(w)
-				o.setFault(downAfter(chunks + 1))
-				a := n.start(t, "vm-0", o, o)
+				o.setFault(failAfter(chunks + 1))
+				a := n.startAgent(t, "vm-0", o, o)
 				a.Want([]string{w.digest})
 				if chunks > 0 {
 					a.awaitChunks(t, w, chunks)
@@ -266,40 +263,39 @@
 	}
 }
 
-func TestTwoVersionsCross(t *testing.T) {
-	// v1 and v2 are on their way at once and share half of their chunks. Were a
-	// chunk filed under the wrong version or place, an engine would get weights
-	// mixed of both. Shared chunks are fetched once.
+func TestTwoVersionsShareChunks(t *testing.T) {
+	// v1 and v2 are fetched at once and share half of their chunks. If a chunk were stored under
+	// the wrong version or index, an engine would load weights mixed from both. Shared chunks are
+	// fetched once.
 	inBubble(t, func(t *testing.T, n *network) {
 		v1 := publish("v1", 20)
 		v2 := pack("v2", append(bytes.Clone(v1.bytes[:10000]), publish("v2", 20).bytes[10000:]...))
 		o := newOrigin(v1, v2)
-		a := n.start(t, "vm-0", o)
+		a := n.startAgent(t, "vm-0", o)
 		a.Want([]string{v2.digest, v1.digest})
 		a.await(t, v1)
 		a.await(t, v2)
 		for _, c := range v2.manifest.Chunks[:10] {
-			must.Eq(t, 1, o.asked[c])
+			must.Eq(t, 1, o.requests[c])
 		}
 	})
 }
 
 func TestMemoryFull(t *testing.T) {
-	// The VM's memory holds one version, and the engine runs on v1 when v2 is
-	// rolled. Evicting v1 would leave a restarted engine with nothing to load;
-	// taking both would get the process killed. v2 waits, and says so, until the
-	// engine lets v1 go.
+	// The VM's memory fits one version, and the engine runs on v1 when v2 is rolled out. Evicting
+	// v1 would leave a restarted engine without weights; admitting both would get the process
+	// killed. v2 waits, with Refused set, until v1 is not kept any more.
 	inBubble(t, func(t *testing.T, n *network) {
 		v1, v2 := publish("v1", 20), publish("v2", 20)
 		o := newOrigin(v1, v2)
-		a := n.start(t, "vm-0", o)
+		a := n.startAgent(t, "vm-0", o)
 		a.Memory = 30_000
 		a.Keep(v1.digest)
 		a.Want([]string{v1.digest})
 		a.await(t, v1)
 		a.Want([]string{v2.digest, v1.digest})
 		a.awaitProgress(t, v2, func(p loader.Progress) bool { return p.Refused })
-		must.Eq(t, 0, o.total(v2))
+		must.Eq(t, 0, o.chunkRequests(v2))
 		a.await(t, v1)
 		a.Keep(v2.digest)
 		a.await(t, v2)
@@ -308,12 +304,12 @@
 	})
 }
 
-func TestEvictionLeavesReaderAlone(t *testing.T) {
-	// The engine is reading v1 when a bundle without v1 makes the loader evict it.
-	// The engine must still get v1's bytes to the end, or it loads a mixture.
+func TestEvictionKeepsOpenReader(t *testing.T) {
+	// The engine is reading v1 when a bundle without v1 makes the loader evict it. The engine must
+	// still get all bytes of v1, or it loads a mixture.
 	inBubble(t, func(t *testing.T, n *network) {
 		v1, v2 := publish("v1", 20), publish("v2", 20)
-		a := n.start(t, "vm-0", newOrigin(v1, v2))
+		a := n.startAgent(t, "vm-0", newOrigin(v1, v2))
 		a.Memory = 30_000
 		a.Want([]string{v1.digest})
 		a.await(t, v1)
@@ -328,8 +324,8 @@
 }
 
 func TestLoaderRestarts(t *testing.T) {
-	// The supervisor stops the loader in the middle of a transfer and starts it
-	// again. What was verified before is still in memory, and the rest must come.
+	// The supervisor stops the loader during a transfer and starts it again. Verified chunks are
+	// still in memory, and the rest must be fetched.
 	inBubble(t, func(t *testing.T, n *network) {
 		w := publish("v1", 20)
 		o := newOrigin(w)
@@ -345,22 +341,22 @@
 		a.awaitChunks(t, w, 19)
 		stop()
 		o.setFault(nil)
-		before := o.total(w)
+		before := o.chunkRequests(w)
 		t.Cleanup(a.run(t))
 		a.await(t, w)
-		must.Eq(t, before+1, o.total(w))
+		must.Eq(t, before+1, o.chunkRequests(w))
 	})
 }
 
-func TestNewsOfSeveralEntries(t *testing.T) {
-	// An agent reports to two entries, and only one of them knows the agent that
-	// has the weights. Were the other's empty answer taken for the whole truth, the
-	// origin would send a copy that is there already.
+func TestHoldersFromSeveralEntries(t *testing.T) {
+	// An agent reports to two entries, and only one of them has a report of the agent that holds
+	// the weights. If the empty response of the other replaced it, the origin would send a copy
+	// that an agent already has.
 	inBubble(t, func(t *testing.T, n *network) {
 		w := publish("v1", 20)
 		o := newOrigin(w)
-		a := n.start(t, "vm-0", o)
-		a.SetHolders([]messenger.Holder{n.peer(t, "vm-1", w, func(rw http.ResponseWriter, r *http.Request) {
+		a := n.startAgent(t, "vm-0", o)
+		a.SetHolders([]messenger.Holder{n.newPeer(t, "vm-1", w, func(rw http.ResponseWriter, r *http.Request) {
 			rw.Write(o.bodies[r.PathValue("digest")])
 		})})
 		a.SetHolders(nil)
--- a/internal/loader/fuzz_test.go
+++ b/internal/loader/fuzz_test.go
@@ -21,25 +21,25 @@
 
 func TestMain(m *testing.M) {
 	flag.Parse()
-	// One verdict in every run.
+	// Every run must have the same result.
 	if err := errors.Join(flag.Set("rapid.seed", "1"), flag.Set("rapid.checks", "40")); err != nil {
 		panic(err)
 	}
 	os.Exit(m.Run())
 }
 
-// shelf is a loader and what a simple oracle knows of it.
-type shelf struct {
+// checkedLoader is a loader and the state that a simple oracle expects of it.
+type checkedLoader struct {
 	*loader.Loader
 	all  []weights
 	want []string
-	// keep is what the engine holds: only ever what was whole.
+	// keep lists what the engine holds: only what was complete.
 	keep map[string]bool
 }
 
-const shelfMemory = 35_000
+const checkedMemory = 35_000
 
-func (s *shelf) check(t must.T) {
+func (s *checkedLoader) check(t must.T) {
 	var held int64
 	seen := map[string]bool{}
 	for _, h := range s.Holdings() {
@@ -51,12 +51,12 @@
 			}
 		}
 	}
-	must.LessEq(t, shelfMemory, held)
+	must.LessEq(t, checkedMemory, held)
 	for _, w := range s.all {
 		_, whole := s.Complete(w.digest)
 		r, err := s.Weights(w.digest)
 		must.Eq(t, whole, err == nil)
-		must.True(t, whole || !s.keep[w.digest], must.Sprint("the engine's weights are gone"))
+		must.True(t, whole || !s.keep[w.digest], must.Sprint("the engine's weights were evicted"))
 		if whole {
 			got, err := io.ReadAll(r)
 			must.NoError(t, err)
@@ -66,20 +66,19 @@
 }
 
 func TestLoaderAgainstOracle(t *testing.T) {
-	// Versions that share chunks are wanted, kept and dropped in any order, in a
-	// memory too small for all, from an origin that fails, lies and comes back. An
-	// engine must never see a wrong byte nor lose what it runs on; and once the
-	// origin is well, the most important version must come as it would in the naive
-	// version.
+	// Versions that share chunks are wanted, kept and dropped in any order, with too little memory
+	// for all, from an origin that fails, corrupts data and recovers. The engine must never get a
+	// wrong byte nor lose the weights that it runs on; and once the origin has recovered, the most
+	// important version must arrive as in a naive implementation.
 	synctest.Test(t, func(t *testing.T) {
-		// A bubble knows no deadline, which rapid would ask a *testing.T for.
+		// A synctest bubble has no deadline, which rapid requests of a *testing.T.
 		rapid.Check(struct{ rapid.TB }{t}, func(t *rapid.T) {
 			v1, v2, v3 := publish("v1", 10), publish("v2", 15), publish("v3", 20)
 			v4 := pack("v4", slices.Concat(v1.bytes[:5000], v2.bytes[:5000], v3.bytes[:3500]))
-			s := &shelf{all: []weights{v1, v2, v3, v4}, keep: map[string]bool{}}
+			s := &checkedLoader{all: []weights{v1, v2, v3, v4}, keep: map[string]bool{}}
 			o := newOrigin(s.all...)
 			s.Loader = &loader.Loader{
-				ID: "vm-0", Region: "huon", Sources: []fetcher.Source{o}, Memory: shelfMemory, Seed: 1,
+				ID: "vm-0", Region: "huon", Sources: []fetcher.Source{o}, Memory: checkedMemory, Seed: 1,
 				Peer: func(netip.AddrPort) fetcher.Source { return o },
 			}
 			ctx, cancel := context.WithCancel(t.Context())
@@ -125,7 +124,7 @@
 			s.check(t)
 			if len(s.want) > 0 && len(s.keep) == 0 {
 				_, whole := s.Complete(s.want[0])
-				must.True(t, whole, must.Sprintf("%s never came: %+v", s.want[0], s.Progress()))
+				must.True(t, whole, must.Sprintf("%s never arrived: %+v", s.want[0], s.Progress()))
 			}
 			cancel()
 			must.ErrorIs(t, <-done, context.Canceled)
--- a/internal/loader/handler.go
+++ b/internal/loader/handler.go
@@ -12,14 +12,14 @@
 )
 
 const (
-	// uploadPiece is how many bytes are written between two waits for the cap.
-	uploadPiece = 64 << 10
-	// uploadStall is how long a peer may take for one piece.
-	uploadStall = 10 * time.Second
+	// uploadPieceBytes is how many bytes are written between two waits for the rate limit.
+	uploadPieceBytes = 64 << 10
+	// uploadPieceTimeout limits how long a peer may take to read one piece.
+	uploadPieceTimeout = 10 * time.Second
 )
 
-// Handler serves manifests, chunks and bitmaps of holdings to other agents, and
-// whole weights to the engine.
+// Handler serves manifests, chunks and bitmaps of holdings to other agents, and complete weights to
+// the engine.
 func (l *Loader) Handler() http.Handler {
 	l.setUp()
 	mux := http.NewServeMux()
@@ -52,17 +52,17 @@
 	sendHeld(w, "application/octet-stream", have)
 }
 
-// sendHeld answers with what is held of a manifest; nil is nothing.
+// sendHeld responds with what is held of a manifest; nil means nothing.
 func sendHeld(w http.ResponseWriter, contentType string, data []byte) {
 	if data == nil {
-		refuse(w, http.StatusNotFound, "manifest not held")
+		writeError(w, http.StatusNotFound, "manifest not held")
 		return
 	}
 	w.Header().Set("Content-Type", contentType)
 	w.Write(data)
 }
 
-// serveChunk sends a verified chunk when an upload slot is free.
+// serveChunk sends a verified chunk if an upload slot is free.
 func (l *Loader) serveChunk(w http.ResponseWriter, r *http.Request) {
 	l.mu.Lock()
 	c := l.chunks[r.PathValue("digest")]
@@ -72,47 +72,46 @@
 	}
 	if s := l.sets[r.Header.Get(fetcher.ManifestHeader)]; s != nil && s.transfer != nil {
 		if have, ok := fetcher.Holding(r.Header); ok {
-			l.observe(s, r.Header.Get(fetcher.AgentHeader), have)
+			l.recordHolding(s, r.Header.Get(fetcher.AgentHeader), have)
 		}
 		fetcher.SetHolding(w.Header(), s.transfer.Have())
 	}
 	l.mu.Unlock()
 	if data == nil {
-		refuse(w, http.StatusNotFound, "chunk not held")
+		writeError(w, http.StatusNotFound, "chunk not held")
 		return
 	}
 	export := l.isExport(r)
-	slots := l.uploads
+	slots := l.uploadSlots
 	if export {
-		slots = l.exports
+		slots = l.exportSlots
 	}
 	select {
 	case slots <- struct{}{}:
 		defer func() { <-slots }()
 	default:
-		refuse(w, http.StatusTooManyRequests, "no free upload slot")
+		writeError(w, http.StatusTooManyRequests, "no free upload slot")
 		return
 	}
 	w.Header().Set("Content-Type", "application/octet-stream")
 	w.Header().Set("Content-Length", strconv.Itoa(len(data)))
-	l.send(r.Context(), w, data, export)
+	l.sendPaced(r.Context(), w, data, export)
 }
 
-// isExport tells whether a request comes from another region. The origin fetchers there have
-// upload slots of their own: the many agents of this region keep the others taken nearly
-// all the time, and a chunk that can't leave the region holds up a whole region for as
-// long.
+// isExport reports whether a request comes from another region. Origin fetchers of other regions
+// have separate upload slots: the many agents of this region keep theirs occupied nearly all the
+// time, and a chunk that can't leave the region delays a whole region for as long.
 func (l *Loader) isExport(r *http.Request) bool {
 	region := r.Header.Get(fetcher.RegionHeader)
 	return region != "" && region != l.Region
 }
 
-// send writes piece by piece, each after the cap allows it. A peer that stops
-// reading would hold its upload slot for ever, and a few of them all the slots;
-// each piece must therefore be taken within uploadStall.
-func (l *Loader) send(ctx context.Context, w http.ResponseWriter, data []byte, export bool) {
+// sendPaced writes data in pieces, each within the rate limit. A peer that stops reading would
+// occupy its upload slot forever, and a few of them all the slots, so each piece must be written
+// within uploadPieceTimeout.
+func (l *Loader) sendPaced(ctx context.Context, w http.ResponseWriter, data []byte, export bool) {
 	control := http.NewResponseController(w)
-	size := uploadPiece
+	size := uploadPieceBytes
 	if l.Upload != nil {
 		size = max(1, min(size, l.Upload.Burst()))
 	}
@@ -121,8 +120,8 @@
 		if l.pacer.wait(ctx, n, export) != nil {
 			return
 		}
-		// Writers without deadlines, as in tests, say so by an error.
-		_ = control.SetWriteDeadline(time.Now().Add(uploadStall))
+		// Writers without deadlines, as in tests, return an error.
+		_ = control.SetWriteDeadline(time.Now().Add(uploadPieceTimeout))
 		if _, err := w.Write(data[:n]); err != nil {
 			return
 		}
@@ -131,19 +130,19 @@
 	_ = control.SetWriteDeadline(time.Time{})
 }
 
-// serveWeights gives the engine the whole weights; it isn't paced, as it never
-// leaves the VM.
+// serveWeights sends the complete weights to the engine; it isn't paced, as the data never leaves
+// the VM.
 func (l *Loader) serveWeights(w http.ResponseWriter, r *http.Request) {
 	weights, err := l.Weights(r.PathValue("manifest"))
 	if err != nil {
-		refuse(w, http.StatusNotFound, err.Error())
+		writeError(w, http.StatusNotFound, err.Error())
 		return
 	}
 	w.Header().Set("Content-Type", "application/octet-stream")
 	http.ServeContent(w, r, "", time.Time{}, weights)
 }
 
-func refuse(w http.ResponseWriter, status int, text string) {
+func writeError(w http.ResponseWriter, status int, text string) {
 	w.Header().Set("Content-Type", "application/json")
 	w.WriteHeader(status)
 	_ = json.NewEncoder(w).Encode(struct {
--- a/internal/loader/holders.go
+++ b/internal/loader/holders.go
@@ -11,14 +11,14 @@
 )
 
 const (
-	// holdersFor is how long an entry's word of a holder counts.
-	holdersFor = 10 * time.Second
-	// maxPeers bounds the agents that one transfer deals with, origin fetchers aside.
+	// holderTTL is how long a holder reported by an entry is kept.
+	holderTTL = 10 * time.Second
+	// maxPeers limits the peers of one transfer, not counting origin fetchers.
 	maxPeers = 16
 )
 
-// compareFar puts agents of a region before others.
-func compareFar(a, b, region string) int {
+// compareRegions orders agents of a region before others.
+func compareRegions(a, b, region string) int {
 	switch {
 	case a == b || a != region && b != region:
 		return 0
@@ -29,19 +29,19 @@
 	}
 }
 
-// holderKey names an agent as a holder of one manifest.
+// holderKey identifies an agent as a holder of one manifest.
 type holderKey struct{ manifest, id string }
 
 type reportedHolder struct {
 	messenger.Holder
-	at time.Time
+	reportedAt time.Time
 }
 
-// choose picks the agents that a transfer deals with: the origin fetchers of each region,
-// and of the others those heard of last. Of those heard of together each agent takes
-// others, and such of its own region first: with the same few for all, the links of
-// the rest would stand idle, and chunks of other regions come by way of the origin fetchers.
-func choose(self, region, manifest string, known map[holderKey]reportedHolder) []messenger.Holder {
+// selectHolders selects the peers of a transfer: the origin fetchers of each region, and of the
+// others those reported last. Among those reported together, each agent prefers its own region and
+// orders the rest differently: with the same few peers for all, the other links would be idle.
+// Chunks of other regions arrive through the origin fetchers.
+func selectHolders(self, region, manifest string, known map[holderKey]reportedHolder) []messenger.Holder {
 	var all []reportedHolder
 	for k, h := range known {
 		if k.manifest == manifest {
@@ -62,7 +62,7 @@
 		}
 	}
 	slices.SortFunc(rest, func(a, b reportedHolder) int {
-		return cmp.Or(compareFar(a.Region, b.Region, region), b.at.Compare(a.at), cmp.Compare(planner.Score(self, a.ID), planner.Score(self, b.ID)))
+		return cmp.Or(compareRegions(a.Region, b.Region, region), b.reportedAt.Compare(a.reportedAt), cmp.Compare(planner.Score(self, a.ID), planner.Score(self, b.ID)))
 	})
 	for _, h := range rest[:min(len(rest), maxPeers)] {
 		hs = append(hs, h.Holder)
--- a/internal/loader/holdings_test.go
+++ b/internal/loader/holdings_test.go
@@ -14,31 +14,31 @@
 	"github.com/oriolecroft/oriolecroft/internal/messenger"
 )
 
-// Guards against agents that learn of each other's chunks by questions alone, which take up
-// their links as their number grows.
+// Guards against agents that learn of each other's chunks only by polls, which saturate their links
+// as their number grows.
 func TestChunkRequestReportsItsSendersHoldings(t *testing.T) {
 	inBubble(t, func(t *testing.T, n *network) {
 		w := publish("v1", 8)
-		holder := n.start(t, "holder", newOrigin(w))
+		holder := n.startAgent(t, "holder", newOrigin(w))
 		holder.Want([]string{w.digest})
 		holder.await(t, w)
-		// It answers no questions.
-		silent := n.serve(t, http.HandlerFunc(func(out http.ResponseWriter, r *http.Request) {
+		// chunksOnly serves no bitmaps of holdings.
+		chunksOnly := n.serve(t, http.HandlerFunc(func(out http.ResponseWriter, r *http.Request) {
 			if strings.HasPrefix(r.URL.Path, "/holdings/") {
 				http.NotFound(out, r)
 				return
 			}
 			holder.Handler().ServeHTTP(out, r)
 		}))
-		empty := n.start(t, "empty")
+		empty := n.startAgent(t, "empty")
 		empty.Want([]string{w.digest})
 		known := holder.holder(w.digest)
-		known.Address = netip.MustParseAddrPort(silent.Listener.Addr().String())
+		known.Address = netip.MustParseAddrPort(chunksOnly.Listener.Addr().String())
 		empty.SetHolders([]messenger.Holder{known})
 		time.Sleep(time.Second)
 		must.Eq(t, 0, empty.Progress()[0].Chunks)
 
-		ask := func(agent string, held []byte) {
+		request := func(agent string, held []byte) {
 			caller := &fetcher.HTTP{
 				Address: empty.holder(w.digest).Address, Client: n.client, Watched: w.digest, Agent: agent, Held: held,
 			}
@@ -46,10 +46,10 @@
 			var missing *fetcher.NotHeldError
 			must.True(t, errors.As(err, &missing))
 		}
-		ask("unknown", []byte{0xff})
+		request("unknown", []byte{0xff})
 		must.Eq(t, 0, empty.Progress()[0].Chunks)
-		// A bitmap of more chunks than there are is cut.
-		ask("holder", []byte{0xff, 0xff, 0xff})
+		// A bitmap with more chunks than the manifest is truncated.
+		request("holder", []byte{0xff, 0xff, 0xff})
 		empty.await(t, w)
 	})
 }
--- a/internal/loader/loader.go
+++ b/internal/loader/loader.go
@@ -1,6 +1,6 @@
-// Package loader brings weights into an agent's memory and hands them on: it
-// fetches verified chunks by the planner's orders, serves them to other agents
-// as soon as each is verified, and gives the engine whole weights only.
+// Package loader fetches weights into an agent's memory and distributes them: it fetches verified
+// chunks in the order of the planner, serves each to other agents as soon as it is verified, and
+// gives the engine only complete weights.
 package loader
 
 import (
@@ -21,7 +21,7 @@
 	"github.com/oriolecroft/oriolecroft/internal/planner"
 )
 
-// Defaults of the fields that are left zero.
+// Defaults of fields that are zero.
 const (
 	DefaultSlots       = 4
 	DefaultUploadSlots = 4
@@ -35,81 +35,79 @@
 // all methods are safe for concurrent use.
 type Loader struct {
 	ID, FailureDomain, Region string
-	// Self is where other agents reach this one.
+	// Self is the address at which other agents reach this one.
 	Self netip.AddrPort
-	// SourceRegion is where Sources stand; empty when equally near to all.
+	// SourceRegion is the region of Sources; empty if they are equally near to all.
 	SourceRegion string
-	// Sources are asked in turn: the weight store first, the origin last.
+	// Sources are tried in order: the weight store first, the origin last.
 	Sources []fetcher.Source
-	// Peer makes the source of another agent's address; a *fetcher.HTTP should
-	// carry this agent's Region.
+	// Peer returns the source at another agent's address; a *fetcher.HTTP should carry this agent's
+	// Region.
 	Peer func(netip.AddrPort) fetcher.Source
-	// Memory bounds the weights held, in bytes. Chunks on their way count as held.
-	// Bytes that a reader of Weights still uses when they are evicted come on top.
+	// Memory limits the weights held, in bytes, including chunks being fetched. Evicted bytes that
+	// a reader of Weights still uses are not included.
 	Memory int64
-	// Clock is the time; nil means the real one.
+	// Clock provides the time; nil means the real one.
 	Clock clock.WithTicker
-	// Slots bounds the fetches in flight of each manifest, and OriginSlots those from
-	// Sources; 0 means half of Slots.
+	// Slots limits the concurrent fetches of each manifest, and OriginSlots those from Sources; 0
+	// means half of Slots.
 	Slots, OriginSlots int
-	// Questions bounds how many peers of the own region, and of others, are asked each Poll what
-	// they hold of a manifest; 0 means all.
+	// Questions limits how many peers of this region, and of others, are asked for their holdings
+	// of a manifest each Poll; 0 means all.
 	Questions int
-	// Upload paces what is sent to other agents, in bytes; nil means unpaced.
-	// UploadSlots bounds the fetches of peers served at once, of this region and
-	// of others each.
+	// Upload limits the rate of uploads to other agents, in bytes; nil means unlimited. UploadSlots
+	// limits the uploads in progress, separately for this region and for others.
 	Upload      *rate.Limiter
 	UploadSlots int
-	// Patience, Settle and Poll are the planner's patience, the wait before a
-	// newly wanted manifest is drawn from the origin, and how often peers are
-	// asked what they hold.
+	// Patience is the planner's; Settle is the wait before a newly wanted manifest is fetched from
+	// the origin; Poll is how often peers are asked for their holdings.
 	Patience, Settle, Poll time.Duration
-	// OriginBackoff is the planner's; 0 lets the pauses grow.
+	// OriginBackoff is the planner's; 0 means increasing backoffs.
 	OriginBackoff time.Duration
-	// Nearly is the share of chunks from which a transfer that is wanted no more
-	// is finished all the same.
+	// Nearly is the share of chunks from which a transfer is completed even if it is not wanted any
+	// more.
 	Nearly float64
-	// Seed makes the random choices repeatable; 0 takes a random seed.
+	// Seed makes the random choices reproducible; 0 means a random seed.
 	Seed uint64
 
-	once    sync.Once
-	uploads chan struct{}
-	exports chan struct{}
-	pacer   *pacer
-	wake    chan struct{}
+	once        sync.Once
+	uploadSlots chan struct{}
+	exportSlots chan struct{}
+	pacer       *pacer
+	trigger     chan struct{}
 
 	mu     sync.Mutex
-	sets   map[string]*set
+	sets   map[string]*weightSet
 	chunks map[string]*chunk
 	used   int64
-	want   []string
-	// prefetch lists manifests to be wanted next.
-	prefetch   []string
-	keep       map[string]bool
-	holders    map[holderKey]reportedHolder
-	reportedAt time.Time
-	changed    chan struct{}
-	cancels    map[fetch]context.CancelFunc
-	asking     map[string]bool
-	seeds      uint64
-	ctx        context.Context
-	running    sync.WaitGroup
-}
-
-// chunk is a chunk's place in memory; data is nil until verified bytes arrive.
+	wanted []string
+	// prefetch lists the manifests that will be wanted next.
+	prefetch         []string
+	kept             map[string]bool
+	holders          map[holderKey]reportedHolder
+	holdersUpdatedAt time.Time
+	changed          chan struct{}
+	cancels          map[fetchKey]context.CancelFunc
+	pendingRequests  map[string]bool
+	transferCount    uint64
+	ctx              context.Context
+	running          sync.WaitGroup
+}
+
+// chunk is a chunk in memory; data is nil until verified bytes arrive.
 type chunk struct {
 	size int64
 	data []byte
 	refs int
 }
 
-// fetch names a running fetch.
-type fetch struct {
+// fetchKey identifies a fetch in progress.
+type fetchKey struct {
 	manifest string
 	order    planner.Order
 }
 
-// IncompleteError reports weights of which chunks are still missing.
+// IncompleteError reports weights with missing chunks.
 type IncompleteError struct {
 	Manifest  string
 	Have, All int
@@ -119,11 +117,11 @@
 	return fmt.Sprintf("weights %s not whole: %d of %d chunks", e.Manifest, e.Have, e.All)
 }
 
-// Progress is how far one manifest's transfer has come.
+// Progress is the state of one manifest's transfer.
 type Progress struct {
 	Manifest string `json:"manifest"`
-	// Chunks and Bytes are held, of AllChunks and AllBytes; these are 0 while the
-	// manifest itself is unknown.
+	// Chunks and Bytes are held, of AllChunks and AllBytes; all are 0 while the manifest itself is
+	// unknown.
 	Chunks    int   `json:"chunks"`
 	AllChunks int   `json:"allChunks"`
 	Bytes     int64 `json:"bytes"`
@@ -131,9 +129,9 @@
 	// FromPeers and FromOrigin are the bytes fetched, by kind of source.
 	FromPeers  int64 `json:"fromPeers"`
 	FromOrigin int64 `json:"fromOrigin"`
-	// Corrupt counts chunks that came with wrong bytes and were thrown away.
+	// Corrupt counts chunks that were discarded because of wrong bytes.
 	Corrupt int `json:"corrupt,omitempty"`
-	// Refused tells that the memory is too small for the manifest.
+	// Refused is set when the memory is too small for the manifest.
 	Refused bool `json:"refused,omitempty"`
 }
 
@@ -149,17 +147,17 @@
 		l.Settle = orDefault(l.Settle, DefaultSettle)
 		l.Poll = orDefault(l.Poll, DefaultPoll)
 		l.Nearly = orDefault(l.Nearly, DefaultNearly)
-		l.uploads = make(chan struct{}, l.UploadSlots)
-		l.exports = make(chan struct{}, l.UploadSlots)
+		l.uploadSlots = make(chan struct{}, l.UploadSlots)
+		l.exportSlots = make(chan struct{}, l.UploadSlots)
 		l.pacer = &pacer{limiter: l.Upload}
-		l.wake = make(chan struct{}, 1)
-		l.sets = map[string]*set{}
+		l.trigger = make(chan struct{}, 1)
+		l.sets = map[string]*weightSet{}
 		l.chunks = map[string]*chunk{}
-		l.keep = map[string]bool{}
+		l.kept = map[string]bool{}
 		l.holders = map[holderKey]reportedHolder{}
 		l.changed = make(chan struct{})
-		l.cancels = map[fetch]context.CancelFunc{}
-		l.asking = map[string]bool{}
+		l.cancels = map[fetchKey]context.CancelFunc{}
+		l.pendingRequests = map[string]bool{}
 	})
 }
 
@@ -170,8 +168,8 @@
 	return v
 }
 
-// Serve fetches what is wanted until ctx is done. It returns after all its
-// fetches have ended, and may be called again.
+// Serve fetches the wanted manifests until ctx is done. It returns after all fetches have ended,
+// and may be called again.
 func (l *Loader) Serve(ctx context.Context) error {
 	l.setUp()
 	ctx, cancel := context.WithCancel(ctx)
@@ -188,72 +186,71 @@
 		case <-ctx.Done():
 			return ctx.Err()
 		case <-tick.C():
-		case <-l.wake:
+		case <-l.trigger:
 		}
 	}
 }
 
-// nudge makes Serve look again at once.
-func (l *Loader) nudge() {
+// triggerStep makes Serve run its next step at once.
+func (l *Loader) triggerStep() {
 	select {
-	case l.wake <- struct{}{}:
+	case l.trigger <- struct{}{}:
 	default:
 	}
 }
 
-// Want replaces the list of wanted manifests, the most important first. Others
-// may be evicted, and their transfers are stopped unless nearly done.
+// Want replaces the list of wanted manifests, the most important first. Others may be evicted, and
+// their transfers are stopped unless nearly complete.
 func (l *Loader) Want(manifests []string) {
 	l.setUp()
 	l.mu.Lock()
 	defer l.mu.Unlock()
-	l.replace(&l.want, manifests)
+	l.replaceList(&l.wanted, manifests)
 }
 
-// replace takes over one of the lists of manifests.
-func (l *Loader) replace(list *[]string, manifests []string) {
+// replaceList replaces one of the lists of manifests.
+func (l *Loader) replaceList(list *[]string, manifests []string) {
 	if slices.Equal(*list, manifests) {
 		return
 	}
 	*list = slices.Clone(manifests)
 	for _, m := range manifests {
-		l.open(m)
+		l.ensureSet(m)
 	}
 	l.stopUnwanted()
-	l.announce()
-	l.nudge()
+	l.notifyChanged()
+	l.triggerStep()
 }
 
-// listed tells whether a manifest is wanted or prefetched.
-func (l *Loader) listed(manifest string) bool {
-	return slices.Contains(l.want, manifest) || slices.Contains(l.prefetch, manifest)
+// isListed reports whether a manifest is wanted or prefetched.
+func (l *Loader) isListed(manifest string) bool {
+	return slices.Contains(l.wanted, manifest) || slices.Contains(l.prefetch, manifest)
 }
 
-// open makes the set of a manifest unless there is one.
-func (l *Loader) open(manifest string) {
+// ensureSet creates the set of a manifest unless it exists.
+func (l *Loader) ensureSet(manifest string) {
 	if l.sets[manifest] == nil {
-		l.sets[manifest] = &set{digest: manifest, since: l.Clock.Now()}
+		l.sets[manifest] = &weightSet{digest: manifest, wantedSince: l.Clock.Now()}
 	}
 }
 
-// stopUnwanted ends the transfers that are neither wanted nor prefetched nor nearly done.
+// stopUnwanted stops the transfers that are neither wanted nor prefetched nor nearly complete.
 func (l *Loader) stopUnwanted() {
 	for _, s := range l.sets {
-		if !l.listed(s.digest) && !l.finishes(s) {
-			l.stop(s)
+		if !l.isListed(s.digest) && !l.isNearlyComplete(s) {
+			l.stopFetches(s)
 		}
 	}
 }
 
-// finishes tells whether a transfer that is wanted no more goes on because it is
-// nearly there.
-func (l *Loader) finishes(s *set) bool {
+// isNearlyComplete reports whether a transfer should continue even if it is not wanted any more.
+func (l *Loader) isNearlyComplete(s *weightSet) bool {
 	t := s.transfer
 	return t != nil && !t.Whole() && float64(t.Count()) >= l.Nearly*float64(t.Chunks)
 }
 
-// stop ends the fetches of a set. What arrived stays until its room is needed.
-func (l *Loader) stop(s *set) {
+// stopFetches cancels the fetches of a set. Chunks that arrived stay until their memory is needed.
+func (l *Loader) stopFetches(s *weightSet) {
 	for f, cancel := range l.cancels {
 		if f.manifest == s.digest {
 			cancel()
@@ -264,46 +261,44 @@
 	}
 }
 
-// Keep replaces the list of manifests that must not be evicted: what the engine
-// holds, or is being ordered to load.
+// Keep replaces the list of manifests that must not be evicted: those that the engine holds or is
+// being ordered to load.
 func (l *Loader) Keep(manifests ...string) {
 	l.setUp()
 	l.mu.Lock()
 	defer l.mu.Unlock()
-	clear(l.keep)
+	clear(l.kept)
 	for _, m := range manifests {
-		l.keep[m] = true
+		l.kept[m] = true
 	}
-	l.nudge()
+	l.triggerStep()
 }
 
-// SetHolders takes in news of other agents' holdings. An agent reports to a few
-// entries, and each knows other agents; were the news of one to replace that of
-// another, the origin fetchers would change with each answer, and the origin would be
-// asked for a chunk by one after the other. So what was heard stays until it is
-// holdersFor old.
+// SetHolders adds reports of other agents' holdings. An agent reports to a few entries, each of
+// which has reports of different agents. If the report of one entry replaced another's, the origin
+// fetchers would change with each report, and several of them would request the same chunk from the
+// origin. So each report is kept for holderTTL.
 func (l *Loader) SetHolders(hs []messenger.Holder) {
 	l.setUp()
 	l.mu.Lock()
 	defer l.mu.Unlock()
-	l.reportedAt = l.Clock.Now()
+	l.holdersUpdatedAt = l.Clock.Now()
 	for _, h := range hs {
-		l.holders[holderKey{h.Holding.Manifest, h.ID}] = reportedHolder{h, l.reportedAt}
+		l.holders[holderKey{h.Holding.Manifest, h.ID}] = reportedHolder{h, l.holdersUpdatedAt}
 	}
 	for k, h := range l.holders {
-		if l.reportedAt.Sub(h.at) > holdersFor {
+		if l.holdersUpdatedAt.Sub(h.reportedAt) > holderTTL {
 			delete(l.holders, k)
 		}
 	}
 	for _, s := range l.sets {
-		s.learn(l.ID, l.Region, l.holders, l.reportedAt)
+		s.updatePeers(l.ID, l.Region, l.holders, l.holdersUpdatedAt)
 	}
-	l.nudge()
+	l.triggerStep()
 }
 
-// Holdings tells what is held and wanted, in the order of the digests. A wanted
-// manifest of which nothing is held yet is listed too: so a tracker learns who
-// wants it.
+// Holdings lists what is held and wanted, in the order of the digests. A wanted manifest of which
+// nothing is held yet is included, so that a tracker can list this agent as a fetcher of it.
 func (l *Loader) Holdings() []messenger.Holding {
 	l.setUp()
 	l.mu.Lock()
@@ -311,7 +306,7 @@
 	hs := make([]messenger.Holding, 0, len(l.sets))
 	for _, s := range l.sets {
 		if s.refused {
-			// Without room it fetches nothing: as an origin fetcher it would only be waited for.
+			// A refused set fetches nothing: as an origin fetcher it would only delay others.
 			continue
 		}
 		h := messenger.Holding{Manifest: s.digest}
@@ -328,7 +323,7 @@
 	return hs
 }
 
-// Complete gives the manifest once all its chunks are held.
+// Complete returns the manifest once all its chunks are held.
 func (l *Loader) Complete(manifest string) (*fetcher.Manifest, bool) {
 	l.setUp()
 	l.mu.Lock()
@@ -340,8 +335,8 @@
 	return s.manifest, true
 }
 
-// Chunk gives the verified bytes of chunk i of a manifest, whole or not; false while it
-// isn't held.
+// Chunk returns the verified bytes of chunk i of a manifest, complete or not; false while they are
+// not held.
 func (l *Loader) Chunk(manifest string, i int) ([]byte, bool) {
 	l.setUp()
 	l.mu.Lock()
@@ -357,8 +352,8 @@
 	return c.data, true
 }
 
-// Weights reads the verified bytes of a whole manifest in order. It returns a
-// *NotWholeError while chunks are missing.
+// Weights reads the verified bytes of a complete manifest in order. It returns an *IncompleteError
+// while chunks are missing.
 func (l *Loader) Weights(manifest string) (io.ReadSeeker, error) {
 	l.setUp()
 	l.mu.Lock()
@@ -377,7 +372,7 @@
 	return r, nil
 }
 
-// Changed is closed at the next change of holdings.
+// Changed returns a channel that is closed at the next change of holdings.
 func (l *Loader) Changed() <-chan struct{} {
 	l.setUp()
 	l.mu.Lock()
@@ -385,25 +380,25 @@
 	return l.changed
 }
 
-func (l *Loader) announce() {
+func (l *Loader) notifyChanged() {
 	close(l.changed)
 	l.changed = make(chan struct{})
 }
 
-// Progress lists how far each manifest has come, in the order of the digests.
+// Progress returns the state of each manifest's transfer, in the order of the digests.
 func (l *Loader) Progress() []Progress {
 	l.setUp()
 	l.mu.Lock()
 	defer l.mu.Unlock()
 	ps := make([]Progress, 0, len(l.sets))
 	for _, s := range l.sets {
-		ps = append(ps, s.report())
+		ps = append(ps, s.progress())
 	}
 	slices.SortFunc(ps, func(a, b Progress) int { return cmpString(a.Manifest, b.Manifest) })
 	return ps
 }
 
-// step starts whatever is worth starting now.
+// step starts all fetches that are due.
 func (l *Loader) step() {
 	l.mu.Lock()
 	defer l.mu.Unlock()
@@ -411,36 +406,36 @@
 		return
 	}
 	now := l.Clock.Now()
-	for _, s := range l.active() {
-		if !l.ready(s, now) {
+	for _, s := range l.activeSets() {
+		if !l.prepare(s, now) {
 			continue
 		}
 		l.cancelOverdue(s, now)
-		l.poll(s, now)
-		l.order(s, now, (*planner.Transfer).Next)
+		l.pollPeers(s, now)
+		l.startFetches(s, now, (*planner.Transfer).Next)
 	}
 	l.stepPrefetch(now)
 }
 
-// ready tells whether a set's chunks can be fetched. Without its manifest that is asked for.
-func (l *Loader) ready(s *set, now time.Time) bool {
+// prepare reports whether a set's chunks can be fetched. It requests a missing manifest.
+func (l *Loader) prepare(s *weightSet, now time.Time) bool {
 	if s.manifest == nil {
-		l.askManifest(s, now)
+		l.requestManifest(s, now)
 		return false
 	}
 	return s.transfer != nil || l.admit(s, now)
 }
 
-// active lists the sets to work on: those nearly there first, then the wanted
-// in their order.
-func (l *Loader) active() []*set {
-	var ss []*set
+// activeSets lists the sets to work on: first those nearly complete, then the wanted ones in their
+// order.
+func (l *Loader) activeSets() []*weightSet {
+	var ss []*weightSet
 	for _, s := range l.sets {
-		if !l.listed(s.digest) && l.finishes(s) {
+		if !l.isListed(s.digest) && l.isNearlyComplete(s) {
 			ss = append(ss, s)
 		}
 	}
-	for _, m := range l.want {
+	for _, m := range l.wanted {
 		if s := l.sets[m]; s != nil && (s.transfer == nil || !s.transfer.Whole()) {
 			ss = append(ss, s)
 		}
@@ -448,8 +443,8 @@
 	return ss
 }
 
-// order starts the fetches that the planner asks for.
-func (l *Loader) order(s *set, now time.Time, next func(*planner.Transfer, time.Time) (planner.Order, bool)) {
+// startFetches starts the fetches that the planner orders.
+func (l *Loader) startFetches(s *weightSet, now time.Time, next func(*planner.Transfer, time.Time) (planner.Order, bool)) {
 	for {
 		o, ok := next(s.transfer, now)
 		if !ok {
@@ -457,35 +452,34 @@
 		}
 		klog.V(2).InfoS("Fetch planned", "agent", l.ID, "manifest", s.digest, "chunk", o.Chunk, "source", o.Source)
 		ctx, cancel := context.WithCancel(l.ctx)
-		l.cancels[fetch{s.digest, o}] = cancel
-		l.share(s, o.Chunk, (*planner.Transfer).Hold)
-		l.running.Go(func() { l.run(ctx, s, o) })
+		l.cancels[fetchKey{s.digest, o}] = cancel
+		l.updateSharing(s, o.Chunk, (*planner.Transfer).Hold)
+		l.running.Go(func() { l.runFetch(ctx, s, o) })
 	}
 }
 
-// share tells the other transfers that want the same chunk. Two versions often
-// share most of their chunks; each would otherwise fetch them for itself.
-func (l *Loader) share(s *set, chunk int, tell func(*planner.Transfer, int)) {
+// updateSharing updates the other transfers that include the same chunk. Two versions often share
+// most of their chunks, and each would otherwise fetch them separately.
+func (l *Loader) updateSharing(s *weightSet, chunk int, update func(*planner.Transfer, int)) {
 	digest := s.manifest.Chunks[chunk]
 	for _, other := range l.sets {
 		if other == s || other.transfer == nil {
 			continue
 		}
-		for _, i := range other.places[digest] {
-			tell(other.transfer, i)
+		for _, i := range other.chunkIndexes[digest] {
+			update(other.transfer, i)
 		}
 	}
 }
 
-// cancelOverdue cuts fetches that trickle: they keep a slot, and neither fail
-// nor end.
-func (l *Loader) cancelOverdue(s *set, now time.Time) {
-	for _, o := range s.transfer.Overdue(overdueAfter*l.Patience, now) {
-		if cancel := l.cancels[fetch{s.digest, o}]; cancel != nil {
+// cancelOverdue cancels fetches that are very slow: they occupy a slot, and neither fail nor end.
+func (l *Loader) cancelOverdue(s *weightSet, now time.Time) {
+	for _, o := range s.transfer.Overdue(overdueFactor*l.Patience, now) {
+		if cancel := l.cancels[fetchKey{s.digest, o}]; cancel != nil {
 			cancel()
 		}
 	}
 }
 
-// overdueAfter is how many times the patience a fetch may run.
-const overdueAfter = 10
+// overdueFactor is how many times Patience a fetch may take.
+const overdueFactor = 10
--- a/internal/loader/loader_test.go
+++ b/internal/loader/loader_test.go
@@ -30,7 +30,7 @@
 	bytes    []byte
 }
 
-// publish makes weights of n chunks of 1000 bytes, the last one shorter.
+// publish creates weights of n chunks of 1000 bytes, the last one shorter.
 func publish(version string, n int) weights {
 	r := rand.New(rand.NewPCG(uint64(n), uint64(version[len(version)-1])))
 	b := make([]byte, n*1000-300)
@@ -40,7 +40,7 @@
 	return pack(version, b)
 }
 
-// pack cuts bytes into chunks and makes their manifest.
+// pack splits bytes into chunks and creates their manifest.
 func pack(version string, b []byte) weights {
 	w := weights{bytes: b}
 	w.manifest = fetcher.Manifest{Model: "rota", Version: version, Size: int64(len(b)), ChunkSize: 1000}
@@ -56,17 +56,17 @@
 	return w.bytes[i*1000 : min(len(w.bytes), (i+1)*1000)]
 }
 
-// origin is a source in memory. Its faults are set per test.
+// origin is a source in memory. Each test sets its faults.
 type origin struct {
-	mu     sync.Mutex
-	bodies map[string][]byte
-	asked  map[string]int
-	// fault, when set, may answer in the origin's place.
+	mu       sync.Mutex
+	bodies   map[string][]byte
+	requests map[string]int
+	// fault, when set, may respond in the origin's place.
 	fault func(digest string, asked int) ([]byte, error)
 }
 
 func newOrigin(ws ...weights) *origin {
-	o := &origin{bodies: map[string][]byte{}, asked: map[string]int{}}
+	o := &origin{bodies: map[string][]byte{}, requests: map[string]int{}}
 	for _, w := range ws {
 		o.bodies[w.digest] = w.body
 		for i, c := range w.manifest.Chunks {
@@ -86,9 +86,9 @@
 	if ctx.Err() != nil {
 		return nil, &fetcher.UnavailableError{Source: "origin", Err: ctx.Err()}
 	}
-	o.asked[digest]++
+	o.requests[digest]++
 	if o.fault != nil {
-		if body, err := o.fault(digest, o.asked[digest]); body != nil || err != nil {
+		if body, err := o.fault(digest, o.requests[digest]); body != nil || err != nil {
 			return body, err
 		}
 	}
@@ -99,7 +99,7 @@
 	return bytes.Clone(body), nil
 }
 
-// agent is a loader behind a real listener.
+// agent is a loader behind a listener.
 type agent struct {
 	*loader.Loader
 	server *httptest.Server
@@ -109,7 +109,7 @@
 	return n.newPacedAgent(t, id, nil, sources...)
 }
 
-// newPacedAgent makes one whose uploads keep to a rate.
+// newPacedAgent creates an agent whose uploads are limited to a rate.
 func (n *network) newPacedAgent(t *testing.T, id string, upload *rate.Limiter, sources ...fetcher.Source) *agent {
 	a := &agent{Loader: &loader.Loader{
 		ID: id, FailureDomain: "a", Region: "huon", Sources: sources, Memory: 1 << 20,
@@ -123,7 +123,7 @@
 	return a
 }
 
-// run serves until the function that it returns is called.
+// run serves until the returned function is called.
 func (a *agent) run(t *testing.T) (stop func()) {
 	ctx, cancel := context.WithCancel(t.Context())
 	done := make(chan struct{})
@@ -137,7 +137,7 @@
 	}
 }
 
-func (n *network) start(t *testing.T, id string, sources ...fetcher.Source) *agent {
+func (n *network) startAgent(t *testing.T, id string, sources ...fetcher.Source) *agent {
 	a := n.newAgent(t, id, sources...)
 	t.Cleanup(a.run(t))
 	return a
@@ -151,7 +151,7 @@
 	}
 }
 
-// await waits until the weights are whole and checks their bytes.
+// await waits until the weights are complete and checks their bytes.
 func (a *agent) await(t *testing.T, w weights) {
 	t.Helper()
 	a.awaitChunks(t, w, len(w.manifest.Chunks))
@@ -193,7 +193,7 @@
 		var agents []*agent
 		var holders []messenger.Holder
 		for i := range 6 {
-			a := n.start(t, fmt.Sprintf("vm-%d", i), o)
+			a := n.startAgent(t, fmt.Sprintf("vm-%d", i), o)
 			agents = append(agents, a)
 			holders = append(holders, a.holder(w.digest))
 		}
--- a/internal/loader/memory.go
+++ b/internal/loader/memory.go
@@ -9,18 +9,18 @@
 	"github.com/oriolecroft/oriolecroft/internal/planner"
 )
 
-// admit gives a set its room in memory before the first chunk is asked for. An
-// agent that only counted what has arrived would admit two versions that don't
-// fit together, and be killed for its memory in the middle of both.
-func (l *Loader) admit(s *set, now time.Time) bool {
+// admit reserves memory for a set before its first chunk is requested. An agent that counted only
+// the arrived chunks would admit two versions that don't fit together, and be killed for its memory
+// use while it fetches both.
+func (l *Loader) admit(s *weightSet, now time.Time) bool {
 	if s.manifest.Size > l.Memory {
-		l.refuse(s)
+		l.markRefused(s)
 		return false
 	}
-	for l.used+l.lacking(s) > l.Memory {
-		victim := l.victim(s)
+	for l.used+l.missingBytes(s) > l.Memory {
+		victim := l.evictionCandidate(s)
 		if victim == nil {
-			l.refuse(s)
+			l.markRefused(s)
 			return false
 		}
 		l.evict(victim)
@@ -34,7 +34,7 @@
 			l.chunks[d] = c
 			l.used += c.size
 		}
-		if s.places[d][0] == i {
+		if s.chunkIndexes[d][0] == i {
 			c.refs++
 		}
 		if c.data != nil {
@@ -43,72 +43,72 @@
 	}
 	s.transfer = l.newTransfer(s, now)
 	s.transfer.Start(now, have)
-	s.learn(l.ID, l.Region, l.holders, l.reportedAt)
+	s.updatePeers(l.ID, l.Region, l.holders, l.holdersUpdatedAt)
 	for f := range l.cancels {
 		if other := l.sets[f.manifest]; other != nil {
-			l.share(other, f.order.Chunk, (*planner.Transfer).Hold)
+			l.updateSharing(other, f.order.Chunk, (*planner.Transfer).Hold)
 		}
 	}
 	klog.V(1).InfoS("Weights admitted", "agent", l.ID, "manifest", s.digest, "bytes", s.manifest.Size, "usedBytes", l.used)
-	l.announce()
+	l.notifyChanged()
 	return true
 }
 
-func (l *Loader) refuse(s *set) {
+func (l *Loader) markRefused(s *weightSet) {
 	if s.refused {
 		return
 	}
-	klog.ErrorS(nil, "No room for weights", "agent", l.ID, "manifest", s.digest, "bytes", s.manifest.Size,
+	klog.ErrorS(nil, "Not enough memory for weights", "agent", l.ID, "manifest", s.digest, "bytes", s.manifest.Size,
 		"usedBytes", l.used, "memoryBytes", l.Memory)
 	s.refused = true
-	l.announce()
+	l.notifyChanged()
 }
 
-// lacking is the room in bytes that a set needs beyond what others hold already.
-func (l *Loader) lacking(s *set) int64 {
+// missingBytes is the memory in bytes that a set needs beyond the chunks it shares with others.
+func (l *Loader) missingBytes(s *weightSet) int64 {
 	var n int64
-	for d, at := range s.places {
+	for d, indexes := range s.chunkIndexes {
 		if l.chunks[d] == nil {
-			n += s.manifest.ChunkBytes(at[0])
+			n += s.manifest.ChunkBytes(indexes[0])
 		}
 	}
 	return n
 }
 
-// victim picks the set to evict for s: of those no longer wanted the one wanted
-// longest ago, else the least important one less important than s. What the
-// engine holds is never picked.
-func (l *Loader) victim(s *set) *set {
-	var oldest *set
+// evictionCandidate selects the set to evict for s: of those not wanted any more the one first
+// wanted the longest ago, else the least important one less important than s. What the engine holds
+// is never selected.
+func (l *Loader) evictionCandidate(s *weightSet) *weightSet {
+	var oldest *weightSet
 	for _, v := range l.sets {
-		if v.transfer == nil || v == s || l.keep[v.digest] || slices.Contains(l.want, v.digest) {
+		if v.transfer == nil || v == s || l.kept[v.digest] || slices.Contains(l.wanted, v.digest) {
 			continue
 		}
-		if oldest == nil || v.since.Before(oldest.since) {
+		if oldest == nil || v.wantedSince.Before(oldest.wantedSince) {
 			oldest = v
 		}
 	}
 	if oldest != nil {
 		return oldest
 	}
-	for _, m := range slices.Backward(l.want) {
+	for _, m := range slices.Backward(l.wanted) {
 		v := l.sets[m]
 		if v == s {
 			return nil
 		}
-		if v != nil && v.transfer != nil && !l.keep[m] {
+		if v != nil && v.transfer != nil && !l.kept[m] {
 			return v
 		}
 	}
 	return nil
 }
 
-// evict gives up the room of a set. Its manifest stays while it is wanted.
-func (l *Loader) evict(s *set) {
+// evict frees the memory of a set. Its manifest stays while it is wanted.
+func (l *Loader) evict(s *weightSet) {
 	klog.V(1).InfoS("Weights evicted", "agent", l.ID, "manifest", s.digest)
-	l.stop(s)
+	l.stopFetches(s)
 	s.transfer = nil
-	for d := range s.places {
+	for d := range s.chunkIndexes {
 		c := l.chunks[d]
 		c.refs--
 		if c.refs == 0 {
@@ -116,8 +116,8 @@
 			delete(l.chunks, d)
 		}
 	}
-	if !slices.Contains(l.want, s.digest) {
+	if !slices.Contains(l.wanted, s.digest) {
 		delete(l.sets, s.digest)
 	}
-	l.announce()
+	l.notifyChanged()
 }
--- a/internal/loader/network_test.go
+++ b/internal/loader/network_test.go
@@ -10,13 +10,13 @@
 	"github.com/oriolecroft/oriolecroft/internal/connector/connectortest"
 )
 
-// network joins the agents of one test in memory.
+// network connects the agents of one test in memory.
 type network struct {
 	connectortest.Network
 	client *http.Client
 }
 
-// inBubble runs a test in virtual time with a network of its own.
+// inBubble runs a test in virtual time with its own network.
 func inBubble(t *testing.T, test func(t *testing.T, n *network)) {
 	t.Helper()
 	synctest.Test(t, func(t *testing.T) {
@@ -29,7 +29,7 @@
 	})
 }
 
-// serve gives a handler an address of its own.
+// serve gives a handler its own address.
 func (n *network) serve(t *testing.T, handler http.Handler) *httptest.Server {
 	s := httptest.NewUnstartedServer(handler)
 	// httptest has bound a port of the machine that isn't used.
--- a/internal/loader/prefetch_test.go
+++ b/internal/loader/prefetch_test.go
@@ -11,12 +11,12 @@
 	"github.com/oriolecroft/oriolecroft/internal/messenger"
 )
 
-// prefetchers starts agents that want the first of two versions and prefetch the second.
-func (n *network) prefetchers(t *testing.T, o *origin, first, second weights) []*agent {
+// startPrefetching starts agents that want the first of two versions and prefetch the second.
+func (n *network) startPrefetching(t *testing.T, o *origin, first, second weights) []*agent {
 	var agents []*agent
 	var holders []messenger.Holder
 	for _, id := range []string{"vm-0", "vm-1", "vm-2"} {
-		a := n.start(t, id, o)
+		a := n.startAgent(t, id, o)
 		agents = append(agents, a)
 		holders = append(holders, a.holder(first.digest), a.holder(second.digest))
 	}
@@ -28,8 +28,8 @@
 	return agents
 }
 
-// chunksOf is how many chunks of a version an agent has.
-func (a *agent) chunksOf(w weights) int {
+// heldChunks returns how many chunks of a version an agent has.
+func (a *agent) heldChunks(w weights) int {
 	for _, p := range a.Progress() {
 		if p.Manifest == w.digest {
 			return p.Chunks
@@ -38,31 +38,31 @@
 	return 0
 }
 
-func down(string, int) ([]byte, error) {
+func originDown(string, int) ([]byte, error) {
 	return nil, &fetcher.UnavailableError{Source: "origin"}
 }
 
-// Guards against an idle origin: one that goes down between two announcements of versions must
-// not keep the second from all agents until it returns.
-func TestPrefetchedVersionOutlivesItsOrigin(t *testing.T) {
+// Guards against an idle origin: one that fails between the announcements of two versions must not
+// keep the second from all agents until it returns.
+func TestPrefetchedVersionSurvivesOriginFailure(t *testing.T) {
 	inBubble(t, func(t *testing.T, n *network) {
 		first, second := publish("v1", 12), publish("v2", 12)
 		o := newOrigin(first, second)
-		agents := n.prefetchers(t, o, first, second)
-		drawn := 0
+		agents := n.startPrefetching(t, o, first, second)
+		fetched := 0
 		for range 400 {
 			time.Sleep(5 * time.Millisecond)
-			drawn = 0
+			fetched = 0
 			for _, a := range agents {
-				drawn += a.chunksOf(second)
+				fetched += a.heldChunks(second)
 			}
-			if drawn >= len(second.manifest.Chunks) {
+			if fetched >= len(second.manifest.Chunks) {
 				break
 			}
 		}
-		must.Eq(t, len(second.manifest.Chunks), drawn, must.Sprint("each chunk is drawn by one agent, and not passed on yet"))
+		must.Eq(t, len(second.manifest.Chunks), fetched, must.Sprint("each chunk must be fetched by one agent, and not served to others yet"))
 		o.mu.Lock()
-		o.fault = down
+		o.fault = originDown
 		o.mu.Unlock()
 		for _, a := range agents {
 			a.await(t, first)
@@ -75,7 +75,7 @@
 	})
 }
 
-// Guards against a prefetch that delays the version under way.
+// Guards against a prefetch that delays the version being fetched.
 func TestPrefetchWaitsForTheWantedVersion(t *testing.T) {
 	inBubble(t, func(t *testing.T, n *network) {
 		first, second := publish("v1", 12), publish("v2", 12)
@@ -87,10 +87,10 @@
 			}
 			return nil, nil
 		}
-		agents := n.prefetchers(t, o, first, second)
+		agents := n.startPrefetching(t, o, first, second)
 		time.Sleep(2 * time.Second)
 		for _, a := range agents {
-			must.Eq(t, 0, a.chunksOf(second), must.Sprint("the origin still owes a chunk of the wanted version"))
+			must.Eq(t, 0, a.heldChunks(second), must.Sprint("a chunk of the wanted version is still missing"))
 		}
 		o.mu.Lock()
 		o.fault = nil
@@ -102,7 +102,7 @@
 }
 
 // Guards against a prefetch that evicts weights in use.
-func TestPrefetchDisplacesNothing(t *testing.T) {
+func TestPrefetchEvictsNothing(t *testing.T) {
 	inBubble(t, func(t *testing.T, n *network) {
 		first, second := publish("v1", 12), publish("v2", 12)
 		a := n.newAgent(t, "vm-0", newOrigin(first, second))
@@ -113,7 +113,7 @@
 		a.SetHolders(nil)
 		a.await(t, first)
 		time.Sleep(time.Second)
-		must.Eq(t, 0, a.chunksOf(second))
+		must.Eq(t, 0, a.heldChunks(second))
 		a.awaitProgress(t, first, func(p loader.Progress) bool { return p.Chunks == p.AllChunks })
 	})
 }
--- a/internal/loader/set.go
+++ b/internal/loader/set.go
@@ -17,28 +17,28 @@
 
 func cmpString(a, b string) int { return cmp.Compare(a, b) }
 
-// set is one set of weights: wanted, on its way, or held.
-type set struct {
+// weightSet is one set of weights: wanted, being fetched, or held.
+type weightSet struct {
 	digest string
-	// since is when the set was first wanted.
-	since time.Time
+	// wantedSince is when the set was first wanted.
+	wantedSince time.Time
 	// manifest and body are nil until fetched.
 	manifest *fetcher.Manifest
 	body     []byte
-	// places gives the chunk numbers of each digest.
-	places map[string][]int
-	// transfer is nil until the set has room in memory.
+	// chunkIndexes lists the chunk numbers of each digest.
+	chunkIndexes map[string][]int
+	// transfer is nil until memory is reserved for the set.
 	transfer *planner.Transfer
 	peers    []messenger.Holder
-	polled   time.Time
-	// askAgain is when the manifest may be asked for again.
-	askAgain              time.Time
+	polledAt time.Time
+	// manifestRetryAt is when the manifest may be requested again.
+	manifestRetryAt       time.Time
 	refused               bool
 	fromPeers, fromOrigin int64
 	corrupt               int
 }
 
-func (s *set) report() Progress {
+func (s *weightSet) progress() Progress {
 	p := Progress{
 		Manifest: s.digest, FromPeers: s.fromPeers, FromOrigin: s.fromOrigin,
 		Corrupt: s.corrupt, Refused: s.refused,
@@ -59,9 +59,9 @@
 	return p
 }
 
-// learn takes the holders of this set from what was heard.
-func (s *set) learn(self, region string, known map[holderKey]reportedHolder, reportedAt time.Time) {
-	s.peers = choose(self, region, s.digest, known)
+// updatePeers selects the holders of this set among the known ones.
+func (s *weightSet) updatePeers(self, region string, known map[holderKey]reportedHolder, reportedAt time.Time) {
+	s.peers = selectHolders(self, region, s.digest, known)
 	if s.transfer != nil {
 		s.transfer.Learn(plannerPeers(s.peers), reportedAt)
 	}
@@ -77,7 +77,7 @@
 	return ps
 }
 
-func (s *set) peer(id string) (messenger.Holder, bool) {
+func (s *weightSet) peer(id string) (messenger.Holder, bool) {
 	i := slices.IndexFunc(s.peers, func(h messenger.Holder) bool { return h.ID == id })
 	if i < 0 {
 		return messenger.Holder{}, false
@@ -85,33 +85,32 @@
 	return s.peers[i], true
 }
 
-// run carries out one order.
-func (l *Loader) run(ctx context.Context, s *set, o planner.Order) {
+// runFetch executes one order.
+func (l *Loader) runFetch(ctx context.Context, s *weightSet, o planner.Order) {
 	digest, size := s.manifest.Chunks[o.Chunk], s.manifest.ChunkBytes(o.Chunk)
 	data, err := l.fetch(ctx, s, o, digest, size)
 	l.mu.Lock()
 	defer l.mu.Unlock()
-	defer l.nudge()
-	f := fetch{s.digest, o}
+	defer l.triggerStep()
+	f := fetchKey{s.digest, o}
 	if cancel := l.cancels[f]; cancel != nil {
 		cancel()
 		delete(l.cancels, f)
 	}
-	l.share(s, o.Chunk, (*planner.Transfer).Release)
+	l.updateSharing(s, o.Chunk, (*planner.Transfer).Release)
 	if l.sets[s.digest] != s || s.transfer == nil {
 		return
 	}
 	if err != nil {
-		l.failed(s, o, err)
+		l.handleFailure(s, o, err)
 		return
 	}
-	l.arrived(s, o, digest, data)
+	l.handleChunk(s, o, digest, data)
 }
 
-// fetch gets verified bytes. Whatever a Source promises, the digest is checked
-// here once more by the fetcher's own types; a Source of another make must do so
-// as well.
-func (l *Loader) fetch(ctx context.Context, s *set, o planner.Order, digest string, size int64) ([]byte, error) {
+// fetch returns verified bytes. The fetcher's own types check the digest here even if the source
+// promises to; other implementations of fetcher.Source must check it as well.
+func (l *Loader) fetch(ctx context.Context, s *weightSet, o planner.Order, digest string, size int64) ([]byte, error) {
 	switch from := o.Source.(type) {
 	case planner.FromPeer:
 		l.mu.Lock()
@@ -124,42 +123,42 @@
 		if !ok {
 			return nil, &fetcher.NotHeldError{Source: from.ID, Digest: digest}
 		}
-		return fetcher.Verified(l.exchanging(s, from.ID, held, l.Peer(h.Address))).Chunk(ctx, digest, size)
+		return fetcher.Verified(l.withHoldingExchange(s, from.ID, held, l.Peer(h.Address))).Chunk(ctx, digest, size)
 	default:
 		return l.fromSources(func(src fetcher.Source) ([]byte, error) { return src.Chunk(ctx, digest, size) })
 	}
 }
 
-// exchanging makes a fetch of a chunk report to each side what the other holds. Known from
-// questions alone, that is as old as several chunks take on a fast link, and agents ask each other
-// for what is gone or not yet there.
-func (l *Loader) exchanging(s *set, id string, held []byte, src fetcher.Source) fetcher.Source {
+// withHoldingExchange makes a chunk request report to each side what the other holds. With polls
+// alone this information is as old as several chunks take on a fast link, and agents ask each other
+// for chunks that are gone or have not arrived.
+func (l *Loader) withHoldingExchange(s *weightSet, id string, held []byte, src fetcher.Source) fetcher.Source {
 	peer, ok := src.(*fetcher.HTTP)
 	if !ok {
 		return src
 	}
-	asked := *peer
-	asked.Watched, asked.Agent, asked.Held = s.digest, l.ID, held
-	asked.OnHolding = func(have []byte) {
+	extended := *peer
+	extended.Watched, extended.Agent, extended.Held = s.digest, l.ID, held
+	extended.OnHolding = func(have []byte) {
 		l.mu.Lock()
 		defer l.mu.Unlock()
-		l.observe(s, id, have)
+		l.recordHolding(s, id, have)
 	}
-	return &asked
+	return &extended
 }
 
-// observe takes over what a peer itself says that it holds.
-func (l *Loader) observe(s *set, id string, have []byte) {
+// recordHolding records the holdings that a peer itself reports.
+func (l *Loader) recordHolding(s *weightSet, id string, have []byte) {
 	if s.transfer != nil {
 		s.transfer.Saw(id, planner.Bitmap(have), l.Clock.Now())
 	}
 }
 
-// fromSources asks the sources in turn and gives the first good answer.
-func (l *Loader) fromSources(ask func(fetcher.Source) ([]byte, error)) ([]byte, error) {
+// fromSources tries the sources in order and returns the first successful response.
+func (l *Loader) fromSources(request func(fetcher.Source) ([]byte, error)) ([]byte, error) {
 	err := error(&fetcher.UnavailableError{Source: "no source"})
 	for _, src := range l.Sources {
-		data, e := ask(fetcher.Verified(src))
+		data, e := request(fetcher.Verified(src))
 		if e == nil {
 			return data, nil
 		}
@@ -168,7 +167,7 @@
 	return nil, err
 }
 
-func (l *Loader) arrived(s *set, o planner.Order, digest string, data []byte) {
+func (l *Loader) handleChunk(s *weightSet, o planner.Order, digest string, data []byte) {
 	before := s.transfer.Count()
 	s.transfer.Done(o, l.Clock.Now())
 	switch o.Source.(type) {
@@ -180,31 +179,31 @@
 	if c := l.chunks[digest]; c == nil || c.data != nil {
 		return
 	}
-	l.gain(digest, data)
-	l.announce()
-	l.logQuarter(s, before)
+	l.storeChunk(digest, data)
+	l.notifyChanged()
+	l.logQuarterProgress(s, before)
 	if s.transfer.Whole() {
-		klog.InfoS("Weights whole", "agent", l.ID, "manifest", s.digest, "version", s.manifest.Version,
-			"fromPeers", s.fromPeers, "fromOrigin", s.fromOrigin, "after", l.Clock.Since(s.since))
+		klog.InfoS("Weights complete", "agent", l.ID, "manifest", s.digest, "version", s.manifest.Version,
+			"fromPeers", s.fromPeers, "fromOrigin", s.fromOrigin, "after", l.Clock.Since(s.wantedSince))
 	}
 }
 
-// logQuarter writes a line for each quarter of a version that has arrived: it shows who
-// was slow when a version came late.
-func (l *Loader) logQuarter(s *set, before int) {
+// logQuarterProgress logs each quarter of a version that has arrived, which shows the slow agents
+// when a version is late.
+func (l *Loader) logQuarterProgress(s *weightSet, before int) {
 	const quarters = 4
 	count, all := s.transfer.Count(), s.transfer.Chunks
 	if count < all && before*quarters/all < count*quarters/all {
 		klog.InfoS("Weights arriving", "agent", l.ID, "manifest", s.digest, "version", s.manifest.Version, "chunks", count, "of", all,
-			"fromPeers", s.fromPeers, "fromOrigin", s.fromOrigin, "after", l.Clock.Since(s.since))
+			"fromPeers", s.fromPeers, "fromOrigin", s.fromOrigin, "after", l.Clock.Since(s.wantedSince))
 	}
 }
 
-func (l *Loader) failed(s *set, o planner.Order, err error) {
+func (l *Loader) handleFailure(s *weightSet, o planner.Order, err error) {
 	cause := causeOf(err)
 	if cause == planner.Corrupt {
 		s.corrupt++
-		klog.ErrorS(err, "Corrupt chunk thrown away", "agent", l.ID, "manifest", s.digest, "chunk", o.Chunk, "source", o.Source)
+		klog.ErrorS(err, "Corrupt chunk discarded", "agent", l.ID, "manifest", s.digest, "chunk", o.Chunk, "source", o.Source)
 	} else {
 		klog.V(2).InfoS("Fetch failed", "agent", l.ID, "manifest", s.digest, "chunk", o.Chunk, "source", o.Source, "err", err)
 	}
@@ -227,66 +226,66 @@
 	}
 }
 
-// poll asks peers of a set what they hold now. The tracker's account is as
-// old as a heartbeat; a pipeline of chunks needs a younger one.
-func (l *Loader) poll(s *set, now time.Time) {
-	if now.Sub(s.polled) < l.Poll {
+// pollPeers asks peers of a set for their current holdings. The tracker's reports are as old as a
+// heartbeat, which is too old to pipeline chunks.
+func (l *Loader) pollPeers(s *weightSet, now time.Time) {
+	if now.Sub(s.polledAt) < l.Poll {
 		return
 	}
-	s.polled = now
+	s.polledAt = now
 	for _, id := range s.transfer.Ask(now) {
 		h, ok := s.peer(id)
 		key := s.digest + " " + id
-		if !ok || l.asking[key] {
+		if !ok || l.pendingRequests[key] {
 			continue
 		}
 		src, ok := l.Peer(h.Address).(fetcher.HolderSource)
 		if !ok {
 			continue
 		}
-		l.asking[key] = true
+		l.pendingRequests[key] = true
 		ctx := l.ctx
-		l.running.Go(func() { l.ask(ctx, s, id, key, src) })
+		l.running.Go(func() { l.requestHolding(ctx, s, id, key, src) })
 	}
 }
 
-func (l *Loader) ask(ctx context.Context, s *set, id, key string, src fetcher.HolderSource) {
+func (l *Loader) requestHolding(ctx context.Context, s *weightSet, id, key string, src fetcher.HolderSource) {
 	have, err := src.Holding(ctx, s.digest)
 	l.mu.Lock()
 	defer l.mu.Unlock()
-	delete(l.asking, key)
+	delete(l.pendingRequests, key)
 	if s.transfer == nil {
 		return
 	}
 	var missing *fetcher.NotHeldError
 	switch {
 	case err == nil:
-		l.observe(s, id, have)
-		l.nudge()
+		l.recordHolding(s, id, have)
+		l.triggerStep()
 	case errors.As(err, &missing):
-		l.observe(s, id, nil)
+		l.recordHolding(s, id, nil)
 	case ctx.Err() == nil:
 		s.transfer.Silent(id, l.Clock.Now())
 	}
 }
 
-// askManifest fetches a manifest from agents that have it, and from the sources
-// when this agent would be an origin fetcher, or when it has waited long enough.
-func (l *Loader) askManifest(s *set, now time.Time) {
-	if l.asking[s.digest] || now.Before(s.askAgain) {
+// requestManifest fetches a manifest from agents that have it, and from the sources if this agent
+// is an origin fetcher or has waited long enough.
+func (l *Loader) requestManifest(s *weightSet, now time.Time) {
+	if l.pendingRequests[s.digest] || now.Before(s.manifestRetryAt) {
 		return
 	}
-	l.asking[s.digest] = true
+	l.pendingRequests[s.digest] = true
 	peers := l.manifestPeers(s)
-	waited := now.Sub(s.since)
-	sources := waited >= l.Patience || waited >= l.Settle && l.wouldDraw(s)
+	waited := now.Sub(s.wantedSince)
+	sources := waited >= l.Patience || waited >= l.Settle && l.isOriginFetcher(s)
 	ctx := l.ctx
 	l.running.Go(func() { l.fetchManifest(ctx, s, peers, sources) })
 }
 
-// manifestPeers picks a few agents that should have the manifest: some that told
-// so, and the origin fetchers of this region, who fetch it first.
-func (l *Loader) manifestPeers(s *set) []messenger.Holder {
+// manifestPeers selects a few agents that should have the manifest: some that reported it, and the
+// origin fetchers of this region, which fetch it first.
+func (l *Loader) manifestPeers(s *weightSet) []messenger.Holder {
 	hs := slices.Clone(s.peers)
 	rank := func(h messenger.Holder) uint64 {
 		if h.Holding.Chunks > 0 {
@@ -298,14 +297,14 @@
 		return 1<<64 - 1
 	}
 	slices.SortFunc(hs, func(a, b messenger.Holder) int { return cmp.Compare(rank(a), rank(b)) })
-	return hs[:min(len(hs), manifestTries)]
+	return hs[:min(len(hs), maxManifestPeers)]
 }
 
-// manifestTries bounds how many agents are asked for a manifest in one round.
-const manifestTries = 4
+// maxManifestPeers limits how many agents are asked for a manifest in one round.
+const maxManifestPeers = 4
 
-// wouldDraw tells whether this agent ranks among the origin fetchers of its region.
-func (l *Loader) wouldDraw(s *set) bool {
+// isOriginFetcher reports whether this agent ranks among the origin fetchers of its region.
+func (l *Loader) isOriginFetcher(s *weightSet) bool {
 	own, higher := planner.Score(s.digest, l.ID), 0
 	for _, h := range s.peers {
 		if h.Region == l.Region && planner.Score(s.digest, h.ID) > own {
@@ -315,7 +314,7 @@
 	return higher < planner.OriginFetchers
 }
 
-func (l *Loader) fetchManifest(ctx context.Context, s *set, peers []messenger.Holder, sources bool) {
+func (l *Loader) fetchManifest(ctx context.Context, s *weightSet, peers []messenger.Holder, sources bool) {
 	body, err := l.manifestFrom(ctx, s.digest, peers, sources)
 	var m *fetcher.Manifest
 	if err == nil {
@@ -323,24 +322,24 @@
 	}
 	l.mu.Lock()
 	defer l.mu.Unlock()
-	defer l.nudge()
-	delete(l.asking, s.digest)
-	s.askAgain = l.Clock.Now().Add(l.Poll)
+	defer l.triggerStep()
+	delete(l.pendingRequests, s.digest)
+	s.manifestRetryAt = l.Clock.Now().Add(l.Poll)
 	if err != nil {
-		klog.V(1).InfoS("No manifest yet", "agent", l.ID, "manifest", s.digest, "err", err)
+		klog.V(1).InfoS("Manifest not fetched", "agent", l.ID, "manifest", s.digest, "err", err)
 		return
 	}
 	if s.manifest == nil {
-		s.take(m, body)
+		s.setManifest(m, body)
 	}
 }
 
-// take keeps the manifest.
-func (s *set) take(m *fetcher.Manifest, body []byte) {
+// setManifest stores the manifest.
+func (s *weightSet) setManifest(m *fetcher.Manifest, body []byte) {
 	s.manifest, s.body = m, body
-	s.places = make(map[string][]int, len(m.Chunks))
+	s.chunkIndexes = make(map[string][]int, len(m.Chunks))
 	for i, c := range m.Chunks {
-		s.places[c] = append(s.places[c], i)
+		s.chunkIndexes[c] = append(s.chunkIndexes[c], i)
 	}
 }
 
@@ -359,9 +358,9 @@
 	return l.fromSources(func(src fetcher.Source) ([]byte, error) { return src.Manifest(ctx, digest) })
 }
 
-// newTransfer makes the planner's side of a set.
-func (l *Loader) newTransfer(s *set, now time.Time) *planner.Transfer {
-	l.seeds++
+// newTransfer creates the planner's transfer of a set.
+func (l *Loader) newTransfer(s *weightSet, now time.Time) *planner.Transfer {
+	l.transferCount++
 	seed := l.Seed
 	if seed == 0 {
 		seed = rand.Uint64()
@@ -370,12 +369,12 @@
 		ID: l.ID, FailureDomain: l.FailureDomain, Region: l.Region,
 		Manifest: s.digest, Chunks: len(s.manifest.Chunks), SourceRegion: l.SourceRegion,
 		Slots: l.Slots, Questions: l.Questions, PeerSlots: max(1, l.Slots/2), OriginSlots: l.OriginSlots, AcrossSlots: max(1, l.Slots-1),
-		Patience: l.Patience, BusyBackoff: l.Poll / 4, AvoidFor: avoidFor,
+		Patience: l.Patience, BusyBackoff: l.Poll / 4, AvoidFor: avoidDuration,
 		OriginBackoff: l.OriginBackoff,
-		DrawAfter:     s.since.Add(l.Settle),
-		Rand:          rand.New(rand.NewPCG(seed, planner.Score(s.digest, l.ID)+l.seeds)),
+		DrawAfter:     s.wantedSince.Add(l.Settle),
+		Rand:          rand.New(rand.NewPCG(seed, planner.Score(s.digest, l.ID)+l.transferCount)),
 	}
 }
 
-// avoidFor is how long a peer that sent a corrupt chunk is avoided.
-const avoidFor = 5 * time.Minute
+// avoidDuration is how long a peer that sent a corrupt chunk is avoided.
+const avoidDuration = 5 * time.Minute
--- a/internal/stager/stager.go
+++ b/internal/stager/stager.go
@@ -99,7 +99,7 @@
 
 // Stager manages the weights of one engine. Set the exported fields before Serve.
 type Stager struct {
-	// ID is this agent's. Address is the engine's, and tells its record from those of the others.
+	// ID is this agent's. Address is the engine's, and identifies its record.
 	ID        string
 	Service   string
 	Address   netip.AddrPort
@@ -325,9 +325,9 @@
 	if ctx.Err() != nil {
 		return false
 	}
-	var resting *BackoffError
-	if errors.As(err, &resting) {
-		s.closeGateUntil(observer.RestingUpstream, polledAt.Add(resting.Rest))
+	var backoff *BackoffError
+	if errors.As(err, &backoff) {
+		s.closeGateUntil(observer.RestingUpstream, polledAt.Add(backoff.Rest))
 		return false
 	}
 	if err != nil {
