--- a/internal/agent/switcher.go
+++ b/internal/agent/switcher.go
@@ -212,7 +212,7 @@
 
 func (s *switcher) weightsWhole(m bundler.Model) bool {
 	for _, d := range manifestsOf(m) {
-		if _, ok := s.agent.Loader.Whole(d); !ok {
+		if _, ok := s.agent.Loader.Complete(d); !ok {
 			return false
 		}
 	}
@@ -295,7 +295,7 @@
 }
 
 func (s *switcher) newLoadOrder(m bundler.Model, fence uint64) (driver.LoadOrder, error) {
-	manifest, ok := s.agent.Loader.Whole(m.Manifest)
+	manifest, ok := s.agent.Loader.Complete(m.Manifest)
 	if !ok {
 		return driver.LoadOrder{}, errors.New("weights were evicted before the order")
 	}
