--- a/cmd/oriolecroft/platform_entry.go
+++ b/cmd/oriolecroft/platform_entry.go
@@ -160,7 +160,7 @@
 	e.hoster.Callers = listeners[0]
 	e.parts.Add(web("ready", listeners[1], platform.Ready(e.hoster.Ready)))
 	e.parts.Add(web("directory", listeners[2], platform.Directory(e.registrar)))
-	e.parts.Add(&messenger.Server{Listener: listeners[3], OnRecords: syncer.Answer(e.registrar, e.ages), OnEvidence: e.localizer.Handle})
+	e.parts.Add(&messenger.Server{Listener: listeners[3], OnRecords: syncer.RecordsHandler(e.registrar, e.ages), OnEvidence: e.localizer.Handle})
 	return e.serveMetrics(func() any { return e.status(e.readiness) }, e.readiness)
 }
 
--- a/internal/hoster/hoster.go
+++ b/internal/hoster/hoster.go
@@ -139,7 +139,7 @@
 	klog.InfoS("Entry leaves")
 	ctx, cancel := context.WithTimeout(context.Background(), h.Grace-killMargin)
 	defer cancel()
-	go h.Registration.Leave(ctx)
+	go h.Registration.Deregister(ctx)
 	// Neither http.Server.SetKeepAlivesEnabled nor Shutdown looks whether a request waits to be
 	// read on a connection that they close.
 	h.idle.closeQuiet()
--- a/internal/syncer/dated_test.go
+++ b/internal/syncer/announcement_age_test.go
@@ -14,9 +14,9 @@
 	"github.com/oriolecroft/oriolecroft/platform/standin"
 )
 
-// named is the model's newest version that a process knows, and when it counts that from; zero while
-// it doesn't know.
-func (p *process) named() (uint64, time.Time) {
+// announced returns the newest version of the model that a process has, and when it counts that
+// from; zero if it has none.
+func (p *process) announced() (uint64, time.Time) {
 	v := p.registrar.View()
 	if v == nil {
 		return 0, time.Time{}
@@ -25,15 +25,15 @@
 	return w.Version, w.Learned
 }
 
-// dated tells whether a process knows since when version 2 holds.
-func (p *process) dated() bool {
-	version, learned := p.named()
+// hasAnnouncementAge returns whether a process has determined since when version 2 holds.
+func (p *process) hasAnnouncementAge() bool {
+	version, learned := p.announced()
 	return version == 2 && !learned.IsZero()
 }
 
-// Guards against an entry that found an announcement in the store when it started, whether it goes
-// on to read the store or relies on others, and never hears from them since when it holds: it bounds
-// no request on older weights.
+// Guards against an entry that finds an announcement in the store when it starts and never learns
+// its age from others, whether it reads the store or relies on peers: it would not limit requests
+// on older weights.
 func TestStartedEntryLearnsTheAgeOfAnAnnouncement(t *testing.T) {
 	for name, entries := range map[string][]string{"reader": {"e1"}, "asks others": {"e1", "e2", "e3", "e4"}} {
 		t.Run(name, func(t *testing.T) {
@@ -49,30 +49,30 @@
 			for _, p := range others {
 				eventually(t, func() bool { v := p.registrar.View(); return v != nil && len(v.Members) == len(entries) })
 			}
-			// A watch that answers at once tells no age.
+			// A watch that answers at once gives no age.
 			time.Sleep(500 * time.Millisecond)
 			announced := time.Now()
 			store.Name("m", 2)
 			for _, p := range others {
-				eventually(t, p.dated)
+				eventually(t, p.hasAnnouncementAge)
 			}
 			time.Sleep(500 * time.Millisecond)
 			// Without seeds it reads the store when it starts.
 			started := start(t, "started", true, store.Address())
-			eventually(t, started.dated)
-			_, learned := started.named()
+			eventually(t, started.hasAnnouncementAge)
+			_, learned := started.announced()
 			must.Less(t, 200*time.Millisecond, learned.Sub(announced))
 		})
 	}
 }
 
-// Guards against reporting weights with each answer where nobody knows their age, as
-// after a restart of everything.
-func TestUnknownAgesAreNotTold(t *testing.T) {
+// Guards against reporting weights in each answer when no process has their age, as after a restart
+// of all processes.
+func TestUnknownAgesAreNotReported(t *testing.T) {
 	c := clock.RealClock{}
 	r := &registrar.Registrar{Clock: c, Decode: platform.Decode}
 	found := registrar.Record{Key: "op/version/m", Value: []byte(`{"model": "m", "version": 2}`), Revision: 3, Age: registrar.UnknownAge}
 	r.Apply(registrar.Batch{Whole: true, At: 3, Records: []registrar.Record{found}})
 	must.True(t, r.Undated())
-	must.SliceEmpty(t, syncer.Answer(r, c)(t.Context(), messenger.RecordsQuery{After: 3, Ages: true}).Records)
+	must.SliceEmpty(t, syncer.RecordsHandler(r, c)(t.Context(), messenger.RecordsQuery{After: 3, Ages: true}).Records)
 }
--- a/internal/syncer/fleet_faults_test.go
+++ b/internal/syncer/fleet_faults_test.go
@@ -11,89 +11,89 @@
 	"github.com/cespare/xxhash/v2"
 )
 
-// ranked are a fleet's entries in the order in which they take on roles.
-func (f *fleet) ranked(entries int) []*node {
+// rankedEntries returns a fleet's entries in the order in which they take on roles.
+func (f *fleet) rankedEntries(entries int) []*node {
 	ns := slices.Clone(f.members[:entries])
 	slices.SortFunc(ns, func(a, b *node) int { return cmp.Compare(xxhash.Sum64String(a.ID), xxhash.Sum64String(b.ID)) })
 	return ns
 }
 
-// mixedSeeds is how many fleets meet mixed faults.
-const mixedSeeds = 30
+// mixedFaultRuns is the number of fleets with mixed faults.
+const mixedFaultRuns = 30
 
-// faultKinds are what befalls a process of a fleet, and from is one that it talks to.
+// faultKinds are the faults of a process of a fleet; peer is one that it communicates with.
 var faultKinds = []struct {
-	name string
-	fail func(t testing.TB, f *fleet, n, from *node)
+	name   string
+	inject func(t testing.TB, f *fleet, n, peer *node)
 }{
-	{"frozen", func(_ testing.TB, _ *fleet, n, _ *node) { n.deaf.Store(true) }},
+	{"frozen", func(_ testing.TB, _ *fleet, n, _ *node) { n.unresponsive.Store(true) }},
 	{"killed", func(_ testing.TB, _ *fleet, n, _ *node) { n.stop() }},
-	{"refused", func(_ testing.TB, _ *fleet, n, _ *node) { n.refused.Store(true) }},
-	{"squeezed", func(_ testing.TB, _ *fleet, n, _ *node) { n.squeezed.Store(true) }},
-	{"unheard", func(_ testing.TB, _ *fleet, n, from *node) { n.loseTo(from) }},
+	{"refused", func(_ testing.TB, _ *fleet, n, _ *node) { n.storeUnresponsive.Store(true) }},
+	{"squeezed", func(_ testing.TB, _ *fleet, n, _ *node) { n.slowLink.Store(true) }},
+	{"unheard", func(_ testing.TB, _ *fleet, n, peer *node) { n.dropWritesTo(peer) }},
 	{"lapsed", func(_ testing.TB, f *fleet, n, _ *node) { f.store.remove("entry/" + n.ID) }},
 }
 
-// The memory of a process that reads the store has gone bad, and what it packs can't be
-// unpacked. Its word is young all the same: who keeps to it for that never hears of a change,
-// and asks it again and again without a pause.
-func TestNewsPassWhoTellsNonsense(t *testing.T) {
+// Guards against processes that rely on a reader with corrupted memory. Its records can't be
+// unpacked, but its confirmation is fresh: they would miss all changes and ask it repeatedly
+// without a pause.
+func TestUpdatesBypassCorruptedPeers(t *testing.T) {
 	const entries = 24
 	for i := range 4 {
 		t.Run(fmt.Sprint(i), func(t *testing.T) {
-			inFleet(t, entries, 2, 20, func(t *testing.T, f *fleet) {
-				f.ranked(entries)[i].spoilt.Store(true)
+			withFleet(t, entries, 2, 20, func(t *testing.T, f *fleet) {
+				f.rankedEntries(entries)[i].corrupted.Store(true)
 				f.store.put("drained/a", nil)
-				t.Log("known after", f.knows(t, "a", 2*time.Second))
+				t.Log("received after", f.waitUntilDrained(t, "a", 2*time.Second))
 			})
 		})
 	}
 }
 
-// Of those that read the store and pass news on, two or three are hit at about the same time:
-// frozen, killed, refused by the store, behind a narrow link, heard by one of the others no
-// more, or with a lease that lapsed although they live. A change that the operators make then
-// must be in force within two seconds everywhere, or callers are served by what it took away.
-func TestNewsPassMixedFaults(t *testing.T) {
-	const entries, struck = 24, 8
-	for seed := range mixedSeeds {
+// Guards against a change that doesn't take effect everywhere within two seconds while two or three
+// readers and relays fail at about the same time: suspended, killed, refused by the store, behind a
+// slow link, unable to reach one peer, or running with an expired lease. Callers would be served by
+// configuration that the operators removed.
+func TestUpdatesSpreadDespiteMixedFaults(t *testing.T) {
+	const entries, faulty = 24, 8
+	for seed := range mixedFaultRuns {
 		r := rand.New(rand.NewPCG(uint64(seed), 7))
 		regions := 1 + r.IntN(3)
 		t.Run(fmt.Sprint(seed), func(t *testing.T) {
-			inFleet(t, entries, regions, 20, func(t *testing.T, f *fleet) {
-				ns := f.ranked(entries)
+			withFleet(t, entries, regions, 20, func(t *testing.T, f *fleet) {
+				ns := f.rankedEntries(entries)
 				time.Sleep(time.Duration(r.Int64N(int64(time.Second))))
 				for range 2 + r.IntN(2) {
 					k := faultKinds[r.IntN(len(faultKinds))]
-					n, from := ns[r.IntN(struck)], ns[r.IntN(struck)]
-					t.Log(k.name, n.ID, from.ID)
-					k.fail(t, f, n, from)
+					n, peer := ns[r.IntN(faulty)], ns[r.IntN(faulty)]
+					t.Log(k.name, n.ID, peer.ID)
+					k.inject(t, f, n, peer)
 				}
 				time.Sleep(time.Duration(r.Int64N(int64(time.Second))))
 				f.store.put("drained/a", nil)
-				t.Log("known after", f.knows(t, "a", 2*time.Second))
+				t.Log("received after", f.waitUntilDrained(t, "a", 2*time.Second))
 			})
 		})
 	}
 }
 
-// The store is out of reach for all, and what they know goes round between readers, relays and
-// the rest. If any of them made another's word younger than it is, they would take it for fresh
-// for good, and deny callers what the operators added meanwhile.
-func TestNobodyMakesNewsYounger(t *testing.T) {
+// Guards against a process that understates the age of another's confirmation. While no process
+// reaches the store, updates that circulate between readers, relays and the others would count as
+// fresh forever, and callers would be denied what the operators added meanwhile.
+func TestNoProcessUnderstatesAges(t *testing.T) {
 	for _, entries := range []int{3, 24, 40} {
 		t.Run(fmt.Sprint(entries), func(t *testing.T) {
-			inFleet(t, entries, 3, 20, func(t *testing.T, f *fleet) {
+			withFleet(t, entries, 3, 20, func(t *testing.T, f *fleet) {
 				for i, n := range f.members {
-					n.refused.Store(true)
-					n.squeezed.Store(i%5 == 0)
+					n.storeUnresponsive.Store(true)
+					n.slowLink.Store(i%5 == 0)
 				}
 				lost := time.Now()
 				for range 200 {
 					time.Sleep(50 * time.Millisecond)
 					for _, n := range f.members {
 						if _, age, _ := n.At(); age < time.Since(lost) {
-							t.Fatalf("%s takes its news for %v old, %v after the store was lost", n.ID, age, time.Since(lost))
+							t.Fatalf("%s reports an age of %v, %v after the store was lost", n.ID, age, time.Since(lost))
 						}
 					}
 				}
--- a/internal/syncer/fleet_test.go
+++ b/internal/syncer/fleet_test.go
@@ -27,59 +27,59 @@
 )
 
 const (
-	// nearDelay and farDelay are the time of a write within a region and between two.
+	// nearDelay and farDelay are the durations of a write within a region and between two.
 	nearDelay = 500 * time.Microsecond
 	farDelay  = 10 * time.Millisecond
-	// squeezedDelay is what a narrow link adds to a write.
-	squeezedDelay = 300 * time.Millisecond
+	// slowLinkDelay is what a slow link adds to a write.
+	slowLinkDelay = 300 * time.Millisecond
 )
 
-// fleet is a deployment in memory and in virtual time: a store, entries and agents that
-// keep each other up to date, and the network between them.
+// fleet is a deployment in memory and in virtual time: a store, the entries and agents that keep
+// each other up to date, and the network between them.
 type fleet struct {
-	shape   shape
-	store   *memoryStore
-	links   links
-	members []*node
-	byPeers map[string]*node
+	shape     shape
+	store     *memoryStore
+	links     links
+	members   []*node
+	byAddress map[string]*node
 }
 
-// node is one process of a fleet, with the faults that it may have.
+// node is one process of a fleet, with the faults injected into it.
 type node struct {
 	registrar.Member
 	*registrar.Registrar
 	listener *connectortest.Listener
 	stop     context.CancelFunc
-	// bytes is what was read and written here, watches and lists how often it watched and listed
-	// the store.
+	// bytes counts what was read and written here; watches and lists count the node's calls to the
+	// store.
 	bytes          atomic.Int64
 	watches, lists atomic.Int32
-	// cut processes don't reach the store, refused ones get no answer from it.
-	cut, refused atomic.Bool
-	// deaf processes take connections and never answer, squeezed ones take a while to write.
-	deaf, squeezed atomic.Bool
+	// partitioned processes can't reach the store, storeUnresponsive ones get no answer from it.
+	partitioned, storeUnresponsive atomic.Bool
+	// unresponsive processes accept connections and never answer, slowLink ones write slowly.
+	unresponsive, slowLink atomic.Bool
 	// processor is held while records are prepared for others, recordTime for each of them. Records
-	// that have been prepared are sent again without that.
+	// in prepared are sent again without that.
 	processor  chan struct{}
 	recordTime time.Duration
 	prepared   []registrar.Record
-	// refuses tells that no process runs there yet.
-	refuses atomic.Bool
-	// spoilt ones tell records that can't be unpacked.
-	spoilt atomic.Bool
-	// answerDelay is how much longer than others' the store's answers to it are on their way, in nanoseconds.
+	// refusesConnections is set while no process runs there.
+	refusesConnections atomic.Bool
+	// corrupted processes send records that can't be unpacked.
+	corrupted atomic.Bool
+	// answerDelay is the additional time in transit of the store's answers, in nanoseconds.
 	answerDelay atomic.Int64
 
 	mu sync.Mutex
-	// askers are the processes that asked something.
-	askers map[string]bool
-	conns  []net.Conn
-	// stopped processes were killed, and nothing that is written to those in unheard arrives.
-	stopped bool
-	unheard map[string]bool
+	// requesters are the processes that sent a request to this one.
+	requesters map[string]bool
+	conns      []net.Conn
+	// stopped processes were killed; writes to droppedPeers never arrive.
+	stopped      bool
+	droppedPeers map[string]bool
 }
 
-// memoryStore is the platform's store as a syncer sees it.
+// memoryStore is the platform's store as used by a syncer.
 type memoryStore struct {
 	mu      sync.Mutex
 	records []registrar.Record
@@ -108,21 +108,21 @@
 	s.changed = make(chan struct{})
 }
 
-func (s *memoryStore) after(revision uint64) (registrar.Batch, chan struct{}) {
+func (s *memoryStore) changesAfter(revision uint64) (registrar.Batch, chan struct{}) {
 	s.mu.Lock()
 	defer s.mu.Unlock()
 	return registrar.Batch{After: revision, At: uint64(len(s.records)), Records: slices.Clone(s.records[revision:])}, s.changed
 }
 
-// watched is how many times it was asked for changes.
-func (s *memoryStore) watched() int {
+// watchCount returns the number of watches.
+func (s *memoryStore) watchCount() int {
 	s.mu.Lock()
 	defer s.mu.Unlock()
 	return s.watches
 }
 
 func (s *memoryStore) List(context.Context) (registrar.Batch, error) {
-	b, _ := s.after(0)
+	b, _ := s.changesAfter(0)
 	b.Whole = true
 	return b, nil
 }
@@ -131,7 +131,7 @@
 	s.mu.Lock()
 	s.watches++
 	s.mu.Unlock()
-	b, changed := s.after(after)
+	b, changed := s.changesAfter(after)
 	if len(b.Records) > 0 {
 		return b, nil
 	}
@@ -141,32 +141,32 @@
 	case <-ctx.Done():
 		return b, ctx.Err()
 	}
-	b, _ = s.after(after)
+	b, _ = s.changesAfter(after)
 	return b, nil
 }
 
-// nodeStore is the store as a node reaches it.
+// nodeStore is the store as reached by one node.
 type nodeStore struct {
 	*memoryStore
 	node  *node
 	fleet *fleet
 }
 
-var errCut = errors.New("cut off")
+var errPartitioned = errors.New("store unreachable")
 
-// refusedCall is how long a call takes that the store doesn't answer.
-const refusedCall = 1900 * time.Millisecond
+// unansweredCallTime is the duration of a call that the store doesn't answer.
+const unansweredCallTime = 1900 * time.Millisecond
 
-// refused gives the error of a call that doesn't reach the store, once it is over.
-func (s nodeStore) refused(ctx context.Context) error {
+// callError returns the error of a call that gets no answer from the store, once the call is over.
+func (s nodeStore) callError(ctx context.Context) error {
 	switch {
-	case s.node.cut.Load():
-		return errCut
-	case !s.node.refused.Load():
+	case s.node.partitioned.Load():
+		return errPartitioned
+	case !s.node.storeUnresponsive.Load():
 		return nil
 	}
 	select {
-	case <-time.After(refusedCall):
+	case <-time.After(unansweredCallTime):
 	case <-ctx.Done():
 	}
 	return context.DeadlineExceeded
@@ -176,7 +176,7 @@
 	s.node.lists.Add(1)
 	ctx, cancel := context.WithTimeout(ctx, listTimeout)
 	defer cancel()
-	if err := s.refused(ctx); err != nil {
+	if err := s.callError(ctx); err != nil {
 		return registrar.Batch{}, err
 	}
 	b, err := s.memoryStore.List(ctx)
@@ -187,18 +187,18 @@
 	s.node.watches.Add(1)
 	ctx, cancel := context.WithTimeout(ctx, callTimeout+wait)
 	defer cancel()
-	if err := s.refused(ctx); err != nil {
+	if err := s.callError(ctx); err != nil {
 		return registrar.Batch{}, err
 	}
 	b, err := s.memoryStore.Watch(ctx, after, wait)
-	if refused := s.refused(ctx); refused != nil {
-		// What was under way is lost.
-		return registrar.Batch{}, refused
+	if callErr := s.callError(ctx); callErr != nil {
+		// The call in flight is lost.
+		return registrar.Batch{}, callErr
 	}
 	return s.deliver(ctx, b, err)
 }
 
-// decodeFleet reads the records that a fleet's store holds.
+// decodeFleet decodes the records in a fleet's store.
 func decodeFleet(key string, value []byte) (registrar.Fact, error) {
 	switch {
 	case strings.HasPrefix(key, "entry/"):
@@ -219,24 +219,24 @@
 	return nil, nil
 }
 
-// newFleet starts entries and agents, spread over regions in turn.
+// newFleet starts entries and agents, assigned to the regions in turn.
 func newFleet(t testing.TB, sh shape) *fleet {
-	f := &fleet{shape: sh, store: &memoryStore{changed: make(chan struct{})}, byPeers: map[string]*node{}}
+	f := &fleet{shape: sh, store: &memoryStore{changed: make(chan struct{})}, byAddress: map[string]*node{}}
 	entries := sh.entries
 	for i := range entries + sh.agents {
 		n := &node{Member: registrar.Member{
 			ID: fmt.Sprintf("entry-%d", i), Region: regionName(i % sh.regions), FailureDomain: "a",
 			Peers: netip.AddrPortFrom(netip.AddrFrom4([4]byte{10, 0, byte(i >> 8), byte(i)}), 80),
-		}, askers: map[string]bool{}, processor: make(chan struct{}, 1), recordTime: sh.recordTime}
-		n.cut.Store(sh.cut)
+		}, requesters: map[string]bool{}, processor: make(chan struct{}, 1), recordTime: sh.recordTime}
+		n.partitioned.Store(sh.partitioned)
 		n.Callers, n.listener = n.Peers, connectortest.NewListener(n.Peers)
 		f.members = append(f.members, n)
-		f.byPeers[n.Peers.String()] = n
+		f.byAddress[n.Peers.String()] = n
 		if i < entries {
 			f.store.put("entry/"+n.ID, n.Member)
 		}
 	}
-	if sh.table {
+	if sh.hasTable {
 		f.store.put(tableKey, largeTable(1))
 	}
 	r := rand.New(rand.NewPCG(1, 2))
@@ -245,16 +245,16 @@
 	}
 	seeds := f.members[:f.seedCount()]
 	for i, n := range f.members {
-		if sh.seedsLater > 0 && sh.onTime <= i && i < len(seeds) {
-			n.refuses.Store(true)
+		if sh.seedDelay > 0 && sh.punctualSeeds <= i && i < len(seeds) {
+			n.refusesConnections.Store(true)
 			continue
 		}
 		f.start(t, n, i < entries)
 	}
-	if sh.seedsLater > 0 {
-		time.Sleep(sh.seedsLater)
-		for _, n := range seeds[sh.onTime:] {
-			n.refuses.Store(false)
+	if sh.seedDelay > 0 {
+		time.Sleep(sh.seedDelay)
+		for _, n := range seeds[sh.punctualSeeds:] {
+			n.refusesConnections.Store(false)
 			f.start(t, n, true)
 		}
 	}
@@ -276,18 +276,18 @@
 	}
 	c := clock.RealClock{}
 	n.Registrar = &registrar.Registrar{Clock: c, Decode: decodeFleet, Linger: time.Second, Region: n.Member.Region}
-	answer := syncer.Answer(n.Registrar, c)
+	answer := syncer.RecordsHandler(n.Registrar, c)
 	server := &messenger.Server{Listener: n.listener, OnRecords: func(ctx context.Context, q messenger.RecordsQuery) registrar.Batch {
-		if n.deaf.Load() {
+		if n.unresponsive.Load() {
 			<-ctx.Done()
 		}
 		b := answer(ctx, q)
-		if n.deaf.Load() {
-			// It froze while it held the answer back.
+		if n.unresponsive.Load() {
+			// It was suspended while it held the answer.
 			<-ctx.Done()
 		}
-		n.process(ctx, b.Records)
-		if n.spoilt.Load() {
+		n.prepare(ctx, b.Records)
+		if n.corrupted.Load() {
 			b.Records = slices.Clone(b.Records)
 			for i := range b.Records {
 				b.Records[i].Value, b.Records[i].Packed = nil, []byte("nonsense")
@@ -296,7 +296,7 @@
 		return b
 	}}
 	s := &syncer.Syncer{ID: n.ID, Entry: entry, Region: n.Member.Region, Registrar: n.Registrar, Store: nodeStore{f.store, n, f}, Clock: c,
-		Seeds: f.seeds(), Seed: slices.Contains(f.seeds(), n.Peers), Peers: n.answersAt(entry),
+		Seeds: f.seeds(), Seed: slices.Contains(f.seeds(), n.Peers), Peers: n.peersAddress(entry),
 		Random: rand.New(rand.NewPCG(1, uint64(n.Peers.Addr().As4()[3]))),
 		Dial:   func(a netip.AddrPort) *messenger.Client { return &messenger.Client{Address: a, Dial: f.dialer(n)} }}
 	done := make(chan struct{}, 2)
@@ -309,16 +309,16 @@
 	})
 }
 
-// answersAt is where others may ask a process; agents answer nobody.
-func (n *node) answersAt(entry bool) netip.AddrPort {
+// peersAddress is where a process answers its peers; agents answer none.
+func (n *node) peersAddress(entry bool) netip.AddrPort {
 	if !entry {
 		return netip.AddrPort{}
 	}
 	return n.Peers
 }
 
-// process takes the processor for the time that it takes to prepare records.
-func (n *node) process(ctx context.Context, records []registrar.Record) {
+// prepare occupies the processor for the time that it takes to prepare records.
+func (n *node) prepare(ctx context.Context, records []registrar.Record) {
 	if n.recordTime == 0 || len(records) == 0 {
 		return
 	}
@@ -335,7 +335,7 @@
 	n.prepared = records
 }
 
-// seeds are the addresses of those processes that start as such.
+// seeds returns the addresses of the processes that start as seeds.
 func (f *fleet) seeds() []netip.AddrPort {
 	var as []netip.AddrPort
 	for _, n := range f.members[:f.seedCount()] {
@@ -346,7 +346,7 @@
 
 func (f *fleet) dialer(from *node) func(context.Context, string, string) (net.Conn, error) {
 	return func(ctx context.Context, _, address string) (net.Conn, error) {
-		to := f.byPeers[address]
+		to := f.byAddress[address]
 		near, far := net.Pipe()
 		delay := nearDelay
 		if from.Member.Region != to.Member.Region {
@@ -354,7 +354,7 @@
 		}
 		// A connection takes a round trip.
 		time.Sleep(2 * delay)
-		if to.refuses.Load() {
+		if to.refusesConnections.Load() {
 			return nil, syscall.ECONNREFUSED
 		}
 		to.mu.Lock()
@@ -363,7 +363,7 @@
 			_ = far.Close()
 		}
 		to.mu.Unlock()
-		back := &link{Conn: far, node: to, delay: delay, asker: from.ID, peer: from, shared: f.linkBetween(to, from)}
+		back := &link{Conn: far, node: to, delay: delay, dialerID: from.ID, peer: from, shared: f.linkBetween(to, from)}
 		if err := to.listener.Deliver(ctx, connectortest.NewAsyncConn(back, back.send)); err != nil {
 			return nil, err
 		}
@@ -377,36 +377,36 @@
 	net.Conn
 	node  *node
 	delay time.Duration
-	// asker is who dialed, at the end that was dialed.
-	asker string
-	// peer is who reads what is written here.
+	// dialerID is the process that dialed, set at the end that accepted.
+	dialerID string
+	// peer is the process that reads what is written here.
 	peer *node
-	// shared carries the bytes between two regions; nil for a link without a bound.
+	// shared carries the bytes between two regions; nil for an unbounded link.
 	shared *regionLink
 }
 
 func (l *link) Read(b []byte) (int, error) {
 	n, err := l.Conn.Read(b)
 	l.node.bytes.Add(int64(n))
-	if l.asker != "" && n > 0 {
+	if l.dialerID != "" && n > 0 {
 		l.node.mu.Lock()
-		l.node.askers[l.asker] = true
+		l.node.requesters[l.dialerID] = true
 		l.node.mu.Unlock()
 	}
 	return n, err
 }
 
-// send brings bytes to the peer, as fast as the links between regions are.
+// send delivers bytes to the peer, at the rate of the link between the regions.
 func (l *link) send(b []byte) error {
 	time.Sleep(l.delay)
-	if l.node.squeezed.Load() {
-		time.Sleep(squeezedDelay)
+	if l.node.slowLink.Load() {
+		time.Sleep(slowLinkDelay)
 	}
 	if l.shared == nil {
 		return l.deliver(b)
 	}
-	for part := range slices.Chunk(b, segment) {
-		if err := l.shared.carrySegment(context.Background(), len(part)); err != nil {
+	for part := range slices.Chunk(b, segmentBytes) {
+		if err := l.shared.transferSegment(context.Background(), len(part)); err != nil {
 			return err
 		}
 		if err := l.deliver(part); err != nil {
@@ -418,7 +418,7 @@
 
 // deliver hands bytes to the peer once they have crossed the network.
 func (l *link) deliver(b []byte) error {
-	if !l.node.heardBy(l.peer) {
+	if !l.node.reaches(l.peer) {
 		return nil
 	}
 	n, err := l.Write(b)
@@ -426,29 +426,29 @@
 	return err
 }
 
-// heardBy tells whether another process gets what this one writes.
-func (n *node) heardBy(peer *node) bool {
+// reaches returns whether this process's writes arrive at another.
+func (n *node) reaches(peer *node) bool {
 	n.mu.Lock()
 	defer n.mu.Unlock()
-	return !n.unheard[peer.ID]
+	return !n.droppedPeers[peer.ID]
 }
 
-// loseTo has nothing that this process writes arrive at another.
-func (n *node) loseTo(peer *node) {
+// dropWritesTo drops all that this process writes to another.
+func (n *node) dropWritesTo(peer *node) {
 	n.mu.Lock()
 	defer n.mu.Unlock()
-	if n.unheard == nil {
-		n.unheard = map[string]bool{}
+	if n.droppedPeers == nil {
+		n.droppedPeers = map[string]bool{}
 	}
-	n.unheard[peer.ID] = true
+	n.droppedPeers[peer.ID] = true
 }
 
-// knows waits until all processes that live, and that the store doesn't refuse, know a failure
-// domain to be drained, and gives how long that took.
-func (f *fleet) knows(t testing.TB, domain string, limit time.Duration) time.Duration {
+// waitUntilDrained waits until all responsive processes that the store doesn't refuse have received
+// the drain of a failure domain, and returns how long that took.
+func (f *fleet) waitUntilDrained(t testing.TB, domain string, limit time.Duration) time.Duration {
 	began := time.Now()
 	for _, n := range f.members {
-		for n.lives() {
+		for n.isResponsive() {
 			changed := n.Changed()
 			if v := n.View(); v != nil && v.Drained(domain) {
 				break
@@ -456,41 +456,41 @@
 			select {
 			case <-changed:
 			case <-time.After(limit - time.Since(began)):
-				t.Fatalf("%s in %s does not know %s after %v", n.ID, n.Member.Region, domain, limit)
+				t.Fatalf("%s in %s has not received the drain of %s after %v", n.ID, n.Member.Region, domain, limit)
 			}
 		}
 	}
 	return time.Since(began)
 }
 
-func (n *node) lives() bool {
+func (n *node) isResponsive() bool {
 	n.mu.Lock()
 	defer n.mu.Unlock()
-	return !n.stopped && !n.deaf.Load() && !n.refused.Load()
+	return !n.stopped && !n.unresponsive.Load() && !n.storeUnresponsive.Load()
 }
 
-// region is that of a process.
-func (f *fleet) region(id string) string {
+// regionOf returns the region of a process.
+func (f *fleet) regionOf(id string) string {
 	i := slices.IndexFunc(f.members, func(n *node) bool { return n.ID == id })
 	return f.members[i].Member.Region
 }
 
-// inFleet runs a test with a fleet in virtual time, which has settled.
-func inFleet(t *testing.T, entries, regions, upstreams int, test func(t *testing.T, f *fleet)) {
+// withFleet runs a test with a fleet in virtual time, after the fleet has settled.
+func withFleet(t *testing.T, entries, regions, upstreams int, test func(t *testing.T, f *fleet)) {
 	t.Helper()
-	inShapedFleet(t, shape{entries: entries, regions: regions, agents: regions, upstreams: upstreams}, test)
+	withShapedFleet(t, shape{entries: entries, regions: regions, agents: regions, upstreams: upstreams}, test)
 }
 
-func inShapedFleet(t *testing.T, sh shape, test func(t *testing.T, f *fleet)) {
+func withShapedFleet(t *testing.T, sh shape, test func(t *testing.T, f *fleet)) {
 	t.Helper()
 	synctest.Test(t, func(t *testing.T) {
-		// Answers that are under way when all have stopped still take their time.
+		// Answers in flight when all processes have stopped still take their time.
 		t.Cleanup(func() { time.Sleep(connectortest.Settle) })
 		f := newFleet(t, sh)
 		time.Sleep(10 * time.Second)
 		for _, n := range f.members {
 			n.mu.Lock()
-			clear(n.askers)
+			clear(n.requesters)
 			n.mu.Unlock()
 			n.bytes.Store(0)
 		}
--- a/internal/syncer/hedge.go
+++ b/internal/syncer/hedge.go
@@ -8,16 +8,16 @@
 )
 
 const (
-	// hedgeAfter is how long a seed's first list may take before another one is sent beside it:
-	// a list takes 0.4 s from a store slowed down sixtyfold.
-	hedgeAfter = 600 * time.Millisecond
-	// hedgeCalls bounds the lists in flight.
-	hedgeCalls = 3
+	// hedgeDelay is how long a seed's list may take before another one is sent in parallel: a list
+	// takes 0.4 s from a store slowed down sixtyfold.
+	hedgeDelay = 600 * time.Millisecond
+	// maxHedgedLists bounds the lists in flight.
+	maxHedgedLists = 3
 )
 
-// list reads all records. A seed hedges its list: the others wait for it, and a store that was
-// unresponsive when it was asked never answers that call. Of the many others none does, as
-// their lists would saturate the links to the store.
+// list reads all records. A seed hedges its list: other processes wait for it, and a store that was
+// unresponsive when it was called never answers that call. The others don't hedge, as their many
+// lists would saturate the links to the store.
 func (s *Syncer) list(ctx context.Context) (registrar.Batch, error) {
 	if !s.Seed {
 		return s.Store.List(ctx)
@@ -25,8 +25,8 @@
 	return s.hedgedList(ctx)
 }
 
-// hedgedList repeats the list every hedgeAfter beside those that have not returned, and gives
-// the first result. An error counts, too: the caller has peers to ask instead.
+// hedgedList sends another list every hedgeDelay until one returns, and returns the first result.
+// An error counts as a result, as the process can ask its peers instead.
 func (s *Syncer) hedgedList(ctx context.Context) (registrar.Batch, error) {
 	ctx, cancel := context.WithCancel(ctx)
 	defer cancel()
@@ -34,14 +34,14 @@
 		batch registrar.Batch
 		err   error
 	}
-	results := make(chan result, hedgeCalls)
+	results := make(chan result, maxHedgedLists)
 	for call := 1; ; call++ {
 		go func() {
 			batch, err := s.Store.List(ctx)
 			results <- result{batch, err}
 		}()
-		next := s.Clock.After(hedgeAfter)
-		if call == hedgeCalls {
+		next := s.Clock.After(hedgeDelay)
+		if call == maxHedgedLists {
 			next = nil
 		}
 		select {
--- a/internal/syncer/hedge_test.go
+++ b/internal/syncer/hedge_test.go
@@ -15,18 +15,18 @@
 	"github.com/oriolecroft/oriolecroft/internal/syncer"
 )
 
-// silentStore never answers calls that come before it is back.
-type silentStore struct {
-	back  time.Time
-	lists atomic.Int32
+// unresponsiveStore never answers calls that arrive before respondsFrom.
+type unresponsiveStore struct {
+	respondsFrom time.Time
+	lists        atomic.Int32
 }
 
 // listTimeout bounds a list, as the platform's client does.
 const listTimeout = 2400 * time.Millisecond
 
-func (s *silentStore) List(ctx context.Context) (registrar.Batch, error) {
+func (s *unresponsiveStore) List(ctx context.Context) (registrar.Batch, error) {
 	s.lists.Add(1)
-	if time.Now().Before(s.back) {
+	if time.Now().Before(s.respondsFrom) {
 		ctx, cancel := context.WithTimeout(ctx, listTimeout)
 		defer cancel()
 		<-ctx.Done()
@@ -35,7 +35,7 @@
 	return registrar.Batch{Whole: true, At: 1, Records: []registrar.Record{{Key: "drained/a", Revision: 1}}}, nil
 }
 
-func (s *silentStore) Watch(ctx context.Context, after uint64, wait time.Duration) (registrar.Batch, error) {
+func (s *unresponsiveStore) Watch(ctx context.Context, after uint64, wait time.Duration) (registrar.Batch, error) {
 	select {
 	case <-time.After(wait):
 	case <-ctx.Done():
@@ -43,12 +43,12 @@
 	return registrar.Batch{After: after, At: after}, ctx.Err()
 }
 
-// startAtSilentStore gives how long a process takes to know its records when the store is
-// unresponsive for a while after its start, and how many lists it has asked for.
-func startAtSilentStore(t *testing.T, seed bool, silence time.Duration) (took time.Duration, lists int) {
+// startWithUnresponsiveStore returns how long a process takes to get its records when the store is
+// unresponsive for a while after its start, and how many times it has listed the store.
+func startWithUnresponsiveStore(t *testing.T, seed bool, outage time.Duration) (took time.Duration, lists int) {
 	synctest.Test(t, func(t *testing.T) {
 		began := time.Now()
-		store := &silentStore{back: began.Add(silence)}
+		store := &unresponsiveStore{respondsFrom: began.Add(outage)}
 		c := clock.RealClock{}
 		r := &registrar.Registrar{Clock: c, Decode: decodeFleet, Linger: time.Second}
 		s := &syncer.Syncer{ID: "entry", Entry: true, Seed: seed, Registrar: r, Store: store, Clock: c, Random: rand.New(rand.NewPCG(1, 2))}
@@ -65,22 +65,22 @@
 	return took, lists
 }
 
-// Guards against a restart that is held up by a store which returned just after it was asked:
-// everybody waits for the seeds.
+// Guards against a restart delayed by a store that recovers just after it was called: all processes
+// wait for the seeds.
 func TestSeedHedgesItsFirstList(t *testing.T) {
-	took, _ := startAtSilentStore(t, true, 100*time.Millisecond)
+	took, _ := startWithUnresponsiveStore(t, true, 100*time.Millisecond)
 	must.Less(t, time.Second, took)
 }
 
-// Guards against a retry storm at a store that stays unresponsive.
+// Guards against a retry storm while the store stays unresponsive.
 func TestHedgedListsAreBounded(t *testing.T) {
-	const silence = 20 * time.Second
-	_, lists := startAtSilentStore(t, true, silence)
-	must.LessEq(t, 3*int(silence/listTimeout)+3, lists)
+	const outage = 20 * time.Second
+	_, lists := startWithUnresponsiveStore(t, true, outage)
+	must.LessEq(t, 3*int(outage/listTimeout)+3, lists)
 }
 
 // Guards against lists that saturate the links to the store: only seeds hedge.
-func TestOthersDoNotHedge(t *testing.T) {
-	_, lists := startAtSilentStore(t, false, time.Second)
+func TestOnlySeedsHedge(t *testing.T) {
+	_, lists := startWithUnresponsiveStore(t, false, time.Second)
 	must.Eq(t, 2, lists)
 }
--- a/internal/syncer/lease_test.go
+++ b/internal/syncer/lease_test.go
@@ -13,16 +13,16 @@
 	"github.com/oriolecroft/oriolecroft/internal/syncer"
 )
 
-// lossyLeases is a store that takes the first account of an entry without an answer, and
-// carries it out only after the second.
+// lossyLeases is a store that doesn't answer the first write of an entry's record, and carries it
+// out only after the second.
 type lossyLeases struct {
 	mu sync.Mutex
-	// leases are those that run, by number; record is the one that keeps the account.
-	leases  map[uint64]bool
-	granted uint64
-	record  uint64
-	delayed uint64
-	puts    int
+	// leases are the active ones, by number; recordLease is the one that holds the record.
+	leases       map[uint64]bool
+	granted      uint64
+	recordLease  uint64
+	delayedLease uint64
+	puts         int
 }
 
 func (l *lossyLeases) Lease(context.Context, time.Duration) (uint64, error) {
@@ -45,14 +45,14 @@
 func (l *lossyLeases) EndLease(_ context.Context, lease uint64) error {
 	l.mu.Lock()
 	defer l.mu.Unlock()
-	l.end(lease)
+	l.removeLease(lease)
 	return nil
 }
 
-func (l *lossyLeases) end(lease uint64) {
+func (l *lossyLeases) removeLease(lease uint64) {
 	delete(l.leases, lease)
-	if l.record == lease {
-		l.record = 0
+	if l.recordLease == lease {
+		l.recordLease = 0
 	}
 }
 
@@ -61,41 +61,41 @@
 	defer l.mu.Unlock()
 	l.puts++
 	if l.puts == 1 {
-		l.delayed = lease
+		l.delayedLease = lease
 		return &storer.UnknownError{Op: "put", Key: "e", Err: context.DeadlineExceeded}
 	}
-	l.record = lease
-	if l.delayed != 0 && l.leases[l.delayed] {
-		l.record = l.delayed
+	l.recordLease = lease
+	if l.delayedLease != 0 && l.leases[l.delayedLease] {
+		l.recordLease = l.delayedLease
 	}
-	l.delayed = 0
+	l.delayedLease = 0
 	return nil
 }
 
-// lapse ends a lease that nobody renews, and the account that hangs on it.
-func (l *lossyLeases) lapse(lease uint64) {
+// expire ends a lease that is not renewed, and removes the record under it.
+func (l *lossyLeases) expire(lease uint64) {
 	l.mu.Lock()
 	defer l.mu.Unlock()
-	l.end(lease)
+	l.removeLease(lease)
 }
 
 func (l *lossyLeases) listed() bool {
 	l.mu.Lock()
 	defer l.mu.Unlock()
-	return l.record != 0
+	return l.recordLease != 0
 }
 
-// The store takes an entry's account, and its answer is lost. The entry writes it again
-// under a new lease, and only then is the first writing carried out. The account hangs on
-// the first lease, which nobody renews, while the second is renewed for good: the entry
-// would be on no list any more, and callers would not find it although it serves.
-func TestAccountOnAnAbandonedLeaseIsWrittenAgain(t *testing.T) {
+// Guards against a record under an abandoned lease. The answer to its first write is lost, the
+// entry writes it again under a new lease, and the first write is carried out after that. The first
+// lease is never renewed and the second forever: callers would not find the entry although it
+// serves.
+func TestRecordOnAbandonedLeaseIsRewritten(t *testing.T) {
 	l := &lossyLeases{leases: map[uint64]bool{}}
 	r := &syncer.Registration{Store: l, Clock: clock.RealClock{}, Ready: func() bool { return true }}
 	ctx, stop := context.WithCancel(context.Background())
 	defer stop()
 	go func() { _ = r.Serve(ctx) }()
 	eventually(t, l.listed)
-	l.lapse(1)
+	l.expire(1)
 	eventually(t, l.listed)
 }
--- a/internal/syncer/network_test.go
+++ b/internal/syncer/network_test.go
@@ -24,59 +24,59 @@
 	"github.com/oriolecroft/oriolecroft/platform"
 )
 
-// network joins the processes of one test in memory.
+// network connects the processes of one test in memory.
 type network struct{ connectortest.Network }
 
-// inBubble runs a test in virtual time with a network and a store of its own.
-func inBubble(t *testing.T, test func(t *testing.T, n *network, s *store)) {
+// inVirtualTime runs a test in virtual time with a network and a store of its own.
+func inVirtualTime(t *testing.T, test func(t *testing.T, n *network, s *store)) {
 	t.Helper()
 	synctest.Test(t, func(t *testing.T) {
-		// Registered first, so done last.
+		// Registered first, so run last.
 		t.Cleanup(func() { time.Sleep(connectortest.Settle) })
 		s := &store{revision: 1, records: map[string]registrar.Record{}, changed: make(chan struct{})}
 		test(t, &network{}, s)
 	})
 }
 
-// silence keeps processes from answering once it has begun. It is a channel, as virtual time
-// stands still while anything waits for a lock.
-type silence struct {
-	began atomic.Bool
-	over  chan struct{}
+// suspension keeps processes from answering once it has started. It ends by a channel, as virtual
+// time doesn't advance while a goroutine waits for a lock.
+type suspension struct {
+	started atomic.Bool
+	over    chan struct{}
 }
 
-// start runs a process that falls silent with a silence, if there is one.
-func (n *network) start(t *testing.T, id string, entry bool, st *store, quiet *silence, seeds ...netip.AddrPort) *process {
+// start runs a process that answers nothing during a suspension, if there is one.
+func (n *network) start(t *testing.T, id string, entry bool, st *store, susp *suspension, seeds ...netip.AddrPort) *process {
 	ctx, stop := context.WithCancel(t.Context())
 	t.Cleanup(stop)
 	l := n.Listen()
 	c := clock.RealClock{}
 	p := &process{registrar: &registrar.Registrar{Clock: c, Decode: platform.Decode, Linger: time.Second},
 		peers: netip.MustParseAddrPort(l.Addr().String()), stop: stop}
-	answer := syncer.Answer(p.registrar, c)
+	answer := syncer.RecordsHandler(p.registrar, c)
 	server := &messenger.Server{Listener: l, OnRecords: func(ctx context.Context, q messenger.RecordsQuery) registrar.Batch {
 		b := answer(ctx, q)
-		if quiet != nil && quiet.began.Load() {
-			<-quiet.over
+		if susp != nil && susp.started.Load() {
+			<-susp.over
 		}
 		return b
 	}}
 	go func() { _ = server.Serve(ctx) }()
-	s := &syncer.Syncer{ID: id, Entry: entry, Region: "r", Registrar: p.registrar, Store: reader{st, id}, Seeds: seeds,
+	s := &syncer.Syncer{ID: id, Entry: entry, Region: "r", Registrar: p.registrar, Store: processStore{st, id}, Seeds: seeds,
 		Dial: func(a netip.AddrPort) *messenger.Client { return &messenger.Client{Address: a, Dial: n.Dial} }, Clock: c,
 		Random: rand.New(rand.NewPCG(1, 2))}
 	go func() { _ = s.Serve(ctx) }()
 	return p
 }
 
-// store is the platform's in memory.
+// store is the platform's store in memory.
 type store struct {
 	mu       sync.Mutex
 	revision uint64
 	records  map[string]registrar.Record
 	history  []registrar.Record
 	changed  chan struct{}
-	// lists and watches name who called, in order.
+	// lists and watches are the IDs of the calling processes, in order.
 	lists, watches []string
 }
 
@@ -98,14 +98,14 @@
 
 func (s *store) drain(failureDomain string) { s.put("op/evacuate/"+failureDomain, struct{}{}) }
 
-// calls gives who has listed and watched so far.
+// calls returns the IDs of the processes that have listed and watched so far.
 func (s *store) calls() (lists, watches []string) {
 	s.mu.Lock()
 	defer s.mu.Unlock()
 	return slices.Clone(s.lists), slices.Clone(s.watches)
 }
 
-// since gives the changes after a revision, and what closes at the next one.
+// since returns the changes after a revision, and a channel that closes at the next one.
 func (s *store) since(after uint64) (registrar.Batch, <-chan struct{}) {
 	s.mu.Lock()
 	defer s.mu.Unlock()
@@ -118,14 +118,14 @@
 	return b, s.changed
 }
 
-// reader is the store as one process reaches it.
-type reader struct {
+// processStore is the store as reached by one process.
+type processStore struct {
 	*store
 	id string
 }
 
 // List implements syncer.Store.
-func (r reader) List(context.Context) (registrar.Batch, error) {
+func (r processStore) List(context.Context) (registrar.Batch, error) {
 	time.Sleep(connectortest.LinkDelay)
 	r.mu.Lock()
 	defer r.mu.Unlock()
@@ -140,7 +140,7 @@
 }
 
 // Watch implements syncer.Store.
-func (r reader) Watch(ctx context.Context, after uint64, wait time.Duration) (registrar.Batch, error) {
+func (r processStore) Watch(ctx context.Context, after uint64, wait time.Duration) (registrar.Batch, error) {
 	time.Sleep(connectortest.LinkDelay)
 	r.mu.Lock()
 	r.watches = append(r.watches, r.id)
@@ -161,8 +161,8 @@
 	}
 }
 
-// startBehindASeed starts processes beside a seed that knows of a drained failure domain.
-func (n *network) startBehindASeed(t *testing.T, s *store, entries bool) []*process {
+// startWithSeed starts processes beside a seed that has the record of a drained failure domain.
+func (n *network) startWithSeed(t *testing.T, s *store, entries bool) []*process {
 	s.drain("a")
 	seed := n.start(t, "seed", true, s, nil)
 	eventually(t, seed.drained("a"))
@@ -173,13 +173,12 @@
 	return ps
 }
 
-// Everything starts at once, as after a loss of power everywhere. If each process read the
-// whole store, the links to it would carry the same records for each of them, and the last
-// ones would refuse callers for seconds after the first. Those that are seeds read it for
-// all.
+// Guards against processes that all read the store when they start together, as after a loss of
+// power everywhere. The links to the store would carry the same records for each of them, and the
+// last ones would refuse callers for seconds after the first. Only seeds read it, for all.
 func TestOnlySeedsReadTheStoreAtTheStart(t *testing.T) {
-	inBubble(t, func(t *testing.T, n *network, s *store) {
-		ps := n.startBehindASeed(t, s, false)
+	inVirtualTime(t, func(t *testing.T, n *network, s *store) {
+		ps := n.startWithSeed(t, s, false)
 		for _, p := range ps {
 			eventually(t, p.drained("a"))
 		}
@@ -188,11 +187,11 @@
 	})
 }
 
-// Guards against entries that all read the store until some have registered: the links to it carry each record of the
-// first start for each of them.
+// Guards against entries that all read the store until some have registered: the links to it would
+// carry each record of the first start once per entry.
 func TestOnlySeedsReadTheStoreUntilEntriesHaveRegistered(t *testing.T) {
-	inBubble(t, func(t *testing.T, n *network, s *store) {
-		ps := n.startBehindASeed(t, s, true)
+	inVirtualTime(t, func(t *testing.T, n *network, s *store) {
+		ps := n.startWithSeed(t, s, true)
 		for _, domain := range []string{"a", "b", "c"} {
 			s.drain(domain)
 			for _, p := range ps {
@@ -205,10 +204,10 @@
 	})
 }
 
-// Of many entries and agents only two read the store; each waiting read is a call that
-// the operators pay for.
-func TestFewReadTheStoreForAll(t *testing.T) {
-	inBubble(t, func(t *testing.T, n *network, s *store) {
+// Guards against more than two readers of the store among many entries and agents: each waiting
+// read is a call that the operators pay for.
+func TestTwoEntriesReadTheStoreForAll(t *testing.T) {
+	inVirtualTime(t, func(t *testing.T, n *network, s *store) {
 		names := []string{"e1", "e2", "e3", "e4", "e5"}
 		var all []*process
 		for _, id := range names {
@@ -221,7 +220,7 @@
 		for _, p := range all {
 			eventually(t, func() bool { v := p.registrar.View(); return v != nil && len(v.Members) == len(names) })
 		}
-		// One more change lets those that still wait at the store find out their roles.
+		// One more change lets those that still wait for the store determine their roles.
 		s.drain("first")
 		for _, p := range all {
 			eventually(t, p.drained("first"))
@@ -239,11 +238,11 @@
 	})
 }
 
-// Engines load new weights one after the other, and each says so in the store. The
-// operators pay for each call: one for each change and reader would be the dearest thing
-// about a deployment of some hundred processes.
-func TestRunsOfChangesAreReadTogether(t *testing.T) {
-	inBubble(t, func(t *testing.T, n *network, s *store) {
+// Guards against one call per change and reader when engines load new weights one after the other
+// and each writes that to the store. The operators pay for each call; these would be the largest
+// cost of a deployment of some hundred processes.
+func TestBurstsOfChangesAreReadTogether(t *testing.T) {
+	inVirtualTime(t, func(t *testing.T, n *network, s *store) {
 		p := n.start(t, "reader", true, s, nil)
 		eventually(t, func() bool { return p.registrar.View() != nil })
 		_, before := s.calls()
@@ -257,29 +256,29 @@
 	})
 }
 
-// Those that read the store for all fall silent together, as when their VMs freeze, and a
-// version is named just then. A process waits for each of them in vain and then reads the
-// naming from the store's history, which has no times. Taken for new, the naming would let
-// old weights begin replies that much beyond their time.
-func TestNamingFoundInTheHistoryIsNotNew(t *testing.T) {
-	inBubble(t, func(t *testing.T, n *network, s *store) {
+// Guards against counting an announcement too late when all readers become unresponsive, as when
+// their VMs are suspended, just when a version is announced. A process waits for each reader and
+// then finds the announcement in the store's history, which has no times; old weights would serve
+// that much too long.
+func TestAnnouncementInHistoryIsNotCountedLate(t *testing.T) {
+	inVirtualTime(t, func(t *testing.T, n *network, s *store) {
 		s.put("op/version/m", map[string]any{"model": "m", "version": 1})
-		quiet := &silence{over: make(chan struct{})}
+		susp := &suspension{over: make(chan struct{})}
 		var seeds []netip.AddrPort
 		for i := range 2 {
-			seeds = append(seeds, n.start(t, fmt.Sprint("seed", i), true, s, quiet).peers)
+			seeds = append(seeds, n.start(t, fmt.Sprint("seed", i), true, s, susp).peers)
 		}
 		p := n.start(t, "agent", false, s, nil, seeds...)
 		eventually(t, func() bool { return p.registrar.View() != nil })
 		time.Sleep(time.Second)
-		quiet.began.Store(true)
+		susp.started.Store(true)
 		time.Sleep(50 * time.Millisecond)
-		named := time.Now()
+		announced := time.Now()
 		s.put("op/version/m", map[string]any{"model": "m", "version": 2})
-		at := learned(t, p.registrar)
-		close(quiet.over)
-		// Some of the time may go by before the store is asked; a part of the margin of 0.7 s
-		// that agents leave before the bound bears that much.
-		must.LessEq(t, 200*time.Millisecond, at.Sub(named))
+		at := waitForAnnouncement(t, p.registrar)
+		close(susp.over)
+		// Some time may pass before the store is asked; agents leave a margin of 0.7 s before the
+		// bound, and a part of it covers that.
+		must.LessEq(t, 200*time.Millisecond, at.Sub(announced))
 	})
 }
--- a/internal/syncer/referral_test.go
+++ b/internal/syncer/referral_test.go
@@ -17,13 +17,14 @@
 	return netip.AddrPortFrom(netip.AddrFrom4([4]byte{10, 0, 0, byte(i)}), 80)
 }
 
-// Guards against seeds that tell a whole other region everything, and against referrals that leave an asker without any
-// records: to itself, to an entry that didn't answer it, within the region, or for one of an older version.
-func TestSeedRefersLaterAskersOfAnotherRegion(t *testing.T) {
+// Guards against seeds that send all records to each process of another region, and against
+// referrals that leave a requester without records: to itself, to an entry that didn't answer it,
+// within the region, or for a requester of an older version.
+func TestSeedRefersLaterRequestersOfAnotherRegion(t *testing.T) {
 	c := clocktesting.NewFakeClock(time.Unix(1000, 0))
 	r := &registrar.Registrar{Clock: c, Decode: decodeFleet, Region: "a"}
 	r.Apply(registrar.Batch{Whole: true, At: 1, Records: []registrar.Record{{Key: "drained/x", Revision: 1}}})
-	answer := syncer.Answer(r, c)
+	answer := syncer.RecordsHandler(r, c)
 	answered := func(q messenger.RecordsQuery) bool { return len(answer(t.Context(), q).Records) == 1 }
 	far := func(i int) messenger.RecordsQuery {
 		return messenger.RecordsQuery{Region: "b", Peers: referralAddress(i)}
--- a/internal/syncer/registration.go
+++ b/internal/syncer/registration.go
@@ -14,16 +14,16 @@
 )
 
 const (
-	// leaseTTL is how long a dead entry stays on the lists that callers get. It must
-	// be well below the six seconds after which none may name it.
+	// leaseTTL is how long a dead entry stays on the lists that callers get. It must be well below
+	// the six seconds after which no list may contain it.
 	leaseTTL = 3 * time.Second
-	// renewals is how often a lease is renewed within its time: two may be lost.
-	renewals = 3
-	// registerAgain is the pause after a failed call.
-	registerAgain = 300 * time.Millisecond
+	// renewalsPerLease is how often a lease is renewed within its TTL: two renewals may be lost.
+	renewalsPerLease = 3
+	// retryPause is the pause after a failed call.
+	retryPause = 300 * time.Millisecond
 )
 
-// Leases is the part of the store that keeps an entry's record alive.
+// Leases is the part of the store that manages leases and an entry's record.
 type Leases interface {
 	Lease(ctx context.Context, ttl time.Duration) (uint64, error)
 	Renew(ctx context.Context, lease uint64) error
@@ -31,26 +31,26 @@
 	PutMember(ctx context.Context, m registrar.Member, lease uint64) error
 }
 
-// Registration keeps an entry's record in the store as long as it lives. Set the
-// exported fields before Serve.
+// Registration keeps an entry's record in the store while the entry runs. Set the exported fields
+// before Serve.
 type Registration struct {
 	Store  Leases
 	Member registrar.Member
 	Clock  clock.Clock
 	// LeastLease is the shortest lease that the store grants; 0 for any.
 	LeastLease time.Duration
-	// Ready tells whether callers may come already.
+	// Ready returns whether the entry accepts callers.
 	Ready func() bool
 
-	mu    sync.Mutex
-	lease uint64
-	left  bool
+	mu           sync.Mutex
+	lease        uint64
+	deregistered bool
 }
 
 // Serve runs until the context ends.
 func (r *Registration) Serve(ctx context.Context) error {
 	for {
-		pause := r.keep(ctx)
+		pause := r.renewOrRegister(ctx)
 		select {
 		case <-ctx.Done():
 			return ctx.Err()
@@ -61,28 +61,28 @@
 
 func (r *Registration) String() string { return "registration" }
 
-// keep renews the lease, or registers anew, and gives the pause until the next time.
-func (r *Registration) keep(ctx context.Context) time.Duration {
+// renewOrRegister renews the lease, or registers again, and returns the pause until the next call.
+func (r *Registration) renewOrRegister(ctx context.Context) time.Duration {
 	r.mu.Lock()
-	lease, left := r.lease, r.left
+	lease, deregistered := r.lease, r.deregistered
 	r.mu.Unlock()
-	if left || !r.Ready() {
-		return registerAgain
+	if deregistered || !r.Ready() {
+		return retryPause
 	}
 	if lease == 0 {
 		return r.register(ctx)
 	}
 	err := r.Store.Renew(ctx, lease)
-	var ended *storer.NotFoundError
-	if errors.As(err, &ended) {
-		klog.InfoS("Lease ended, registering anew", "lease", lease)
+	var notFound *storer.NotFoundError
+	if errors.As(err, &notFound) {
+		klog.InfoS("Lease not found, registering again", "lease", lease)
 		return r.register(ctx)
 	}
 	if err != nil {
 		klog.V(1).InfoS("Lease not renewed", "lease", lease, "err", err)
-		return registerAgain
+		return retryPause
 	}
-	return r.ttl() / renewals
+	return r.ttl() / renewalsPerLease
 }
 
 func (r *Registration) ttl() time.Duration { return max(leaseTTL, r.LeastLease) }
@@ -90,43 +90,42 @@
 func (r *Registration) register(ctx context.Context) time.Duration {
 	lease, err := r.Store.Lease(ctx, r.ttl())
 	if err != nil {
-		klog.InfoS("No lease", "err", err)
-		return registerAgain
+		klog.InfoS("Lease not granted", "err", err)
+		return retryPause
 	}
 	if err := r.Store.PutMember(ctx, r.Member, lease); err != nil {
 		klog.InfoS("Entry not registered", "lease", lease, "err", err)
-		r.end(ctx, lease)
-		return registerAgain
+		r.endLease(ctx, lease)
+		return retryPause
 	}
 	r.mu.Lock()
 	r.lease = lease
-	left := r.left
+	deregistered := r.deregistered
 	r.mu.Unlock()
-	if left {
-		r.Leave(ctx)
+	if deregistered {
+		r.Deregister(ctx)
 	}
 	klog.InfoS("Entry registered", "entry", r.Member.ID, "lease", lease)
-	return r.ttl() / renewals
+	return r.ttl() / renewalsPerLease
 }
 
-// Leave takes the record back, so that callers are told no more of this entry.
-func (r *Registration) Leave(ctx context.Context) {
+// Deregister ends the lease, which removes this entry from the lists that callers get.
+func (r *Registration) Deregister(ctx context.Context) {
 	r.mu.Lock()
 	lease := r.lease
-	r.left = true
+	r.deregistered = true
 	r.lease = 0
 	r.mu.Unlock()
 	if lease != 0 {
-		r.end(ctx, lease)
+		r.endLease(ctx, lease)
 	}
 }
 
-// end ends a lease, also one under which the record may still be written: a call without an
-// answer can take effect seconds later. The record would then hang on a lease that nobody
-// renews, while that of the next try is renewed for good, and callers would not find the
-// entry any more.
-func (r *Registration) end(ctx context.Context, lease uint64) {
+// endLease ends a lease, including one under which the record may still be written: a call without
+// an answer can take effect seconds later. The record would then depend on a lease that is never
+// renewed, while that of the next attempt is renewed forever, and callers would not find the entry.
+func (r *Registration) endLease(ctx context.Context, lease uint64) {
 	if err := r.Store.EndLease(ctx, lease); err != nil {
-		klog.InfoS("Lease not ended, it will lapse", "lease", lease, "err", err)
+		klog.InfoS("Lease not ended, it will expire", "lease", lease, "err", err)
 	}
 }
--- a/internal/syncer/relays_test.go
+++ b/internal/syncer/relays_test.go
@@ -10,63 +10,62 @@
 	"github.com/shoenig/test/must"
 )
 
-// The operators drain a failure domain in a deployment of 60 entries. Were each of them to
-// hear of it from the two that read the store, these would send the same news across the
-// links between regions as often as there are entries, and at some hundred entries they
-// would have no time left for callers.
-func TestReadersTellARegionOnce(t *testing.T) {
+// Guards against readers that send each update to all entries of a region, here to 60 entries in
+// three regions: the same updates would cross the links between regions as often as there are
+// entries, and at some hundred entries the readers would have no time left for callers.
+func TestReadersServeEachRegionOnce(t *testing.T) {
 	const entries, regions = 60, 3
-	inFleet(t, entries, regions, 100, func(t *testing.T, f *fleet) {
+	withFleet(t, entries, regions, 100, func(t *testing.T, f *fleet) {
 		f.store.put("drained/a", nil)
-		must.Less(t, 100*time.Millisecond, f.knows(t, "a", time.Second))
+		must.Less(t, 100*time.Millisecond, f.waitUntilDrained(t, "a", time.Second))
 		time.Sleep(30 * time.Second)
-		fromAfar, askers := 0, 0
+		fromOtherRegions, maxRequesters := 0, 0
 		for _, n := range f.members {
 			n.mu.Lock()
-			askers = max(askers, len(n.askers))
-			for id := range n.askers {
-				if f.region(id) != n.Member.Region {
-					fromAfar++
+			maxRequesters = max(maxRequesters, len(n.requesters))
+			for id := range n.requesters {
+				if f.regionOf(id) != n.Member.Region {
+					fromOtherRegions++
 				}
 			}
 			n.mu.Unlock()
 		}
-		must.LessEq(t, 2*regions, fromAfar, must.Sprint("two relays of a region ask across"))
-		must.LessEq(t, entries/regions+2*regions, askers)
+		must.LessEq(t, 2*regions, fromOtherRegions, must.Sprint("two relays of each region ask other regions"))
+		must.LessEq(t, entries/regions+2*regions, maxRequesters)
 	})
 }
 
-// A change must be in force everywhere within two seconds while some of those that pass
-// news on take connections and say nothing, as frozen VMs do, or are killed: both readers,
-// both of a region, or some at both levels.
-func TestNewsPassSilentRelays(t *testing.T) {
+// Guards against a change that doesn't take effect everywhere within two seconds while some readers
+// and relays are killed, or accept connections without answering, as suspended VMs do: both
+// readers, both relays of a region, or some at both levels.
+func TestUpdatesBypassUnresponsiveRelays(t *testing.T) {
 	for name, fail := range map[string]func(*node){
-		"frozen": func(n *node) { n.deaf.Store(true) },
+		"frozen": func(n *node) { n.unresponsive.Store(true) },
 		"killed": func(n *node) { n.stop() },
 	} {
 		for seed := range 6 {
 			t.Run(fmt.Sprint(name, seed), func(t *testing.T) {
-				inFleet(t, 40, 2, 20, func(t *testing.T, f *fleet) {
+				withFleet(t, 40, 2, 20, func(t *testing.T, f *fleet) {
 					r := rand.New(rand.NewPCG(uint64(seed), 1))
-					ranked := f.ranked(40)
+					ranked := f.rankedEntries(40)
 					time.Sleep(time.Duration(r.Int64N(int64(time.Second))))
 					for range 3 {
 						fail(ranked[r.IntN(5)])
 					}
 					time.Sleep(time.Duration(r.Int64N(int64(time.Second))))
 					f.store.put("drained/a", nil)
-					f.knows(t, "a", 2*time.Second)
+					f.waitUntilDrained(t, "a", 2*time.Second)
 				})
 			})
 		}
 	}
 }
 
-// News that pass one more process are older when they arrive. Were they too old for those
-// who ask, all would turn to the store, each with a call that the operators pay for.
-func TestNewsOfRelaysAreFreshEnough(t *testing.T) {
-	inFleet(t, 60, 3, 20, func(t *testing.T, f *fleet) {
-		before := f.store.watched()
+// Guards against relays whose updates are stale on arrival: all processes would turn to the store,
+// each with a call that the operators pay for.
+func TestRelayedUpdatesAreFreshEnough(t *testing.T) {
+	withFleet(t, 60, 3, 20, func(t *testing.T, f *fleet) {
+		before := f.store.watchCount()
 		for range 2000 {
 			time.Sleep(10 * time.Millisecond)
 			for _, n := range f.members {
@@ -74,20 +73,20 @@
 				must.LessEq(t, 2*time.Second, age)
 			}
 		}
-		must.LessEq(t, 2*(20+1), f.store.watched()-before, must.Sprint("two readers, each one call a second"))
+		must.LessEq(t, 2*(20+1), f.store.watchCount()-before, must.Sprint("two readers, each one call a second"))
 	})
 }
 
-// A deployment of 60 entries and 3,000 upstreams, with a change each second. Each process has
-// 12 kB a second for control; those that tell the others must keep to it as well, or they
-// are what the deployment stops growing at.
-func TestBytesOfNews(t *testing.T) {
+// Guards against readers and relays that exceed the 12 kB a second that each process has for
+// control, with 60 entries, 3,000 upstreams and a change each second: they would limit the growth
+// of the deployment.
+func TestUpdateBytesStayWithinBudget(t *testing.T) {
 	const (
 		seconds = 20
-		// budget is bytes a second, sent and received, of the users' two-year size.
+		// budget is the limit of bytes a second, sent and received, at the users' two-year size.
 		budget = 12_000
 	)
-	inFleet(t, 60, 5, 3000, func(t *testing.T, f *fleet) {
+	withFleet(t, 60, 5, 3000, func(t *testing.T, f *fleet) {
 		value := strings.Repeat("a", 85)
 		for i := range seconds {
 			f.store.put(fmt.Sprint("upstream/", i), value)
--- a/internal/syncer/start.go
+++ b/internal/syncer/start.go
@@ -14,67 +14,67 @@
 )
 
 const (
-	// seedPatience is how long a process that knows nothing asks the seeds before it
-	// turns to the store. Seeds may start 0.3 s later than others; who has not answered by then
-	// is taken for dead.
-	seedPatience = 700 * time.Millisecond
-	// readingTimeout is the same while a seed answers that it still reads the store: as long as
-	// the store's client waits for a list. Afterwards processes list the store themselves, up
-	// to listSpread apart.
-	readingTimeout = 2400 * time.Millisecond
-	listSpread     = time.Second
-	// seedStart is how long the nearest seed that refuses connections is waited for: seeds start
-	// up to 0.4 s later than others and need 60 to 100 ms until they listen. With 400 ms, most of
-	// a region turned to far seeds, and their lists delayed the near one's own by 1.5 s.
-	seedStart = 700 * time.Millisecond
-	// seedStartPatience is seedPatience where a seed has refused connections: farther ones are asked after seedStart.
-	seedStartPatience = seedStart + 300*time.Millisecond
+	// seedWaitLimit is how long a process without records asks the seeds before it turns to the
+	// store. Seeds may start 0.3 s later than others; those that have not answered by then are
+	// assumed dead.
+	seedWaitLimit = 700 * time.Millisecond
+	// seedReadTimeout is the same while a seed answers that it still reads the store: as long as
+	// the store's client waits for a list. Afterwards processes list the store themselves, up to
+	// listSpread apart.
+	seedReadTimeout = 2400 * time.Millisecond
+	listSpread      = time.Second
+	// refusedSeedWait is how long the nearest seed that refuses connections is waited for: seeds
+	// start up to 0.4 s later than others and need 60 to 100 ms until they listen. With 400 ms,
+	// most of a region turned to far seeds, and their lists delayed the near seed's own by 1.5 s.
+	refusedSeedWait = 700 * time.Millisecond
+	// refusedSeedWaitLimit is seedWaitLimit if a seed has refused connections: farther ones are
+	// asked after refusedSeedWait.
+	refusedSeedWaitLimit = refusedSeedWait + 300*time.Millisecond
 	// seedPause is the pause between two rounds over the seeds.
 	seedPause = 40 * time.Millisecond
-	// seedTimeout bounds a connection to a seed, and the time until its answer begins to
-	// arrive: a dozen round trips between regions.
+	// seedTimeout bounds a connection to a seed, and the time until its answer starts to arrive: a
+	// dozen round trips between regions.
 	seedTimeout = 250 * time.Millisecond
-	// seedHold is how long a seed that still reads the store holds its answer back.
-	seedHold = 100 * time.Millisecond
-	// seedLead is how long further seeds are waited for once one is connected.
-	seedLead = 10 * time.Millisecond
+	// seedAnswerWait is how long a seed that still reads the store holds its answer.
+	seedAnswerWait = 100 * time.Millisecond
+	// furtherSeedWait is how long further seeds are waited for once one is connected.
+	furtherSeedWait = 10 * time.Millisecond
 )
 
-// fromSeeds learns all records from a seed. After a loss of everything all processes
-// start at once; if each read the store, the same uncompressed table would cross the
-// links between regions as many times as there are processes, and the last would know it
-// seconds after the first. The nearest seed tells it, and is waited for while it starts or reads
-// the store: a farther one that knows the table would send it to all processes of the region, and
-// the list that the nearest waits for would have to share the link with them.
-func (s *Syncer) fromSeeds(ctx context.Context) bool {
+// syncFromSeeds gets all records from a seed. After a loss of all processes they start at once; if
+// each read the store, the same uncompressed table would cross the links between regions once per
+// process, and the last process would have it seconds after the first. The nearest seed is waited
+// for while it starts or reads the store: a farther one with the table would send it to all
+// processes of the region, and the list that the nearest waits for would share the link with them.
+func (s *Syncer) syncFromSeeds(ctx context.Context) bool {
 	dials := s.newSeedDials()
 	stale := map[netip.AddrPort]bool{}
-	timeout := seedPatience
-	for s.Clock.Since(s.seedsSince) < timeout && ctx.Err() == nil {
+	timeout := seedWaitLimit
+	for s.Clock.Since(s.seedsAskedSince) < timeout && ctx.Err() == nil {
 		dials.connect(ctx)
 		for _, a := range dials.nearest() {
 			if stale[a] {
 				continue
 			}
 			if dials.refused[a] {
-				timeout = max(timeout, seedStartPatience)
-				if s.Clock.Since(s.seedsSince) < seedStart {
+				timeout = max(timeout, refusedSeedWaitLimit)
+				if s.Clock.Since(s.seedsAskedSince) < refusedSeedWait {
 					break
 				}
 				continue
 			}
-			state := s.firstRecords(ctx, a)
-			if state == seedKnows {
+			state := s.recordsFromSeed(ctx, a)
+			if state == seedAnswered {
 				s.nearSeeds = dials.nearest()
 				return true
 			}
-			if state == seedReads {
-				timeout = readingTimeout + s.listDelay
+			if state == seedReading {
+				timeout = seedReadTimeout + s.listDelay
 				break
 			}
-			stale[a] = state == seedIsStale
+			stale[a] = state == seedStale
 			if s.referred {
-				timeout = readingTimeout + s.listDelay
+				timeout = seedReadTimeout + s.listDelay
 			}
 		}
 		s.pause(ctx, seedPause)
@@ -82,19 +82,19 @@
 	return false
 }
 
-// seedDials are the connections to the seeds.
+// seedDials manages the connections to the seeds.
 type seedDials struct {
 	syncer *Syncer
-	// results are those of the connections in pending.
+	// results receives the result of each connection in pending.
 	results chan seedDial
 	pending map[netip.AddrPort]bool
-	// distances tell how long a seed took to accept or to refuse a connection.
-	distances map[netip.AddrPort]time.Duration
-	// refused seeds have refused the last connection, as none of their processes runs.
+	// connectTimes are how long the seeds took to accept or to refuse a connection.
+	connectTimes map[netip.AddrPort]time.Duration
+	// refused seeds have refused the last connection, as the seed process doesn't run.
 	refused map[netip.AddrPort]bool
 }
 
-// seedDial is the result of a connection.
+// seedDial is the result of a connection attempt.
 type seedDial struct {
 	address netip.AddrPort
 	took    time.Duration
@@ -104,29 +104,29 @@
 func (s *Syncer) newSeedDials() *seedDials {
 	return &seedDials{
 		syncer: s, results: make(chan seedDial, len(s.Seeds)), pending: map[netip.AddrPort]bool{},
-		distances: map[netip.AddrPort]time.Duration{}, refused: map[netip.AddrPort]bool{},
+		connectTimes: map[netip.AddrPort]time.Duration{}, refused: map[netip.AddrPort]bool{},
 	}
 }
 
-// connect connects to all seeds at once and notes how long each took. It waits for
-// the first one and a little for the others.
+// connect connects to all seeds at once and records how long each took. It waits for the first one,
+// and furtherSeedWait for the others.
 func (d *seedDials) connect(ctx context.Context) {
 	for _, a := range d.syncer.Seeds {
-		_, answered := d.distances[a]
+		_, answered := d.connectTimes[a]
 		if !d.pending[a] && (!answered || d.refused[a]) {
 			d.dial(ctx, a)
 		}
 	}
 	var lead <-chan time.Time
-	if d.connected() {
-		lead = d.syncer.Clock.After(seedLead)
+	if d.anyConnected() {
+		lead = d.syncer.Clock.After(furtherSeedWait)
 	}
 	for len(d.pending) > 0 {
 		select {
 		case r := <-d.results:
-			d.note(r)
+			d.recordResult(r)
 			if lead == nil && r.err == nil {
-				lead = d.syncer.Clock.After(seedLead)
+				lead = d.syncer.Clock.After(furtherSeedWait)
 			}
 		case <-lead:
 			return
@@ -146,8 +146,8 @@
 	}()
 }
 
-// note takes over the result of a connection.
-func (d *seedDials) note(r seedDial) {
+// recordResult records the result of a connection attempt.
+func (d *seedDials) recordResult(r seedDial) {
 	delete(d.pending, r.address)
 	if r.err != nil {
 		klog.V(1).InfoS("Seed not reached", "seed", r.address, "err", r.err)
@@ -156,14 +156,14 @@
 		return
 	}
 	d.refused[r.address] = r.err != nil
-	if _, known := d.distances[r.address]; !known {
-		d.distances[r.address] = r.took
+	if _, known := d.connectTimes[r.address]; !known {
+		d.connectTimes[r.address] = r.took
 	}
 }
 
-// connected returns whether a seed has accepted a connection.
-func (d *seedDials) connected() bool {
-	for a := range d.distances {
+// anyConnected returns whether a seed has accepted a connection.
+func (d *seedDials) anyConnected() bool {
+	for a := range d.connectTimes {
 		if !d.refused[a] {
 			return true
 		}
@@ -171,60 +171,60 @@
 	return false
 }
 
-// nearest lists the seeds that have accepted or refused a connection, the nearest first.
+// nearest returns the seeds that have accepted or refused a connection, nearest first.
 func (d *seedDials) nearest() []netip.AddrPort {
-	return slices.SortedFunc(maps.Keys(d.distances), func(a, b netip.AddrPort) int {
-		return cmp.Compare(d.distances[a], d.distances[b])
+	return slices.SortedFunc(maps.Keys(d.connectTimes), func(a, b netip.AddrPort) int {
+		return cmp.Compare(d.connectTimes[a], d.connectTimes[b])
 	})
 }
 
-// seedState is what a seed's answer shows of it.
+// seedState is the state of a seed according to its answer.
 type seedState int
 
 const (
 	// seedFailed seeds gave no answer, or can't reach the store.
 	seedFailed seedState = iota
-	// seedReads seeds wait for their own first list.
-	seedReads
-	// seedIsStale seeds have lost touch with the store.
-	seedIsStale
-	// seedKnows seeds have given their records.
-	seedKnows
+	// seedReading seeds wait for their own first list.
+	seedReading
+	// seedStale seeds have lost contact with the store.
+	seedStale
+	// seedAnswered seeds have sent their records.
+	seedAnswered
 )
 
-// allRecords takes over what a peer knows, if the store confirmed it of late, or gives the peer to
-// which that one refers this process.
-func (s *Syncer) allRecords(ctx context.Context, a netip.AddrPort, q messenger.RecordsQuery) (seedState, netip.AddrPort) {
+// applyAllRecords applies a peer's records if the store confirmed them recently, or returns the
+// peer to which that peer refers this process.
+func (s *Syncer) applyAllRecords(ctx context.Context, a netip.AddrPort, q messenger.RecordsQuery) (seedState, netip.AddrPort) {
 	var none netip.AddrPort
-	b, err := s.records(ctx, a, q, seedHold+seedTimeout)
+	b, err := s.queryRecords(ctx, a, q, seedAnswerWait+seedTimeout)
 	if err != nil {
 		klog.V(1).InfoS("Seed did not answer", "seed", a, "err", err)
 		return seedFailed, none
 	}
 	switch {
 	case b.Refer.IsValid():
-		return seedReads, b.Refer
+		return seedReading, b.Refer
 	case b.At == 0 && b.Lost:
 		return seedFailed, none
 	case b.At == 0:
-		return seedReads, none
-	case b.Age > staleNews || !s.Registrar.Apply(b):
-		return seedIsStale, none
+		return seedReading, none
+	case b.Age > staleAge || !s.Registrar.Apply(b):
+		return seedStale, none
 	}
 	klog.InfoS("Records learned from a seed", "seed", a, "records", len(b.Records), "revision", b.At)
-	return seedKnows, none
+	return seedAnswered, none
 }
 
-// learnAges asks peers for the ages of the weights that this process found in the store. Processes
-// that read from peers get them with the records, readers of the store don't.
+// learnAges asks peers for the ages of the weights that this process found in the store. Peers send
+// them with the records, the store doesn't.
 func (s *Syncer) learnAges(ctx context.Context, candidates []netip.AddrPort) {
-	for s.agePeersAsked < min(sources, len(candidates)) && s.Registrar.Undated() {
+	for s.agePeersAsked < min(maxUnhelpfulPeers, len(candidates)) && s.Registrar.Undated() {
 		a := candidates[s.agePeersAsked]
 		s.agePeersAsked++
 		at, _, _ := s.Registrar.At()
-		b, err := s.records(ctx, a, messenger.RecordsQuery{After: at, Ages: true}, seedTimeout)
+		b, err := s.queryRecords(ctx, a, messenger.RecordsQuery{After: at, Ages: true}, seedTimeout)
 		if err != nil {
-			klog.V(1).InfoS("Peer unresponsive to a question for the age of weights", "peer", a, "err", err)
+			klog.V(1).InfoS("Peer did not answer a query for the age of weights", "peer", a, "err", err)
 			continue
 		}
 		s.Registrar.Apply(b)
--- a/internal/syncer/start_test.go
+++ b/internal/syncer/start_test.go
@@ -9,24 +9,24 @@
 	"github.com/oriolecroft/oriolecroft/platform/standin"
 )
 
-// The seeds are dead, or have not read the store themselves. Whoever waited for them for
-// long would answer nobody, although the store could tell it all.
+// Guards against waiting long for seeds that are dead or have not read the store themselves: a
+// process would answer no callers, although the store has all records.
 func TestDeadSeedsAreNotWaitedFor(t *testing.T) {
 	store := standin.NewStore()
 	defer store.Close()
 	store.Drain("a")
-	silent := standin.NewStore()
-	defer silent.Close()
-	silent.SetFault(standin.Silent)
-	ignorant := start(t, "ignorant", true, silent.Address())
-	p := start(t, "agent", false, store.Address(), netip.MustParseAddrPort("127.0.0.1:1"), ignorant.peers)
+	unresponsive := standin.NewStore()
+	defer unresponsive.Close()
+	unresponsive.SetFault(standin.Silent)
+	uninformed := start(t, "ignorant", true, unresponsive.Address())
+	p := start(t, "agent", false, store.Address(), netip.MustParseAddrPort("127.0.0.1:1"), uninformed.peers)
 	eventually(t, p.drained("a"))
 }
 
-// The peers that a process heard from are gone, as when many are killed at once. It has
-// all records but for the last changes. Were it to read them all again, with everybody
-// else, the links to the store would be full for seconds, and callers refused.
-func TestWhoKnowsReadsOnlyWhatChanged(t *testing.T) {
+// Guards against processes that list all records again when their peers are gone, as when many are
+// killed at once, although they lack only the last changes: the lists would saturate the links to
+// the store for seconds, and callers would be refused.
+func TestProcessWithRecordsReadsOnlyChanges(t *testing.T) {
 	store := standin.NewStore()
 	defer store.Close()
 	store.Drain("a")
--- a/internal/syncer/syncer.go
+++ b/internal/syncer/syncer.go
@@ -1,7 +1,6 @@
-// Package syncer keeps a process's registrar up to date. A few entries read the
-// platform's store for all; everybody else asks these for news and turns to the
-// store only when they fall silent. Whoever the store refuses learns from the
-// others all the same.
+// Package syncer keeps a process's registrar up to date. A few entries read the platform's store on
+// behalf of all processes; the others ask these entries for updates and turn to the store only when
+// they are unresponsive. A process that the store refuses still gets updates from its peers.
 package syncer
 
 import (
@@ -24,39 +23,38 @@
 )
 
 const (
-	// watchWait is how long the store holds an answer back without news. It bounds
-	// how long a watch that has gone silent goes unnoticed, and costs a reader one
-	// call a second.
+	// watchWait is how long the store may hold a watch without updates. It bounds how long an
+	// unresponsive watch goes unnoticed, and costs a reader one call a second.
 	watchWait = time.Second
-	// leastWatchWait is the shortest such time.
-	leastWatchWait = 20 * time.Millisecond
-	// peerWait is the same between our own processes, where calls cost only bytes.
+	// minWatchWait is the shortest wait of a watch.
+	minWatchWait = 20 * time.Millisecond
+	// peerWait is the same for calls between our own processes, which cost only bytes.
 	peerWait = 400 * time.Millisecond
-	// peerGrace is what a peer's answer may take beyond its wait.
+	// peerGrace is how long a peer's answer may take beyond its wait.
 	peerGrace = 350 * time.Millisecond
-	// avoidFor is how long a peer that did not answer is passed over.
+	// avoidFor is how long a peer that did not answer is skipped.
 	avoidFor = 2 * time.Second
-	// storeBackoff is the first pause after the store failed; it doubles up to
-	// maxStoreBackoff, so that an outage isn't met with a storm of calls, and the
-	// store's return is noticed within that time.
+	// storeBackoff is the first pause after a failed call to the store. It doubles up to
+	// maxStoreBackoff, which prevents a storm of calls in an outage and bounds the time until a
+	// recovery is noticed.
 	storeBackoff    = 250 * time.Millisecond
 	maxStoreBackoff = time.Second
-	// watchPause is how long a reader waits after news before it watches again. Changes come
-	// in runs, as when engines load one after the other, and each would otherwise cost a
-	// call of each reader; news have seconds to come into force.
+	// watchPause is how long a reader waits after an update before it watches again. Changes come
+	// in bursts, as when engines load one after the other, and each would otherwise cost a call of
+	// each reader; updates have seconds to take effect.
 	watchPause = 80 * time.Millisecond
-	// idlePause is the pause when nobody has news.
+	// idlePause is the mean pause after a round in which no source answered.
 	idlePause = 150 * time.Millisecond
-	// anyAge accepts whatever a peer knows.
+	// anyAge accepts answers of any age.
 	anyAge = 24 * time.Hour
-	// staleNews is the age from which a peer's confirmation by the store is too old
-	// to rely on that peer: a reader's is confirmed at least every watchWait. What a
-	// reader behind a silent cut does not hear must be heard from elsewhere within the
-	// two seconds that a change has to come into force.
-	staleNews = 1500 * time.Millisecond
+	// staleAge is the age from which a peer's last confirmation by the store is too old to rely on
+	// that peer: a reader's is renewed at least every watchWait. A change that a silently
+	// disconnected reader misses must arrive from another source within the two seconds that a
+	// change has to take effect.
+	staleAge = 1500 * time.Millisecond
 )
 
-// Calls to the store, as log lines name them.
+// Calls to the store, as named in logs.
 const (
 	listCall  = "store list"
 	watchCall = "store watch"
@@ -65,74 +63,73 @@
 // Store is the platform's key-value store.
 type Store interface {
 	List(ctx context.Context) (registrar.Batch, error)
-	// Watch gives *storer.CompactedError when the history is gone.
+	// Watch returns *storer.CompactedError when the history after the revision is gone.
 	Watch(ctx context.Context, after uint64, wait time.Duration) (registrar.Batch, error)
 }
 
-// Syncer feeds a registrar. Set the exported fields before Serve.
+// Syncer keeps a registrar up to date. Set the exported fields before Serve.
 type Syncer struct {
-	// ID is this process's name; Entry tells that it may read the store for others.
+	// ID is the name of this process; Entry allows it to read the store for others.
 	ID        string
 	Entry     bool
 	Region    string
 	Registrar *registrar.Registrar
 	Store     Store
-	// Seeds are addresses to ask before any entry is known. Seed tells that this process
-	// is one of them for the others, so that it reads the store itself at its start.
+	// Seeds are addresses to ask before any entry is known. Seed is set if this process is a seed
+	// for others, so that it reads the store itself when it starts.
 	Seeds []netip.AddrPort
 	Seed  bool
-	// Peers is the address at which this process answers others, so that a seed may refer them
-	// to it; invalid for one that doesn't answer.
+	// Peers is the address at which this process answers its peers, so that a seed may refer them
+	// to it; invalid for a process that doesn't answer.
 	Peers netip.AddrPort
-	// Dial makes the client of a process's address.
+	// Dial returns a client for the address of a process.
 	Dial func(netip.AddrPort) *messenger.Client
-	// Clock should count the time for which the VM is suspended; no time of it leaves the
+	// Clock should include the time for which the VM is suspended; none of its times leave the
 	// syncer.
 	Clock  clock.Clock
 	Random *rand.Rand
-	// Metrics counts the calls to the store by which this process replaces its peers; nil for
-	// no count.
+	// Metrics counts this process's fallback calls to the store; nil disables the count.
 	Metrics metrics.Registry
 
 	clients messenger.Clients
-	// seedsSince is since when this process, which knows nothing, has asked the seeds.
-	seedsSince time.Time
-	peers      map[netip.AddrPort]peer
-	// nearSeeds are the seeds that answered this process when it started, the nearest first.
+	// seedsAskedSince is since when this process, which has no records, has asked the seeds.
+	seedsAskedSince time.Time
+	peers           map[netip.AddrPort]peer
+	// nearSeeds are the seeds that answered this process when it started, nearest first.
 	nearSeeds []netip.AddrPort
-	// referral is the one that this process follows at its start; referred tells that a seed gave one, so that it has
-	// the records.
+	// referral is the entry to which a seed referred this process at its start; referred is set
+	// once a seed gave a referral, as that seed has the records.
 	referral referral
 	referred bool
-	// storeFrom is when the store may be asked again after a failure.
-	storeFrom time.Time
-	backoff   time.Duration
-	// compacted tells that the store's history is gone from what is known here, so that
-	// a list has to be read.
+	// storeRetryAt is when the store may be called again after a failure.
+	storeRetryAt time.Time
+	backoff      time.Duration
+	// compacted is set when the store's history after the registrar's revision is gone, so that a
+	// list is needed.
 	compacted bool
 	reading   bool
 	relaying  bool
-	// fallingBack is set while this process reads the store for want of fresh peers; peerFailure
-	// is why the last peer that failed it did.
+	// fallingBack is set while this process reads the store because no peer is fresh; peerFailure
+	// is the cause of the last failure of a peer.
 	fallingBack bool
 	peerFailure fallbackCause
-	// substituteUntil is until when this process reads the store in place of readers that failed.
+	// substituteUntil is until when this process reads the store in place of failed readers.
 	substituteUntil time.Time
-	// agePeersAsked is how many peers learnAges has asked.
+	// agePeersAsked is the number of peers that learnAges has asked.
 	agePeersAsked int
-	// jitter is how much later than others an agent falls back, up to agentJitter; listDelay how
-	// much later than others this process lists the store at its start, up to listSpread.
+	// jitter delays an agent's fallback by up to maxAgentJitter; listDelay delays this process's
+	// list of the store at its start by up to listSpread.
 	jitter, listDelay time.Duration
 }
 
-// peer is what is known of a peer from asking it.
+// peer is the state of a peer as observed from its answers.
 type peer struct {
-	// avoidUntil is until when it is passed over.
+	// avoidUntil is until when it is skipped.
 	avoidUntil time.Time
-	// unhelpful is set if it timed out or had no fresh news when it was last asked.
+	// unhelpful is set if it timed out or had no fresh updates when it was last asked.
 	unhelpful bool
 	// downUntil is until when it counts as out of service, as it did not answer or had lost the
-	// store: nobody waits for it to read the store.
+	// store. This process doesn't wait for it to read the store.
 	downUntil time.Time
 }
 
@@ -140,9 +137,9 @@
 func (s *Syncer) Serve(ctx context.Context) error {
 	s.clients.Dial, s.clients.Timeout = s.Dial, peerWait+peerGrace
 	s.peers = map[netip.AddrPort]peer{}
-	s.jitter = time.Duration(s.Random.Int64N(int64(agentJitter)))
+	s.jitter = time.Duration(s.Random.Int64N(int64(maxAgentJitter)))
 	s.listDelay = time.Duration(s.Random.Int64N(int64(listSpread)))
-	s.seedsSince = s.Clock.Now()
+	s.seedsAskedSince = s.Clock.Now()
 	defer s.clients.Close()
 	for ctx.Err() == nil {
 		if s.step(ctx) {
@@ -155,75 +152,75 @@
 
 func (s *Syncer) String() string { return "syncer" }
 
-// step asks one source and tells whether it answered.
+// step tries the sources in turn and returns whether one answered.
 func (s *Syncer) step(ctx context.Context) bool {
 	_, _, known := s.Registrar.At()
-	if !known && !s.Seed && s.fromSeeds(ctx) {
+	if !known && !s.Seed && s.syncFromSeeds(ctx) {
 		return true
 	}
-	o := s.order()
-	candidates := o.candidates
-	s.forgetOthers(candidates)
-	reads := !known || o.reads
-	s.logRoles(reads, o.relays)
+	p := s.plan()
+	candidates := p.candidates
+	s.prunePeers(candidates)
+	reads := !known || p.reads
+	s.logRoles(reads, p.relays)
 	if known && reads {
 		s.learnAges(ctx, candidates)
 	}
-	if !reads && !s.substitutes(o) {
-		if s.fromPeers(ctx, candidates, s.peersFirst(o)) {
-			s.noteFallback(false)
+	if !reads && !s.isSubstituting(p) {
+		if s.syncFromPeers(ctx, candidates, s.peerAskOptions(p)) {
+			s.recordFallback(false)
 			return true
 		}
-		if done, answered := s.awaitOthers(ctx, o); done {
+		if done, answered := s.awaitOthers(ctx, p); done {
 			return answered
 		}
 	}
 	if s.storeDue() {
-		s.noteFallback(!reads)
-		s.substitute(o)
-		if s.fromStore(ctx) {
+		s.recordFallback(!reads)
+		s.startSubstituting(p)
+		if s.syncFromStore(ctx) {
 			return true
 		}
-		// Who still knows nothing asks the seeds once more before the next list.
-		s.seedsSince = s.Clock.Now()
+		// Without records, ask the seeds once more before the next list.
+		s.seedsAskedSince = s.Clock.Now()
 	}
-	// Each silent peer takes peerWait and peerGrace. With a dozen of them the store, which may
-	// be back long since, would be asked again only after the bounds on changes.
-	if s.fromPeers(ctx, s.untriedFirst(candidates), asking{wait: o.wait, limit: staleNews, better: s.storeDue}) || s.storeDue() {
+	// Each unresponsive peer takes peerWait and peerGrace. With a dozen of them, a recovered store
+	// would be asked again only after the bounds on changes.
+	if s.syncFromPeers(ctx, s.untriedFirst(candidates), askOptions{wait: p.wait, maxAge: staleAge, stop: s.storeDue}) || s.storeDue() {
 		return true
 	}
-	// Whatever the others have is better than nothing, however old. They answer at once
-	// then, so that a pause has to follow.
-	s.fromPeers(ctx, s.shuffled(candidates), asking{wait: o.wait, limit: anyAge})
+	// Outdated records are better than none. Peers return them at once, so that a pause has to
+	// follow.
+	s.syncFromPeers(ctx, s.randomPeers(candidates), askOptions{wait: p.wait, maxAge: anyAge})
 	return false
 }
 
-// storeDue tells whether the store may be asked.
-func (s *Syncer) storeDue() bool { return !s.Clock.Now().Before(s.storeFrom) }
+// storeDue returns whether the store may be called.
+func (s *Syncer) storeDue() bool { return !s.Clock.Now().Before(s.storeRetryAt) }
 
-// untriedFirst puts those last that failed last, so that going on with the first few each time
-// comes to all of them.
-func (s *Syncer) untriedFirst(as []netip.AddrPort) []netip.AddrPort {
-	as = slices.Clone(as)
-	slices.SortStableFunc(as, func(a, b netip.AddrPort) int {
+// untriedFirst puts the peers that failed most recently last, so that repeated attempts at the
+// first few reach all of them.
+func (s *Syncer) untriedFirst(addrs []netip.AddrPort) []netip.AddrPort {
+	addrs = slices.Clone(addrs)
+	slices.SortStableFunc(addrs, func(a, b netip.AddrPort) int {
 		return s.peers[a].avoidUntil.Compare(s.peers[b].avoidUntil)
 	})
-	return as
+	return addrs
 }
 
-// logRoles tells when this process takes on a role, or gives one up.
+// logRoles logs when this process takes on or gives up a role.
 func (s *Syncer) logRoles(reads, relays bool) {
 	if reads != s.reading {
 		klog.InfoS("Store reader role", "reads", reads)
 	}
 	if relays != s.relaying {
-		klog.InfoS("News relay role", "relays", relays)
+		klog.InfoS("Update relay role", "relays", relays)
 	}
 	s.reading, s.relaying = reads, relays
 }
 
-// forgetOthers drops what is kept of addresses that are nobody's any more.
-func (s *Syncer) forgetOthers(candidates []netip.AddrPort) {
+// prunePeers drops the clients and states of addresses that are not candidates.
+func (s *Syncer) prunePeers(candidates []netip.AddrPort) {
 	used := make(map[netip.AddrPort]bool, len(candidates))
 	for _, a := range candidates {
 		used[a] = true
@@ -232,47 +229,47 @@
 	maps.DeleteFunc(s.peers, func(a netip.AddrPort, _ peer) bool { return !used[a] })
 }
 
-func (s *Syncer) shuffled(as []netip.AddrPort) []netip.AddrPort {
-	as = slices.Clone(as)
-	s.Random.Shuffle(len(as), func(i, j int) { as[i], as[j] = as[j], as[i] })
-	return as[:min(len(as), readers)]
+func (s *Syncer) randomPeers(addrs []netip.AddrPort) []netip.AddrPort {
+	addrs = slices.Clone(addrs)
+	s.Random.Shuffle(len(addrs), func(i, j int) { addrs[i], addrs[j] = addrs[j], addrs[i] })
+	return addrs[:min(len(addrs), readerCount)]
 }
 
-// asking is how processes are asked.
-type asking struct {
-	// wait is how long each may hold its answer back, limit how old the store's last
-	// confirmation may be.
-	wait, limit time.Duration
-	// better tells that there is something better to do than to ask the rest; nil for never.
-	better func() bool
-	// unhelpful bounds how many may time out or have no fresh news, those included that did so
-	// when they were last asked; 0 for any number.
-	unhelpful int
-	// onlyAsked leaves peers that are avoided out of that bound.
-	onlyAsked bool
-	// awaits has peers hold their answers back although their news are old, as they are about to
+// askOptions controls how peers are asked.
+type askOptions struct {
+	// wait is how long a peer may hold its answer, maxAge how old the store's last confirmation may
+	// be.
+	wait, maxAge time.Duration
+	// stop returns whether to skip the remaining peers; nil for never.
+	stop func() bool
+	// maxUnhelpful bounds how many peers may time out or have no fresh updates, including avoided
+	// ones that did so when they were last asked; 0 for any number.
+	maxUnhelpful int
+	// countAskedOnly excludes avoided peers from that bound.
+	countAskedOnly bool
+	// awaitRead has peers hold their answers although their updates are stale, as they are about to
 	// read the store.
-	awaits bool
+	awaitRead bool
 }
 
-// fromPeers asks processes in turn until one answers whose news the store confirmed
-// not longer ago than limit, or until there is something better to do.
-func (s *Syncer) fromPeers(ctx context.Context, as []netip.AddrPort, how asking) bool {
+// syncFromPeers asks peers in turn until one has updates that the store confirmed at most maxAge
+// ago, or a limit of the options is reached.
+func (s *Syncer) syncFromPeers(ctx context.Context, addrs []netip.AddrPort, opts askOptions) bool {
 	failed, unhelpful := false, 0
-	for _, a := range as {
-		if how.unhelpful > 0 && unhelpful >= how.unhelpful {
+	for _, a := range addrs {
+		if opts.maxUnhelpful > 0 && unhelpful >= opts.maxUnhelpful {
 			return false
 		}
-		if how.better != nil && how.better() {
+		if opts.stop != nil && opts.stop() {
 			return false
 		}
-		if p := s.peers[a]; !how.awaits && s.Clock.Now().Before(p.avoidUntil) {
-			if p.unhelpful && !how.onlyAsked {
+		if p := s.peers[a]; !opts.awaitRead && s.Clock.Now().Before(p.avoidUntil) {
+			if p.unhelpful && !opts.countAskedOnly {
 				unhelpful++
 			}
 			continue
 		}
-		b, err := s.ask(ctx, a, how, failed)
+		b, err := s.askPeer(ctx, a, opts, failed)
 		if ctx.Err() != nil {
 			return false
 		}
@@ -282,9 +279,9 @@
 			now := s.Clock.Now()
 			p = peer{avoidUntil: now.Add(avoidFor), unhelpful: timedOut(err), downUntil: now.Add(downFor)}
 			s.peerFailure = peersUnresponsive
-			klog.InfoS("Peer lost", "peer", a, "err", err)
+			klog.InfoS("Peer did not answer", "peer", a, "err", err)
 		} else {
-			p = s.takeNews(a, b, how)
+			p = s.applyAnswer(a, b, opts)
 		}
 		s.peers[a] = p
 		if err == nil && !p.unhelpful {
@@ -297,33 +294,33 @@
 	return false
 }
 
-// timedOut tells whether a call got no answer in time. Other errors come at once, as from a VM
-// that refuses the connection or a process that ends.
+// timedOut returns whether a call got no answer in time. Other errors arrive at once, as from a VM
+// that refuses the connection or a process that shuts down.
 func timedOut(err error) bool {
 	return errors.Is(err, context.DeadlineExceeded) || errors.Is(err, os.ErrDeadlineExceeded)
 }
 
-// takeNews takes over a peer's answer, and gives what is known of that peer by it.
-func (s *Syncer) takeNews(a netip.AddrPort, b registrar.Batch, how asking) peer {
+// applyAnswer applies a peer's answer to the registrar and returns the peer's new state.
+func (s *Syncer) applyAnswer(a netip.AddrPort, b registrar.Batch, opts askOptions) peer {
 	now := s.Clock.Now()
 	if b.At == 0 {
-		// It knows nothing itself yet; taken over, that would look like an empty store.
+		// The peer has no records yet; applied, its answer would look like an empty store.
 		return peer{avoidUntil: now.Add(peerWait), unhelpful: true, downUntil: now.Add(downFor)}
 	}
 	s.Registrar.Apply(b)
 	if at, _, _ := s.Registrar.At(); at < b.At {
-		// Its records can't be read. It would tell the same again, at once and for good.
-		klog.InfoS("Peer's news of no use", "peer", a, "revision", at, "told", b.At)
+		// Its records can't be decoded. It would send the same ones again, at once and forever.
+		klog.InfoS("Peer's records can't be applied", "peer", a, "revision", at, "told", b.At)
 		return peer{avoidUntil: now.Add(avoidFor), unhelpful: true, downUntil: now.Add(downFor)}
 	}
-	lost := b.Lost && (how.limit != anyAge || how.awaits)
+	lost := b.Lost && (opts.maxAge != anyAge || opts.awaitRead)
 	switch {
 	case lost:
 		s.peerFailure = peersLostStore
-	case b.Age > how.limit:
+	case b.Age > opts.maxAge:
 		s.peerFailure = peersStale
-	case how.awaits && len(b.Records) == 0 && b.Held < how.wait/2:
-		// One of an older version doesn't hold back an answer for want of changes.
+	case opts.awaitRead && len(b.Records) == 0 && b.Held < opts.wait/2:
+		// A peer of an older version doesn't hold an answer without changes.
 	default:
 		return peer{}
 	}
@@ -334,22 +331,21 @@
 	return p
 }
 
-// ask asks one process. The first one may have taken all the time that its news were young
-// enough for, as when it waited itself for a reader that is frozen. Were the next one frozen,
-// too, and waited for as long, a change would come into force too late; it has to answer at
-// once then.
-func (s *Syncer) ask(ctx context.Context, a netip.AddrPort, how asking, failed bool) (registrar.Batch, error) {
+// askPeer asks one peer. A failed peer may have used up the time for which this process's updates
+// are fresh, as when it waited itself for a suspended reader. If the next one were suspended too
+// and took as long, a change would take effect too late, so that peer has to answer at once.
+func (s *Syncer) askPeer(ctx context.Context, a netip.AddrPort, opts askOptions, failed bool) (registrar.Batch, error) {
 	at, age, _ := s.Registrar.At()
-	wait := how.wait
-	if failed && age > staleNews-peerWait {
+	wait := opts.wait
+	if failed && age > staleAge-peerWait {
 		wait = 0
 	}
-	q := messenger.RecordsQuery{After: at, WaitMS: wait.Milliseconds(), Stale: how.awaits, Ages: s.Registrar.Undated()}
-	return s.records(ctx, a, q, wait+peerGrace)
+	q := messenger.RecordsQuery{After: at, WaitMS: wait.Milliseconds(), Stale: opts.awaitRead, Ages: s.Registrar.Undated()}
+	return s.queryRecords(ctx, a, q, wait+peerGrace)
 }
 
-// records asks a peer for records. The ages in the answer count up to its return.
-func (s *Syncer) records(ctx context.Context, a netip.AddrPort, q messenger.RecordsQuery, timeout time.Duration) (registrar.Batch, error) {
+// queryRecords queries a peer for records. The ages in the answer count up to its return.
+func (s *Syncer) queryRecords(ctx context.Context, a netip.AddrPort, q messenger.RecordsQuery, timeout time.Duration) (registrar.Batch, error) {
 	asked := s.Clock.Now()
 	b, err := s.clients.To(a).Records(ctx, q, timeout)
 	b.AsOf = s.Registrar.Clock.Now()
@@ -358,15 +354,15 @@
 	return b.Older(max(0, took-b.Held)), err
 }
 
-// fromStore reads the store once, by a list at first and after its history is gone.
-func (s *Syncer) fromStore(ctx context.Context) bool {
-	b, err := s.read(ctx)
+// syncFromStore reads the store once, with a list at first and after a compaction.
+func (s *Syncer) syncFromStore(ctx context.Context) bool {
+	b, err := s.readStore(ctx)
 	if ctx.Err() != nil {
 		return false
 	}
 	var compacted *storer.CompactedError
 	if errors.As(err, &compacted) {
-		klog.InfoS("Store's history gone, listing anew", "err", err)
+		klog.InfoS("Store history compacted, listing all records", "err", err)
 		s.compacted = true
 		return true
 	}
@@ -375,7 +371,7 @@
 		return false
 	}
 	if s.backoff > 0 {
-		klog.InfoS("Store regained")
+		klog.InfoS("Store reachable again")
 	}
 	s.backoff = 0
 	s.compacted = false
@@ -394,11 +390,11 @@
 	}
 }
 
-// read watches from what is known, wherever that came from. A list holds the whole route
-// table: were each process to read one when the peers that it relied on fall silent, the
-// links to the store would be full of lists just when everybody turns to it, these would
-// run into their timeouts and be asked for again, and nobody would find a peer any more.
-func (s *Syncer) read(ctx context.Context) (registrar.Batch, error) {
+// readStore watches from the registrar's revision, whatever its source. A list holds the whole
+// route table: if each process listed the store when its peers became unresponsive, all lists at
+// once would saturate the links to the store, time out and be retried, and no process would find a
+// fresh peer.
+func (s *Syncer) readStore(ctx context.Context) (registrar.Batch, error) {
 	at, age, known := s.Registrar.At()
 	asked := s.Clock.Now()
 	s.Registrar.StoreAsked()
@@ -409,83 +405,81 @@
 		b.Source = registrar.Source{Name: listCall, Took: took}
 		return b.Older(took), err
 	}
-	// When the news are old, peers wait for this process to have them confirmed. Fresh ones wait for no confirmation:
-	// the time that a call may take goes by its wait, and behind a saturated link short ones would fail one after the
-	// other.
-	wait := max(leastWatchWait, watchWait-age).Truncate(time.Millisecond)
+	// If the updates are old, peers wait for this process to have them confirmed. Fresh ones need
+	// no quick confirmation: the time limit of a call depends on its wait, and behind a saturated
+	// link calls with short waits would fail one after the other.
+	wait := max(minWatchWait, watchWait-age).Truncate(time.Millisecond)
 	b, err := s.Store.Watch(ctx, at, wait)
 	b.AsOf = s.Registrar.Clock.Now()
 	took := s.Clock.Since(asked)
 	b.Source = registrar.Source{Name: watchCall, Took: took, Wait: wait}
 	if len(b.Records) > 0 || took < wait {
-		// Such an answer may have been on its way ever since the call was made.
+		// Such an answer may have been in transit ever since the call was made.
 		b.Unconfirmed = min(took, wait)
 	}
 	for i := range b.Records {
-		// An upstream whose record lapsed is left alone some time after the earliest moment at which it can
-		// have done so.
+		// An upstream lingers from the earliest time at which its record can have expired.
 		if b.Records[i].Deleted {
 			b.Records[i].Age = b.Unconfirmed
 		}
 	}
-	// The store answers within the wait; what is beyond that was on its way, or lay unread.
+	// The store answers within the wait; any further time was spent in transit or unread.
 	return b.Older(max(0, took-wait)), err
 }
 
 func (s *Syncer) storeFailed(err error) {
 	s.Registrar.StoreLost()
 	if s.backoff == 0 {
-		klog.InfoS("Store lost", "err", err)
+		klog.InfoS("Store unreachable", "err", err)
 	}
 	s.backoff = min(max(2*s.backoff, storeBackoff), maxStoreBackoff)
-	s.storeFrom = s.Clock.Now().Add(s.backoff/2 + time.Duration(s.Random.Int64N(int64(s.backoff))))
+	s.storeRetryAt = s.Clock.Now().Add(s.backoff/2 + time.Duration(s.Random.Int64N(int64(s.backoff))))
 }
 
-// Answer gives another process what changed after a revision, once anything did or
-// its wait is over.
-func Answer(r *registrar.Registrar, c clock.Clock) func(context.Context, messenger.RecordsQuery) registrar.Batch {
-	given := &referrals{clock: c, region: r.Region}
+// RecordsHandler returns a handler that sends a peer the changes after a revision, once there are
+// any or the wait of the query is over.
+func RecordsHandler(r *registrar.Registrar, c clock.Clock) func(context.Context, messenger.RecordsQuery) registrar.Batch {
+	refs := &referrals{clock: c, region: r.Region}
 	return func(ctx context.Context, q messenger.RecordsQuery) registrar.Batch {
 		_, age, _ := r.At()
-		// Held back for longer, the answer would be too old when it comes.
-		hold := q.Wait()
+		// An answer held longer would be stale on arrival.
+		maxHold := q.Wait()
 		if !q.Stale {
-			hold = min(hold, max(staleNews-age, 0))
+			maxHold = min(maxHold, max(staleAge-age, 0))
 		}
-		over := c.After(hold)
-		asked := c.Now()
-		// Should this process stand still between the two readings, what it tells counts as that
-		// much too old, and old weights end too soon; with the readings the other way round
-		// they would serve too long.
-		since := func() registrar.Batch {
-			held := c.Since(asked)
+		timeout := c.After(maxHold)
+		received := c.Now()
+		// If this process is paused between the two readings, the reported ages are too high by the
+		// pause, and old weights end too early. In the reverse order, they would serve too long.
+		answer := func() registrar.Batch {
+			held := c.Since(received)
 			b := r.Since(q.After)
 			if q.Ages {
 				b = r.SinceWithAges(q.After)
 			}
-			// The asker takes what isn't held for time on the way, by which all ages are higher.
+			// The requester counts time that isn't held as time in transit and adds it to all ages.
 			b.Held = held - b.RecordsAge
 			return b
 		}
 		for {
 			changed := r.Changed()
 			if at, _, _ := r.At(); at > q.After {
-				if to, ok := given.refer(q); ok {
+				if to, ok := refs.refer(q); ok {
 					return registrar.Batch{Refer: to}
 				}
-				if b := since(); len(b.Records) > 0 {
+				if b := answer(); len(b.Records) > 0 {
 					return b
 				}
 			}
 			if r.Lost() {
-				return since()
+				return answer()
 			}
 			select {
 			case <-changed:
-			case <-over:
-				return since()
+			case <-timeout:
+				return answer()
 			case <-ctx.Done():
-				return since()
+				return answer()
 			}
 		}
 	}
--- a/internal/syncer/syncer_test.go
+++ b/internal/syncer/syncer_test.go
@@ -20,14 +20,14 @@
 	"github.com/oriolecroft/oriolecroft/platform/standin"
 )
 
-// process is one process of the system that keeps itself up to date.
+// process is a process that keeps itself up to date.
 type process struct {
 	registrar *registrar.Registrar
 	peers     netip.AddrPort
 	stop      context.CancelFunc
 }
 
-// start runs a process; each has a store of its own, so that a test can cut one off.
+// start runs a process; each has a store of its own, so that a test can disconnect a single one.
 func start(t *testing.T, id string, entry bool, store netip.AddrPort, seeds ...netip.AddrPort) *process {
 	ctx, stop := context.WithCancel(context.Background())
 	t.Cleanup(stop)
@@ -36,7 +36,7 @@
 	c := clock.RealClock{}
 	p := &process{registrar: &registrar.Registrar{Clock: c, Decode: platform.Decode, Linger: time.Second},
 		peers: netip.MustParseAddrPort(l.Addr().String()), stop: stop}
-	server := &messenger.Server{Listener: l, OnRecords: syncer.Answer(p.registrar, c)}
+	server := &messenger.Server{Listener: l, OnRecords: syncer.RecordsHandler(p.registrar, c)}
 	go func() { _ = server.Serve(ctx) }()
 	s := &syncer.Syncer{ID: id, Entry: entry, Region: "r", Registrar: p.registrar, Store: platform.NewStore(store), Seeds: seeds,
 		Dial: func(a netip.AddrPort) *messenger.Client { return &messenger.Client{Address: a} }, Clock: c,
@@ -57,56 +57,54 @@
 	must.Wait(t, wait.InitialSuccess(wait.BoolFunc(f), wait.Timeout(10*time.Second), wait.Gap(10*time.Millisecond)))
 }
 
-// member is an entry's record, which makes others ask it.
+// member returns an entry's record, which makes others ask it.
 func member(id string, p *process) registrar.Member {
 	return registrar.Member{ID: id, Region: "r", FailureDomain: "a", Callers: p.peers, Peers: p.peers}
 }
 
-// The store turns one entry away and serves the others. The operator drains a failure
-// domain meanwhile; the entry must hear of it from the others, or it would go on to
-// send requests there.
-func TestEntryThatTheStoreRefusesHearsFromOthers(t *testing.T) {
+// Guards against an entry that the store refuses while it serves the others: unless it gets the
+// drain of a failure domain from its peers, it would go on to send requests there.
+func TestEntryRefusedByTheStoreLearnsFromPeers(t *testing.T) {
 	store, refusing := standin.NewStore(), standin.NewStore()
 	defer store.Close()
 	defer refusing.Close()
 	refusing.SetFault(standin.Busy)
 	good := start(t, "good", true, store.Address())
-	cut := start(t, "cut", true, refusing.Address(), good.peers)
+	refused := start(t, "cut", true, refusing.Address(), good.peers)
 	store.Drain("a")
 	eventually(t, good.drained("a"))
-	eventually(t, cut.drained("a"))
-	must.True(t, cut.registrar.Fresh())
+	eventually(t, refused.drained("a"))
+	must.True(t, refused.registrar.Fresh())
 }
 
-// The entry that others hear from is cut off from the store; the connections between
-// entries are fine, and its word is young for a while yet. Whoever went on to wait there
-// would hear of a revoked key only when that word is old.
-func TestPeerThatLostTheStoreIsLeftAtOnce(t *testing.T) {
+// Guards against waiting at a peer that is reachable but has lost the store, while its last
+// confirmation is still fresh: a revoked key would take effect only once that confirmation is
+// stale.
+func TestPeerThatLostTheStoreIsSkippedAtOnce(t *testing.T) {
 	store := standin.NewStore()
 	defer store.Close()
 	l, err := net.Listen("tcp", "127.0.0.1:0")
 	must.NoError(t, err)
 	ctx, stop := context.WithCancel(context.Background())
 	defer stop()
-	cut := &messenger.Server{Listener: l, OnRecords: func(_ context.Context, q messenger.RecordsQuery) registrar.Batch {
+	disconnected := &messenger.Server{Listener: l, OnRecords: func(_ context.Context, q messenger.RecordsQuery) registrar.Batch {
 		return registrar.Batch{After: q.After, At: q.After, Lost: true}
 	}}
-	go func() { _ = cut.Serve(ctx) }()
+	go func() { _ = disconnected.Serve(ctx) }()
 	p := start(t, "agent", false, store.Address(), netip.MustParseAddrPort(l.Addr().String()))
 	eventually(t, func() bool { return p.registrar.View() != nil })
 	store.Drain("a")
 	eventually(t, p.drained("a"))
 }
 
-// An entry that can't reach the store says so at once, and not only when its word has
-// grown old.
-func TestLostStoreIsTold(t *testing.T) {
+// Guards against an entry that reports a lost store only once its confirmation is stale.
+func TestLostStoreIsReported(t *testing.T) {
 	c := clock.RealClock{}
 	r := &registrar.Registrar{Clock: c, Decode: platform.Decode}
 	r.Apply(registrar.Batch{Whole: true, At: 3})
 	answers := make(chan registrar.Batch, 1)
 	go func() {
-		answers <- syncer.Answer(r, c)(context.Background(), messenger.RecordsQuery{After: 3, WaitMS: 5000})
+		answers <- syncer.RecordsHandler(r, c)(context.Background(), messenger.RecordsQuery{After: 3, WaitMS: 5000})
 	}()
 	r.StoreLost()
 	must.True(t, (<-answers).Lost)
@@ -114,7 +112,7 @@
 	must.False(t, r.Since(3).Lost)
 }
 
-// A reader dies without a word. Everybody who relied on it must go on hearing.
+// Guards against processes that get no updates after their readers die without notice.
 func TestReadersAreReplaced(t *testing.T) {
 	store := standin.NewStore()
 	defer store.Close()
@@ -134,9 +132,9 @@
 	eventually(t, ps[3].drained("a"))
 }
 
-// The store forgets its history between two reads. What changed in the gap must not be
-// missed: here a failure domain was returned, and would stay drained for good.
-func TestForgottenHistoryIsReadAnew(t *testing.T) {
+// Guards against changes lost when the store compacts its history between two reads: a failure
+// domain that was returned in between would stay drained forever.
+func TestCompactedHistoryIsListedAgain(t *testing.T) {
 	store := standin.NewStore()
 	defer store.Close()
 	store.PageSize = 2
@@ -153,9 +151,9 @@
 	must.True(t, p.registrar.View().Drained("b"))
 }
 
-// The store was silent for a while: calls hang and nothing refuses them. On its return
-// changes must come through without a restart.
-func TestSilentStoreIsFoundAgain(t *testing.T) {
+// Guards against a process that needs a restart to get changes after the store was unresponsive:
+// calls hang and nothing refuses them.
+func TestUnresponsiveStoreIsRetried(t *testing.T) {
 	store := standin.NewStore()
 	defer store.Close()
 	p := start(t, "e", true, store.Address())
@@ -167,9 +165,9 @@
 	eventually(t, p.drained("a"))
 }
 
-// All leases lapse in an outage. An entry that did not register anew would be on no
-// list, and callers would not find it although it serves.
-func TestEntryRegistersAnewAfterItsLeaseLapsed(t *testing.T) {
+// Guards against an entry that doesn't register again after its lease expired in an outage: callers
+// would not find it although it serves.
+func TestEntryRegistersAgainAfterItsLeaseExpired(t *testing.T) {
 	store := standin.NewStore()
 	defer store.Close()
 	c := clocktest.NewFakeClock(time.Unix(1000, 0))
@@ -178,44 +176,44 @@
 	ctx, stop := context.WithCancel(context.Background())
 	defer stop()
 	go func() { _ = r.Serve(ctx) }()
-	there := func() bool { return store.HasEntry("e") }
-	// looks has the entry look after its record once more, and waits until it has.
-	looks := func() {
+	registered := func() bool { return store.HasEntry("e") }
+	// checkAgain has the entry check its record once more, and waits until it has.
+	checkAgain := func() {
 		eventually(t, c.HasWaiters)
 		c.Step(time.Second)
 		eventually(t, c.HasWaiters)
 	}
-	eventually(t, there)
+	eventually(t, registered)
 	store.Lapse()
-	must.False(t, there())
-	looks()
-	must.True(t, there())
-	r.Leave(ctx)
-	must.False(t, there())
+	must.False(t, registered())
+	checkAgain()
+	must.True(t, registered())
+	r.Deregister(ctx)
+	must.False(t, registered())
 	for range 4 {
-		looks()
-		must.False(t, there(), must.Sprint("an entry that left does not come back"))
+		checkAgain()
+		must.False(t, registered(), must.Sprint("a deregistered entry does not register again"))
 	}
 }
 
-// leases notes the length of the lease that is asked for.
-type leases struct{ asked chan time.Duration }
+// leases records the requested TTLs.
+type leases struct{ requested chan time.Duration }
 
 func (l leases) Lease(_ context.Context, ttl time.Duration) (uint64, error) {
-	l.asked <- ttl
+	l.requested <- ttl
 	return 1, nil
 }
 func (leases) Renew(context.Context, uint64) error                       { return nil }
 func (leases) EndLease(context.Context, uint64) error                    { return nil }
 func (leases) PutMember(context.Context, registrar.Member, uint64) error { return nil }
 
-// A store grants no lease as short as the usual one. Asked for that, it would refuse
-// each time, and the entry would never be on a list.
-func TestLeaseIsAsLongAsTheStoreWants(t *testing.T) {
+// Guards against asking for a shorter lease than the store grants: it would refuse each time, and
+// the entry would never be on a list.
+func TestLeaseHasTheStoresMinimumLength(t *testing.T) {
 	l := leases{make(chan time.Duration, 1)}
 	r := &syncer.Registration{Store: l, Clock: clock.RealClock{}, LeastLease: 10 * time.Second, Ready: func() bool { return true }}
 	ctx, stop := context.WithCancel(context.Background())
 	defer stop()
 	go func() { _ = r.Serve(ctx) }()
-	must.Eq(t, 10*time.Second, <-l.asked)
+	must.Eq(t, 10*time.Second, <-l.requested)
 }
