--- a/cmd/oriolecroft/platform_blame_test.go
+++ b/cmd/oriolecroft/platform_blame_test.go
@@ -261,7 +261,7 @@
 			sound := w.serve(ctx, &served, &failed)
 			time.Sleep(2 * time.Second)
 			if storeOut {
-				w.store.SetFault(standin.Silent)
+				w.store.SetFault(standin.Unresponsive)
 			}
 			time.AfterFunc(5*time.Second, func() { w.restart(t, 1) })
 			var servedBefore, failedBefore int64
--- a/internal/syncer/dated_test.go
+++ b/internal/syncer/dated_test.go
@@ -39,7 +39,7 @@
 		t.Run(name, func(t *testing.T) {
 			store := standin.NewStore()
 			defer store.Close()
-			store.Name("m", 1)
+			store.AnnounceWeights("m", 1)
 			var others []*process
 			for _, id := range entries {
 				p := start(t, id, true, store.Address())
@@ -52,7 +52,7 @@
 			// A watch that answers at once tells no age.
 			time.Sleep(500 * time.Millisecond)
 			announced := time.Now()
-			store.Name("m", 2)
+			store.AnnounceWeights("m", 2)
 			for _, p := range others {
 				eventually(t, p.dated)
 			}
--- a/internal/syncer/start_test.go
+++ b/internal/syncer/start_test.go
@@ -17,7 +17,7 @@
 	store.Drain("a")
 	silent := standin.NewStore()
 	defer silent.Close()
-	silent.SetFault(standin.Silent)
+	silent.SetFault(standin.Unresponsive)
 	ignorant := start(t, "ignorant", true, silent.Address())
 	p := start(t, "agent", false, store.Address(), netip.MustParseAddrPort("127.0.0.1:1"), ignorant.peers)
 	eventually(t, p.drained("a"))
--- a/soak/soaker/faults.go
+++ b/soak/soaker/faults.go
@@ -66,8 +66,8 @@
 
 // storeFaults are those of the whole store, which a plan has in turn.
 var storeFaults = map[faultKind]standin.Fault{
-	storeBusy: standin.Busy, storeOverrun: standin.Overrun, storeSilent: standin.Silent, storeLossy: standin.Lossy, storeLapse: standin.Busy,
-	storeSlow: standin.None, powerLoss: standin.Silent, storeFloods: standin.Flooding,
+	storeBusy: standin.Busy, storeOverrun: standin.RateLimited, storeSilent: standin.Unresponsive, storeLossy: standin.Lossy, storeLapse: standin.Busy,
+	storeSlow: standin.None, powerLoss: standin.Unresponsive, storeFloods: standin.Flooding,
 }
 
 func (w *world) faultStore(f fault) {
@@ -80,7 +80,7 @@
 		w.eachStoreLink(func(k *link) { k.slow(leastDelay + time.Duration(f.Amount)*delayStep) })
 	}
 	if f.Kind == storeLapse {
-		w.store.Lapse()
+		w.store.ExpireLeases()
 		for _, p := range w.places {
 			p.lapse()
 		}
@@ -108,7 +108,7 @@
 			p.replace(f.For, p.crash)
 		})
 	}
-	w.store.Lapse()
+	w.store.ExpireLeases()
 	w.faultStore(f)
 	all.Wait()
 }
@@ -203,7 +203,7 @@
 	case upstreamRests:
 		p.rest(f.For, leastRest+time.Duration(f.Amount)*restStep)
 	case stagedSpoils:
-		p.staged.Spoil(f.Amount % chunks)
+		p.staged.Corrupt(f.Amount % chunks)
 	}
 }
 
--- a/soak/soaker/operators.go
+++ b/soak/soaker/operators.go
@@ -80,7 +80,7 @@
 // begin writes the first table and the first version of the weights.
 func (o *operators) begin() {
 	o.put()
-	o.store.Name(figures.Model, o.weights)
+	o.store.AnnounceWeights(figures.Model, o.weights)
 	o.note(auditor.Named{Version: o.weights})
 }
 
@@ -91,7 +91,7 @@
 	for i := range o.table.Routes {
 		r := &o.table.Routes[i]
 		t.Routes = append(t.Routes, auditor.Route{
-			Prefix: r.Prefix, Service: r.Service, Once: r.Once(), Public: r.Public, Attempts: r.Attempts, Regions: r.Regions,
+			Prefix: r.Prefix, Service: r.Service, Once: r.RunsAtMostOnce(), Public: r.Public, Attempts: r.Attempts, Regions: r.Regions,
 			Priority: strconv.Itoa(r.Priority),
 		})
 	}
@@ -174,7 +174,7 @@
 	o.mu.Lock()
 	defer o.mu.Unlock()
 	o.weights++
-	o.store.Name(figures.Model, o.weights)
+	o.store.AnnounceWeights(figures.Model, o.weights)
 	o.note(auditor.Named{Version: o.weights})
 }
 
@@ -188,5 +188,5 @@
 // it before this process goes on.
 func (o *operators) takeBack(domain string) {
 	o.note(auditor.Returned{FailureDomain: domain})
-	o.store.Return(domain)
+	o.store.Undrain(domain)
 }
--- a/soak/soaker/place.go
+++ b/soak/soaker/place.go
@@ -38,7 +38,7 @@
 }
 
 func (w *world) newPlace(vm *standin.VM) (*place, error) {
-	k, err := newLink(vm.At(standin.PortUpstream), vm.At(standin.PortBehind))
+	k, err := newLink(vm.At(standin.PortUpstream), vm.At(standin.PortUpstreamServer))
 	if err != nil {
 		return nil, err
 	}
@@ -56,7 +56,7 @@
 func (p *place) open(cold time.Duration, version uint64) {
 	p.mu.Lock()
 	defer p.mu.Unlock()
-	l, err := standin.Listen(p.vm.At(standin.PortBehind))
+	l, err := standin.Listen(p.vm.At(standin.PortUpstreamServer))
 	if err != nil {
 		p.say("no upstream at %s: %v", p.vm.Name, err)
 		return
@@ -126,10 +126,10 @@
 
 // leave has an upstream state and announce that it leaves, serve for the bound and end.
 func (p *place) leave(u *standin.Upstream) {
-	if u.SayLeaving(); u.StatesLeaving && !p.wait(saidBefore) {
+	if u.StateLeaving(); u.StatesLeaving && !p.wait(saidBefore) {
 		return
 	}
-	for !u.Announce() {
+	for !u.RecordLeaving() {
 		if !p.wait(announceEvery) {
 			return
 		}
@@ -137,14 +137,14 @@
 	p.note(auditor.Leaving{Upstream: u.ID})
 	p.wait(p.bounds.Drain + beyondDrain)
 	p.note(auditor.Disturbed{Who: u.ID})
-	u.Withdraw()
+	u.Deregister()
 	u.Stop()
 }
 
 // vanish has an upstream's record removed while it still serves for the bound.
 func (p *place) vanish(u *standin.Upstream) {
-	u.SayLeaving()
-	u.Withdraw()
+	u.StateLeaving()
+	u.Deregister()
 	p.note(auditor.Leaving{Upstream: u.ID})
 	p.wait(p.bounds.Drain + beyondDrain)
 	p.note(auditor.Disturbed{Who: u.ID})
--- a/soak/soaker/reload.go
+++ b/soak/soaker/reload.go
@@ -43,7 +43,7 @@
 		text = standin.ChangeLinkRate(text, standin.LinkRate-float64(amount))
 		kept = text
 	case 2:
-		text = standin.SpoilSettings(text)
+		text = standin.CorruptSettings(text)
 	}
 	wanted := auditor.Reread{Who: p.name, Faulty: text != kept, Changed: text == kept && text != p.startedOn}
 	said := p.reread(text)
--- a/soak/soaker/world.go
+++ b/soak/soaker/world.go
@@ -182,7 +182,7 @@
 	if err := w.deployment().WriteSettings(p.settings, vm); err != nil {
 		return err
 	}
-	ports := []uint16{standin.PortPlaces, standin.PortChunks}
+	ports := []uint16{standin.PortSlots, standin.PortChunks}
 	if role == "entry" {
 		ports = []uint16{standin.PortPeers}
 	}
