--- a/internal/syncer/syncer_test.go
+++ b/internal/syncer/syncer_test.go
@@ -186,7 +186,7 @@
 		eventually(t, c.HasWaiters)
 	}
 	eventually(t, there)
-	store.ExpireLeases()
+	store.EndAllLeases()
 	must.False(t, there())
 	looks()
 	must.True(t, there())
--- a/soak/soaker/faults.go
+++ b/soak/soaker/faults.go
@@ -80,7 +80,7 @@
 		w.eachStoreLink(func(k *link) { k.slow(leastDelay + time.Duration(f.Amount)*delayStep) })
 	}
 	if f.Kind == storeLapse {
-		w.store.ExpireLeases()
+		w.store.EndAllLeases()
 		for _, p := range w.places {
 			p.lapse()
 		}
@@ -108,7 +108,7 @@
 			p.replace(f.For, p.crash)
 		})
 	}
-	w.store.ExpireLeases()
+	w.store.EndAllLeases()
 	w.faultStore(f)
 	all.Wait()
 }
