--- a/pkg/bundler/bundle.go
+++ b/pkg/bundler/bundle.go
@@ -1,7 +1,7 @@
-// Package bundler holds the bundle: the versioned statement by which operators
-// say which models, adapters and versions serve which workspaces, in which
-// failure domains and within what limits. It parses, defaults, checks, compares
-// and signs bundles; it knows no store and no network.
+// Package bundler implements the bundle: the versioned configuration in which
+// operators state which models, adapters and versions serve which workspaces, in
+// which failure domains and within what limits. It parses, defaults, validates,
+// compares and signs bundles, without access to a store or a network.
 package bundler
 
 import (
@@ -15,18 +15,18 @@
 	"strings"
 )
 
-// MaxBytes is the largest encoded record, in bytes: the platform's key-value
-// service holds values up to a megabyte.
+// MaxBytes is the maximum size of an encoded record, in bytes: the platform's
+// key-value service holds values up to a megabyte.
 const MaxBytes = 1 << 20
 
 // Bundle is one immutable revision of the configuration.
 type Bundle struct {
-	// Revision rises by one with each accepted bundle; the first is 1.
+	// Revision increases by one with each accepted bundle, starting at 1.
 	Revision uint64 `json:"revision"`
-	// ChangeID names the change, so that an operator whose answer was lost can
-	// tell whether this very change took effect.
+	// ChangeID identifies the change, so that an operator whose response was lost
+	// can check whether this change took effect.
 	ChangeID string `json:"changeId"`
-	// Note is the operator's reason, for those who read the history.
+	// Note is the operator's reason, for readers of the history.
 	Note           string          `json:"note,omitempty"`
 	FailureDomains []FailureDomain `json:"failureDomains"`
 	Models         []Model         `json:"models,omitempty"`
@@ -50,15 +50,15 @@
 	// lists the chunks. It pins every byte of the weights.
 	Manifest string    `json:"manifest"`
 	Adapters []Adapter `json:"adapters,omitempty"`
-	// FailureDomains are those that serve the model; none named means all.
+	// FailureDomains are those that serve the model; empty means all.
 	FailureDomains []string `json:"failureDomains,omitempty"`
-	// Share weighs the model against the others of a failure domain when its
-	// engines are divided among them. 0 means 1.
+	// Share is the model's weight when a failure domain's engines are divided
+	// among its models. 0 means 1.
 	Share int `json:"share,omitempty"`
 }
 
-// Weights names all that an engine must hold to serve the model: its manifest and
-// those of its adapters, in the bundle's order.
+// Weights lists the manifests of all weights that an engine must hold to serve the
+// model: its own and those of its adapters, in the bundle's order.
 func (m Model) Weights() string {
 	names := []string{m.Manifest}
 	for _, a := range m.Adapters {
@@ -67,20 +67,20 @@
 	return strings.Join(names, " ")
 }
 
-// Adapter is a small set of weights laid over a model's.
+// Adapter is a small set of weights applied on top of a model's.
 type Adapter struct {
 	Name     string `json:"name"`
 	Version  string `json:"version"`
 	Manifest string `json:"manifest"`
 }
 
-// Service is a plain back end, such as bookings or records.
+// Service is a plain upstream, such as bookings or records.
 type Service struct {
 	Name string `json:"name"`
-	// Idempotent services may be called again after an unknown outcome. The
-	// default is the safe one: a call is run at most once.
+	// Idempotent services may be called again after an unknown outcome. By
+	// default, for safety, a call is run at most once.
 	Idempotent bool `json:"idempotent,omitempty"`
-	// FailureDomains are those that run the service; none named means all.
+	// FailureDomains are those that run the service; empty means all.
 	FailureDomains []string `json:"failureDomains,omitempty"`
 }
 
@@ -101,9 +101,9 @@
 	Concurrent        int     `json:"concurrent,omitempty"`
 }
 
-// Parse decodes, defaults and checks a bundle. Unknown keys, anything after the
-// object and more than MaxBytes are refused; all faults of the content are
-// reported at once as a *FaultsError.
+// Parse decodes, defaults and validates a bundle. It rejects unknown keys, data after
+// the object and more than MaxBytes, and reports all faults of the content at once as
+// a *FaultsError.
 func Parse(data []byte) (*Bundle, error) {
 	if len(data) > MaxBytes {
 		return nil, &SizeError{Bytes: len(data), Limit: MaxBytes}
@@ -124,7 +124,7 @@
 	return b, nil
 }
 
-// Defaults fills what was left out.
+// Defaults sets the default values of absent fields.
 func (b *Bundle) Defaults() {
 	for i := range b.Models {
 		if b.Models[i].Share == 0 {
@@ -133,7 +133,7 @@
 	}
 }
 
-// Encode gives the bundle as indented JSON, the form in which it is signed.
+// Encode returns the bundle as indented JSON, the form in which it is signed.
 func (b *Bundle) Encode() ([]byte, error) {
 	data, err := json.MarshalIndent(b, "", "  ")
 	if err != nil {
@@ -181,9 +181,9 @@
 	return b.Workspaces[i], true
 }
 
-// Serves tells whether new work for something placed in the named failure
-// domains (none: all) may go to the given domain: it must be listed, placed
-// there and not drained.
+// Serves reports whether new work for a model or service placed in the given
+// failure domains (empty means all) may go to a domain: the bundle must list the
+// domain, the model or service must be placed there, and it must not be drained.
 func (b *Bundle) Serves(placed []string, domain string) bool {
 	d, ok := b.Domain(domain)
 	if !ok || d.Drained {
@@ -192,8 +192,8 @@
 	return len(placed) == 0 || slices.Contains(placed, domain)
 }
 
-// ModelsIn lists the models placed in a failure domain, drained or not: a
-// drained domain keeps its weights current so that it returns warm.
+// ModelsIn returns the models placed in a failure domain, drained or not: a
+// drained domain keeps its weights up to date so that it is warm on return.
 func (b *Bundle) ModelsIn(domain string) []Model {
 	var ms []Model
 	if _, ok := b.Domain(domain); !ok {
@@ -207,8 +207,8 @@
 	return ms
 }
 
-// Digest is "sha256:" and the hex SHA-256 of data: the form in which all digests
-// of oriolecroft are written.
+// Digest returns "sha256:" and the hex SHA-256 of data, the form of all digests
+// in oriolecroft.
 func Digest(data []byte) string {
 	sum := sha256.Sum256(data)
 	return "sha256:" + hex.EncodeToString(sum[:])
--- a/pkg/bundler/diff.go
+++ b/pkg/bundler/diff.go
@@ -9,18 +9,18 @@
 
 // Change is one difference between two bundles.
 type Change struct {
-	// Field is the path of what differs, such as "models[rota].version".
+	// Field is the path of the difference, such as "models[rota].version".
 	Field string `json:"field"`
-	// Old and New are JSON values; empty where the field is absent.
+	// Old and New are JSON values; empty if the field is absent.
 	Old string `json:"old,omitempty"`
 	New string `json:"new,omitempty"`
 }
 
-// Diff lists what differs between two bundles, sorted by field. Parts of a list
-// are matched by name, so that their order does not matter. The revision and the
-// change's id always differ and are left out. Either bundle may be nil.
+// Diff returns the differences between two bundles, sorted by field. Elements of a
+// list are matched by name, so that their order does not matter. The revision and
+// the change ID always differ and are left out. Either bundle may be nil.
 func Diff(old, new *Bundle) []Change { //nolint:revive // the pair reads best by these names
-	before, after := fields(old), fields(new)
+	before, after := leafValues(old), leafValues(new)
 	paths := maps.Clone(before)
 	maps.Copy(paths, after)
 	var cs []Change
@@ -32,8 +32,8 @@
 	return cs
 }
 
-// fields maps the path of each leaf to its JSON value.
-func fields(b *Bundle) map[string]string {
+// leafValues maps the path of each leaf to its JSON value.
+func leafValues(b *Bundle) map[string]string {
 	leaves := map[string]string{}
 	if b == nil {
 		return leaves
@@ -75,7 +75,8 @@
 	return path + "." + key
 }
 
-// element names a part of a list by its name, or by itself if it is a string.
+// element returns the path of a list element, by its name or its string value if it
+// has one, otherwise by its index.
 func element(path string, i int, v any) string {
 	switch v := v.(type) {
 	case map[string]any:
--- a/pkg/bundler/parse_fuzz_test.go
+++ b/pkg/bundler/parse_fuzz_test.go
@@ -8,9 +8,9 @@
 	"github.com/oriolecroft/oriolecroft/pkg/bundler"
 )
 
-// Whoever can write to the store can put any bytes there, and every entry and
-// agent parses them. One that crashed would take the whole deployment down; one
-// that read back something else than was checked would serve by it.
+// Guards against input that crashes the parser, or whose encoding parses to a
+// different bundle. Anyone with write access to the store can store any bytes, and
+// every entry and agent parses them.
 func FuzzParse(f *testing.F) {
 	f.Add([]byte(`{"revision":1,"changeId":"c","failureDomains":[{"name":"huon-a","region":"huon"}],` +
 		`"services":[{"name":"bookings"}],"workspaces":[{"name":"growers","services":["bookings"]}]}`))
@@ -26,17 +26,17 @@
 			must.Nil(t, b)
 			return
 		}
-		again, err := b.Encode()
+		encoded, err := b.Encode()
 		must.NoError(t, err)
-		c, err := bundler.Parse(again)
+		reparsed, err := bundler.Parse(encoded)
 		must.NoError(t, err)
-		must.SliceEmpty(t, bundler.Diff(b, c))
-		must.Eq(t, b.Revision, c.Revision)
-		must.Eq(t, b.ChangeID, c.ChangeID)
+		must.SliceEmpty(t, bundler.Diff(b, reparsed))
+		must.Eq(t, b.Revision, reparsed.Revision)
+		must.Eq(t, b.ChangeID, reparsed.ChangeID)
 	})
 }
 
-// As FuzzParse, for the record around the bundle.
+// Guards against the same faults in the record around the bundle.
 func FuzzDecodeRecord(f *testing.F) {
 	f.Add([]byte(`{"payload":"e30=","signatures":[{"key":"AA==","value":"AA=="}]}`))
 	f.Add([]byte(`{"payload":null,"signatures":null}`))
--- a/pkg/bundler/sign.go
+++ b/pkg/bundler/sign.go
@@ -9,11 +9,11 @@
 	"fmt"
 )
 
-// signContext is signed in front of the payload, so that a signature made for
-// something else with the same key can never pass for one on a bundle.
+// signContext is prepended to the signed payload, so that a signature made with the
+// same key for another purpose is never valid for a bundle.
 const signContext = "oriolecroft bundle\n"
 
-// Record is a bundle as it lies in the platform's store: the very bytes that
+// Record is a bundle as stored in the platform's store: the exact bytes that
 // were signed, and the signatures.
 type Record struct {
 	Payload    []byte      `json:"payload"`
@@ -28,9 +28,9 @@
 	Value []byte `json:"value"`
 }
 
-// Keyring is what every process checks sign-offs against. It comes from the
-// settings, never from the store: whoever only writes to the store must not be
-// able to change what runs.
+// Keyring holds the keys against which every process verifies sign-offs. It comes
+// from the settings, never from the store: write access to the store alone must not
+// allow changes to what runs.
 type Keyring struct {
 	// Keys are the operators' public keys, base64.
 	Keys []string
@@ -38,7 +38,7 @@
 	Threshold int
 }
 
-// SignatureError reports a record that too few known operators have signed.
+// SignatureError reports a record with too few signatures of known operators.
 type SignatureError struct {
 	Valid, Threshold int
 }
@@ -47,7 +47,7 @@
 	return fmt.Sprintf("bundle carries %d valid sign-offs of %d needed", e.Valid, e.Threshold)
 }
 
-// GenerateKey makes an operator's key pair, both halves base64.
+// GenerateKey generates an operator's key pair, both keys in base64.
 func GenerateKey() (public, private string, err error) {
 	pub, priv, err := ed25519.GenerateKey(rand.Reader)
 	if err != nil {
@@ -57,7 +57,7 @@
 }
 
 // Sign adds the sign-off of one operator, whose private key is the base64 seed
-// from GenerateKey. Signing twice with one key leaves one signature.
+// from GenerateKey. Signing again with the same key replaces the signature.
 func (r *Record) Sign(private string) error {
 	seed, err := base64.StdEncoding.DecodeString(private)
 	if err != nil || len(seed) != ed25519.SeedSize {
@@ -76,7 +76,7 @@
 	return nil
 }
 
-// Open checks the sign-offs against the keyring and gives the bundle inside.
+// Open verifies the sign-offs against the keyring and returns the bundle.
 func (r *Record) Open(k Keyring) (*Bundle, error) {
 	if valid := r.valid(k); valid < k.Threshold || k.Threshold < 1 {
 		return nil, &SignatureError{Valid: valid, Threshold: k.Threshold}
@@ -84,19 +84,19 @@
 	return Parse(r.Payload)
 }
 
-// valid counts the different keys of the ring whose signature holds.
+// valid counts the distinct keys of the keyring with a valid signature.
 func (r *Record) valid(k Keyring) int {
 	signed := append([]byte(signContext), r.Payload...)
-	good := map[string]bool{}
+	signers := map[string]bool{}
 	for _, s := range r.Signatures {
-		if k.verifies(s, signed) {
-			good[s.Key] = true
+		if k.verify(s, signed) {
+			signers[s.Key] = true
 		}
 	}
-	return len(good)
+	return len(signers)
 }
 
-func (k Keyring) verifies(s Signature, signed []byte) bool {
+func (k Keyring) verify(s Signature, signed []byte) bool {
 	for _, key := range k.Keys {
 		if key != s.Key {
 			continue
@@ -107,23 +107,23 @@
 	return false
 }
 
-// Validate checks that the ring can ever be satisfied; all faults are reported.
+// Validate checks that the keyring can be satisfied and reports all faults.
 func (k Keyring) Validate() error {
 	v := new(validator)
 	seen := map[string]bool{}
 	for i, key := range k.Keys {
-		at := fmt.Sprintf("keys[%d]", i)
+		path := fmt.Sprintf("keys[%d]", i)
 		pub, err := base64.StdEncoding.DecodeString(key)
 		if err != nil || len(pub) != ed25519.PublicKeySize {
-			v.add(at, "%q is no operator's public key: want %d bytes in base64", key, ed25519.PublicKeySize)
+			v.addFault(path, "%q is no operator's public key: want %d bytes in base64", key, ed25519.PublicKeySize)
 		}
 		if seen[key] {
-			v.add(at, "stands twice")
+			v.addFault(path, "stands twice")
 		}
 		seen[key] = true
 	}
 	if k.Threshold < 1 || k.Threshold > len(k.Keys) {
-		v.add("threshold", "%d sign-offs needed of %d keys: must be at least 1 and at most the number of keys", k.Threshold, len(k.Keys))
+		v.addFault("threshold", "%d sign-offs needed of %d keys: must be at least 1 and at most the number of keys", k.Threshold, len(k.Keys))
 	}
 	if len(v.faults) > 0 {
 		return &FaultsError{Faults: v.faults}
@@ -131,11 +131,11 @@
 	return nil
 }
 
-// Digest names the record's content; two records of one revision with different
-// digests are an alarm.
+// Digest returns the digest of the payload. Two records of one revision with
+// different digests raise an alarm.
 func (r *Record) Digest() string { return Digest(r.Payload) }
 
-// Encode gives the record as JSON, the form in which it is stored and sent.
+// Encode returns the record as JSON, the form in which it is stored and sent.
 func (r *Record) Encode() ([]byte, error) {
 	data, err := json.Marshal(r)
 	if err != nil {
@@ -147,7 +147,7 @@
 	return data, nil
 }
 
-// DecodeRecord is the inverse of Record.Encode; it does not check the sign-offs.
+// DecodeRecord is the inverse of Record.Encode. It does not verify the sign-offs.
 func DecodeRecord(data []byte) (*Record, error) {
 	if len(data) > MaxBytes {
 		return nil, &SizeError{Bytes: len(data), Limit: MaxBytes}
--- a/pkg/bundler/validate.go
+++ b/pkg/bundler/validate.go
@@ -6,11 +6,11 @@
 	"strings"
 )
 
-// Fault is one thing wrong with a bundle.
+// Fault is an invalid field of a bundle.
 type Fault struct {
 	// Field is the path of the faulty field, such as "workspaces[2].limits.concurrent".
 	Field string `json:"field"`
-	// Problem says what is wrong and what would be right.
+	// Problem describes the fault and what would be valid.
 	Problem string `json:"problem"`
 }
 
@@ -59,38 +59,38 @@
 	faults []Fault
 }
 
-func (v *validator) add(field, format string, args ...any) {
+func (v *validator) addFault(field, format string, args ...any) {
 	v.faults = append(v.faults, Fault{Field: field, Problem: fmt.Sprintf(format, args...)})
 }
 
-// name checks a name and that it stands only once in seen.
+// name checks that a name is valid and not yet in seen, and adds it.
 func (v *validator) name(field, name string, seen map[string]bool) {
 	if !namePattern.MatchString(name) {
-		v.add(field, "%q is no name: use 1 to 63 of a-z, 0-9, '.' and '-', a letter or digit at both ends", name)
+		v.addFault(field, "%q is no name: use 1 to 63 of a-z, 0-9, '.' and '-', a letter or digit at both ends", name)
 		return
 	}
 	if seen[name] {
-		v.add(field, "%q stands twice", name)
+		v.addFault(field, "%q stands twice", name)
 	}
 	seen[name] = true
 }
 
 func (v *validator) digest(field, digest string) {
 	if !digestPattern.MatchString(digest) {
-		v.add(field, "%q is no digest: want \"sha256:\" and 64 hex digits", digest)
+		v.addFault(field, "%q is no digest: want \"sha256:\" and 64 hex digits", digest)
 	}
 }
 
-// known checks that each name of a list is defined and stands only once.
-func (v *validator) known(field, kind string, names []string, defined map[string]bool) {
+// references checks that each name in a list is defined and occurs only once.
+func (v *validator) references(field, kind string, names []string, defined map[string]bool) {
 	seen := map[string]bool{}
 	for i, n := range names {
-		at := fmt.Sprintf("%s[%d]", field, i)
+		path := fmt.Sprintf("%s[%d]", field, i)
 		if !defined[n] {
-			v.add(at, "no %s %q in this bundle", kind, n)
+			v.addFault(path, "no %s %q in this bundle", kind, n)
 		}
 		if seen[n] {
-			v.add(at, "%q stands twice", n)
+			v.addFault(path, "%q stands twice", n)
 		}
 		seen[n] = true
 	}
@@ -100,10 +100,10 @@
 func (b *Bundle) Validate() error {
 	v := new(validator)
 	if b.Revision == 0 {
-		v.add("revision", "must be at least 1")
+		v.addFault("revision", "must be at least 1")
 	}
 	if b.ChangeID == "" {
-		v.add("changeId", "must not be empty; `bundle new` makes one")
+		v.addFault("changeId", "must not be empty; `bundle new` makes one")
 	}
 	domains := v.failureDomains(b)
 	models := v.models(b, domains)
@@ -119,13 +119,13 @@
 func (v *validator) failureDomains(b *Bundle) map[string]bool {
 	seen := map[string]bool{}
 	if len(b.FailureDomains) == 0 {
-		v.add("failureDomains", "must name at least one")
+		v.addFault("failureDomains", "must name at least one")
 	}
 	for i, d := range b.FailureDomains {
-		at := fmt.Sprintf("failureDomains[%d]", i)
-		v.name(at+".name", d.Name, seen)
+		path := fmt.Sprintf("failureDomains[%d]", i)
+		v.name(path+".name", d.Name, seen)
 		if !namePattern.MatchString(d.Region) {
-			v.add(at+".region", "%q is no name of a region", d.Region)
+			v.addFault(path+".region", "%q is no name of a region", d.Region)
 		}
 	}
 	return seen
@@ -134,39 +134,39 @@
 func (v *validator) models(b *Bundle, domains map[string]bool) map[string]bool {
 	seen := map[string]bool{}
 	for i, m := range b.Models {
-		at := fmt.Sprintf("models[%d]", i)
-		v.name(at+".name", m.Name, seen)
+		path := fmt.Sprintf("models[%d]", i)
+		v.name(path+".name", m.Name, seen)
 		if m.Version == "" {
-			v.add(at+".version", "must not be empty")
+			v.addFault(path+".version", "must not be empty")
 		}
-		v.digest(at+".manifest", m.Manifest)
-		v.known(at+".failureDomains", "failure domain", m.FailureDomains, domains)
+		v.digest(path+".manifest", m.Manifest)
+		v.references(path+".failureDomains", "failure domain", m.FailureDomains, domains)
 		if m.Share < 0 {
-			v.add(at+".share", "%d is below zero", m.Share)
+			v.addFault(path+".share", "%d is below zero", m.Share)
 		}
-		v.adapters(at, m.Adapters)
+		v.adapters(path, m.Adapters)
 	}
 	return seen
 }
 
-func (v *validator) adapters(at string, adapters []Adapter) {
+func (v *validator) adapters(path string, adapters []Adapter) {
 	seen := map[string]bool{}
 	for i, a := range adapters {
-		at := fmt.Sprintf("%s.adapters[%d]", at, i)
-		v.name(at+".name", a.Name, seen)
+		path := fmt.Sprintf("%s.adapters[%d]", path, i)
+		v.name(path+".name", a.Name, seen)
 		if a.Version == "" {
-			v.add(at+".version", "must not be empty")
+			v.addFault(path+".version", "must not be empty")
 		}
-		v.digest(at+".manifest", a.Manifest)
+		v.digest(path+".manifest", a.Manifest)
 	}
 }
 
 func (v *validator) services(b *Bundle, domains map[string]bool) map[string]bool {
 	seen := map[string]bool{}
 	for i, s := range b.Services {
-		at := fmt.Sprintf("services[%d]", i)
-		v.name(at+".name", s.Name, seen)
-		v.known(at+".failureDomains", "failure domain", s.FailureDomains, domains)
+		path := fmt.Sprintf("services[%d]", i)
+		v.name(path+".name", s.Name, seen)
+		v.references(path+".failureDomains", "failure domain", s.FailureDomains, domains)
 	}
 	return seen
 }
@@ -174,50 +174,50 @@
 func (v *validator) workspaces(b *Bundle, models, services map[string]bool) {
 	seen := map[string]bool{}
 	if len(b.Workspaces) == 0 {
-		v.add("workspaces", "must name at least one")
+		v.addFault("workspaces", "must name at least one")
 	}
 	for i, w := range b.Workspaces {
-		at := fmt.Sprintf("workspaces[%d]", i)
-		v.name(at+".name", w.Name, seen)
-		v.known(at+".models", "model", w.Models, models)
-		v.known(at+".services", "service", w.Services, services)
+		path := fmt.Sprintf("workspaces[%d]", i)
+		v.name(path+".name", w.Name, seen)
+		v.references(path+".models", "model", w.Models, models)
+		v.references(path+".services", "service", w.Services, services)
 		if len(w.Models)+len(w.Services) == 0 {
-			v.add(at, "names no model and no service")
+			v.addFault(path, "names no model and no service")
 		}
-		v.limits(at+".limits", w.Limits)
+		v.limits(path+".limits", w.Limits)
 	}
 }
 
-func (v *validator) limits(at string, l Limits) {
+func (v *validator) limits(path string, l Limits) {
 	if l.RequestsPerSecond < 0 {
-		v.add(at+".requestsPerSecond", "%v is below zero; leave it out for no limit", l.RequestsPerSecond)
+		v.addFault(path+".requestsPerSecond", "%v is below zero; leave it out for no limit", l.RequestsPerSecond)
 	}
 	if l.TokensPerSecond < 0 {
-		v.add(at+".tokensPerSecond", "%v is below zero; leave it out for no limit", l.TokensPerSecond)
+		v.addFault(path+".tokensPerSecond", "%v is below zero; leave it out for no limit", l.TokensPerSecond)
 	}
 	if l.Concurrent < 0 {
-		v.add(at+".concurrent", "%d is below zero; leave it out for no limit", l.Concurrent)
+		v.addFault(path+".concurrent", "%d is below zero; leave it out for no limit", l.Concurrent)
 	}
 }
 
-// placement refuses what could never be served: a failure domain in use to which
-// no model and no service is given, and a model or service all of whose failure
-// domains are drained.
+// placement rejects what could never be served: a failure domain that isn't drained
+// and has no model and no service, and a model or service whose failure domains are
+// all drained.
 func (v *validator) placement(b *Bundle) {
 	for i, d := range b.FailureDomains {
 		if !d.Drained && !b.placedIn(d.Name) {
-			v.add(fmt.Sprintf("failureDomains[%d]", i),
+			v.addFault(fmt.Sprintf("failureDomains[%d]", i),
 				"%q is in use but no model and no service is placed in it; place one or drain it", d.Name)
 		}
 	}
 	for i, m := range b.Models {
 		if !b.servedSomewhere(m.FailureDomains) {
-			v.add(fmt.Sprintf("models[%d].failureDomains", i), "%q would be served nowhere: all its failure domains are drained", m.Name)
+			v.addFault(fmt.Sprintf("models[%d].failureDomains", i), "%q would be served nowhere: all its failure domains are drained", m.Name)
 		}
 	}
 	for i, s := range b.Services {
 		if !b.servedSomewhere(s.FailureDomains) {
-			v.add(fmt.Sprintf("services[%d].failureDomains", i), "%q would run nowhere: all its failure domains are drained", s.Name)
+			v.addFault(fmt.Sprintf("services[%d].failureDomains", i), "%q would run nowhere: all its failure domains are drained", s.Name)
 		}
 	}
 }
