--- a/pkg/bundler/parse_fuzz_test.go
+++ b/pkg/bundler/parse_fuzz_test.go
@@ -8,9 +8,9 @@
 	"github.com/oriolecroft/oriolecroft/pkg/bundler"
 )
 
-// Guards against input that crashes the parser, or whose encoding parses to a
-// different bundle. Anyone with write access to the store can store any bytes, and
-// every entry and agent parses them.
+// Every entry and agent parses whatever bytes are written to the store. Guards
+// against input that crashes the parser, and so the whole deployment, or that is
+// encoded to a bundle other than the validated one.
 func FuzzParse(f *testing.F) {
 	f.Add([]byte(`{"revision":1,"changeId":"c","failureDomains":[{"name":"huon-a","region":"huon"}],` +
 		`"services":[{"name":"bookings"}],"workspaces":[{"name":"growers","services":["bookings"]}]}`))
