--- a/internal/syncer/start_test.go
+++ b/internal/syncer/start_test.go
@@ -17,7 +17,7 @@
 	store.Drain("a")
 	unresponsive := standin.NewStore()
 	defer unresponsive.Close()
-	unresponsive.SetFault(standin.Silent)
+	unresponsive.SetFault(standin.Unresponsive)
 	uninformed := start(t, "ignorant", true, unresponsive.Address())
 	p := start(t, "agent", false, store.Address(), netip.MustParseAddrPort("127.0.0.1:1"), uninformed.peers)
 	eventually(t, p.drained("a"))
