--- a/internal/localizer/blame.go
+++ b/internal/localizer/blame.go
@@ -10,24 +10,24 @@
 	"github.com/cespare/xxhash/v2"
 )
 
-// lift ends a blame by this entry's decision.
-func (l *Localizer) lift(b *blame, reason string) {
+// liftBlame lifts a blame on a decision of this entry.
+func (l *Localizer) liftBlame(b *blame, reason string) {
 	l.sequence++
-	b.Lifted, b.Reason, b.sequence, b.changedAt, b.trial = true, reason, l.sequence, l.Clock.Now(), ""
+	b.Lifted, b.Reason, b.sequence, b.changedAt, b.trialRequest = true, reason, l.sequence, l.Clock.Now(), ""
 	l.count("localizer.lifted")
 	b.log("Prompt part cleared", "reason", reason)
 }
 
-// makeRoom keeps the number of blames in bounds.
-func (l *Localizer) makeRoom() {
-	inForce := l.inForce()
-	if len(inForce) >= maxBlames {
-		l.lift(slices.MinFunc(inForce, func(a, b *blame) int { return a.askedAt.Compare(b.askedAt) }), "too many parts are blamed")
+// liftLeastRecent lifts the least recently requested blame if the limit is reached.
+func (l *Localizer) liftLeastRecent() {
+	active := l.activeBlames()
+	if len(active) >= maxBlames {
+		l.liftBlame(slices.MinFunc(active, func(a, b *blame) int { return a.lastRequestAt.Compare(b.lastRequestAt) }), "too many parts are blamed")
 	}
 }
 
-// inForce lists the blames that are not lifted.
-func (l *Localizer) inForce() []*blame {
+// activeBlames lists the blames that are not lifted.
+func (l *Localizer) activeBlames() []*blame {
 	var all []*blame
 	for _, b := range l.blames {
 		if !b.Lifted {
@@ -37,14 +37,14 @@
 	return all
 }
 
-// expire ends blames that nobody's request meets, and forgets lifted ones.
-func (l *Localizer) expire(now time.Time) {
+// expireBlames lifts blames of parts that no request contains and deletes old lifted ones.
+func (l *Localizer) expireBlames(now time.Time) {
 	for part, b := range l.blames {
 		switch {
-		case b.Lifted && now.Sub(b.changedAt) > liftedKept:
+		case b.Lifted && now.Sub(b.changedAt) > liftedRetention:
 			delete(l.blames, part)
-		case !b.Lifted && now.Sub(b.askedAt) > idleLift:
-			l.lift(b, "nobody asked for the part")
+		case !b.Lifted && now.Sub(b.lastRequestAt) > idleExpiry:
+			l.liftBlame(b, "nobody asked for the part")
 		}
 	}
 	if len(l.blames) <= maxBlames+maxLifted {
@@ -62,24 +62,24 @@
 	}
 }
 
-// try lets one request of one entry pass once a trial is due. It counts once it is sent.
-func (l *Localizer) try(b *blame, request string) bool {
+// allowTrial lets one request at one entry pass once a trial is due. The trial counts when the request is sent.
+func (l *Localizer) allowTrial(b *blame, request string) bool {
 	now := l.Clock.Now()
 	if request == "" {
 		return false
 	}
-	if b.trial == request {
+	if b.trialRequest == request {
 		return true
 	}
-	if b.Trials >= len(trialsAfter) || now.Before(b.trialUntil) || l.untilTrial(b) > 0 || !l.makesTrial(b) {
+	if b.Trials >= len(trialDelays) || now.Before(b.trialDeadline) || l.timeUntilTrial(b) > 0 || !l.isTrialOwner(b) {
 		return false
 	}
-	b.trial, b.trialUntil = request, now.Add(trialTime)
+	b.trialRequest, b.trialDeadline = request, now.Add(trialTimeout)
 	return true
 }
 
-// Sent notes that a request that passed Check is sent.
-func (l *Localizer) Sent(request string, parts []string) {
+// RequestSent counts a request that passed Check as a trial of its blamed parts.
+func (l *Localizer) RequestSent(request string, parts []string) {
 	if l == nil {
 		return
 	}
@@ -87,28 +87,28 @@
 	defer l.mu.Unlock()
 	for _, part := range parts {
 		b := l.blames[part]
-		if b == nil || b.Lifted || b.trial != request {
+		if b == nil || b.Lifted || b.trialRequest != request {
 			continue
 		}
 		l.sequence++
 		b.Trials, b.TriedAt, b.sequence = b.Trials+1, l.WallClock.Now().UTC(), l.sequence
-		b.log("Request with a blamed part tried", "request", request)
+		b.log("Trial request with a blamed part sent", "request", request)
 	}
 }
 
-// untilTrial is in how long the next trial is due, while there is one.
-func (l *Localizer) untilTrial(b *blame) time.Duration {
-	from := b.DecidedAt
+// timeUntilTrial returns the time until the next trial is due. The blame must have trials left.
+func (l *Localizer) timeUntilTrial(b *blame) time.Duration {
+	start := b.DecidedAt
 	if b.Trials > 0 {
-		from = b.TriedAt
+		start = b.TriedAt
 	}
-	// Clocks of other VMs may be ahead, but no wait is longer than the whole.
-	return min(from.Add(trialsAfter[b.Trials]).Sub(l.WallClock.Now()), trialsAfter[b.Trials])
+	// The clock of the deciding VM may be ahead, so the wait is capped at the full delay.
+	return min(start.Add(trialDelays[b.Trials]).Sub(l.WallClock.Now()), trialDelays[b.Trials])
 }
 
-// makesTrial tells whether the next trial is this entry's: each makes one of its own otherwise. By
-// rendezvous hashing all choose the same entry, as far as they know the same ones.
-func (l *Localizer) makesTrial(b *blame) bool {
+// isTrialOwner reports whether this entry makes the next trial, so that not every entry makes its own.
+// Entries with the same member list choose the same owner by rendezvous hashing.
+func (l *Localizer) isTrialOwner(b *blame) bool {
 	if l.Members == nil {
 		return true
 	}
@@ -119,12 +119,12 @@
 	return !slices.ContainsFunc(l.Members(), func(entry string) bool { return weight(entry) > own })
 }
 
-// retryAfter is when a refused request may come back.
+// retryAfter returns the time after which a refused request may be retried.
 func (l *Localizer) retryAfter(b *blame) time.Duration {
-	if b.Trials >= len(trialsAfter) {
-		return idleLift
+	if b.Trials >= len(trialDelays) {
+		return idleExpiry
 	}
-	return max(l.untilTrial(b), time.Second)
+	return max(l.timeUntilTrial(b), time.Second)
 }
 
 // Merge merges the state of a blame from another entry or the store.
@@ -141,31 +141,31 @@
 	case b.Part == "" || b.Epoch == 0:
 		return
 	case known == nil:
-		known = &blame{since: now, askedAt: now}
+		known = &blame{refutableFrom: now, lastRequestAt: now}
 		if !b.Lifted {
-			l.makeRoom()
+			l.liftLeastRecent()
 		}
 		l.blames[b.Part] = known
 	case !b.Supersedes(&known.Blame):
 		return
 	}
-	was := known.Blame
+	previous := known.Blame
 	known.Blame, known.changedAt, known.sequence = b, now, 0
 	switch {
-	case b.Lifted && (was.Epoch != b.Epoch || !was.Lifted):
-		known.trial = ""
-		// The crashes before are no evidence any more.
+	case b.Lifted && (previous.Epoch != b.Epoch || !previous.Lifted):
+		known.trialRequest = ""
+		// Earlier crashes stop counting as evidence.
 		l.replies[b.Part] = reply{at: now}
 		known.log("Prompt part cleared", "reason", b.Reason, "learned", true)
-	case !b.Lifted && was.Epoch != b.Epoch:
-		known.since, known.askedAt, known.trial = now, now, ""
+	case !b.Lifted && previous.Epoch != b.Epoch:
+		known.refutableFrom, known.lastRequestAt, known.trialRequest = now, now, ""
 		known.log("Prompt part blamed", "learned", true)
-		// The one that decided may not know of a reply here.
-		l.reportReplies([]string{b.Part})
+		// The deciding entry may have missed a reply at this entry.
+		l.publishReplies([]string{b.Part})
 	}
 }
 
-// Blames lists what is blamed, and what was until lately, by part.
+// Blames lists the active and the recently lifted blames, sorted by part.
 func (l *Localizer) Blames() []Blame {
 	if l == nil {
 		return nil
--- a/internal/localizer/counter.go
+++ b/internal/localizer/counter.go
@@ -2,39 +2,39 @@
 
 import "time"
 
-// counter counts events of the last seconds.
-type counter struct {
-	// counts are those of the seconds up to the one that began at last, in a ring.
-	counts [8]int
-	last   time.Time
-	newest int
+// slidingCounter counts the events of the last few seconds.
+type slidingCounter struct {
+	// counts is a ring of counts per second; the newest second starts at newestStart.
+	counts      [8]int
+	newestStart time.Time
+	newestIndex int
 }
 
-const counterSpan = time.Second
+const counterInterval = time.Second
 
-func (c *counter) add(now time.Time) {
+func (c *slidingCounter) add(now time.Time) {
 	c.advance(now)
-	c.counts[c.newest]++
+	c.counts[c.newestIndex]++
 }
 
-// advance begins a new second for each that has passed.
-func (c *counter) advance(now time.Time) {
-	if c.last.IsZero() || now.Sub(c.last) >= time.Duration(len(c.counts))*counterSpan {
-		*c = counter{last: now}
+// advance starts a new second for each one that has passed.
+func (c *slidingCounter) advance(now time.Time) {
+	if c.newestStart.IsZero() || now.Sub(c.newestStart) >= time.Duration(len(c.counts))*counterInterval {
+		*c = slidingCounter{newestStart: now}
 	}
-	for now.Sub(c.last) >= counterSpan {
-		c.last = c.last.Add(counterSpan)
-		c.newest = (c.newest + 1) % len(c.counts)
-		c.counts[c.newest] = 0
+	for now.Sub(c.newestStart) >= counterInterval {
+		c.newestStart = c.newestStart.Add(counterInterval)
+		c.newestIndex = (c.newestIndex + 1) % len(c.counts)
+		c.counts[c.newestIndex] = 0
 	}
 }
 
-// since counts the events of some last seconds, the one under way besides.
-func (c *counter) since(now time.Time, d time.Duration) int {
+// countSince counts the events of the last d and of the current second.
+func (c *slidingCounter) countSince(now time.Time, d time.Duration) int {
 	c.advance(now)
 	n := 0
-	for i := range int(d/counterSpan) + 1 {
-		n += c.counts[(c.newest-i+len(c.counts))%len(c.counts)]
+	for i := range int(d/counterInterval) + 1 {
+		n += c.counts[(c.newestIndex-i+len(c.counts))%len(c.counts)]
 	}
 	return n
 }
--- a/internal/localizer/evidence.go
+++ b/internal/localizer/evidence.go
@@ -6,37 +6,37 @@
 	"time"
 )
 
-// crash is one crash of an upstream, as all entries saw it.
+// crash is one crash of an upstream, merged from the reports of all entries.
 type crash struct {
 	upstream string
 	at       time.Time
 	reports  map[string]*report
-	// counted is how many replies other entries had in the replyWindow before, by their answers.
-	counted map[string]int
-	// parts and requests join those of the reports.
+	// replyCounts holds the replies that other entries acknowledged for the replyWindow before, by entry.
+	replyCounts map[string]int
+	// parts and requests combine those of all reports.
 	parts    map[string]bool
 	requests int
 }
 
-// report is a Report and when it last changed.
+// report is a Report and the sequence number of its last change.
 type report struct {
 	Report
 	sequence uint64
 }
 
-// without is how many requests without a part it cut, nearly: reports don't count requests by part.
-func (c *crash) without(part string) int {
+// requestsWithout estimates how many interrupted requests lacked a part: reports don't count requests by part.
+func (c *crash) requestsWithout(part string) int {
 	if c.parts[part] {
 		return c.requests - 1
 	}
 	return c.requests
 }
 
-// crashOf is the crash of an upstream at a time, which is known from now on. An upstream may start again
-// under the name that it had.
-func (l *Localizer) crashOf(upstream string, at time.Time) *crash {
+// findOrAddCrash returns the crash of an upstream at a time and records it if it is new. The time tells
+// crashes apart, as an upstream may restart under the same name.
+func (l *Localizer) findOrAddCrash(upstream string, at time.Time) *crash {
 	for _, c := range slices.Backward(l.crashes) {
-		if c.upstream == upstream && c.at.Sub(at).Abs() <= sameCrash {
+		if c.upstream == upstream && c.at.Sub(at).Abs() <= sameCrashWindow {
 			if at.Before(c.at) {
 				c.at = at
 				l.sortCrashes()
@@ -44,7 +44,7 @@
 			return c
 		}
 	}
-	c := &crash{upstream: upstream, at: at, reports: map[string]*report{}, counted: map[string]int{}, parts: map[string]bool{}}
+	c := &crash{upstream: upstream, at: at, reports: map[string]*report{}, replyCounts: map[string]int{}, parts: map[string]bool{}}
 	l.crashes = append(l.crashes, c)
 	l.sortCrashes()
 	if n := len(l.crashes) - maxCrashes; n > 0 {
@@ -57,7 +57,7 @@
 	slices.SortStableFunc(l.crashes, func(a, b *crash) int { return a.at.Compare(b.at) })
 }
 
-// merge takes a report in and tells whether it said anything new.
+// merge merges a report and reports whether it added anything new.
 func (c *crash) merge(r Report, sequence uint64) bool {
 	known := c.reports[r.Entry]
 	if known == nil {
@@ -81,17 +81,17 @@
 	return true
 }
 
-// forget drops what is too old.
-func (l *Localizer) forget(now time.Time) {
-	l.crashes = slices.DeleteFunc(l.crashes, func(c *crash) bool { return now.Sub(c.at) > crashesKept })
+// dropExpired drops old crashes, and replies to unsuspected parts when there are too many.
+func (l *Localizer) dropExpired(now time.Time) {
+	l.crashes = slices.DeleteFunc(l.crashes, func(c *crash) bool { return now.Sub(c.at) > crashRetention })
 	if len(l.replies) <= maxReplies {
 		return
 	}
-	maps.DeleteFunc(l.replies, func(part string, _ reply) bool { return l.blames[part] == nil && l.lastCrash(part).IsZero() })
+	maps.DeleteFunc(l.replies, func(part string, _ reply) bool { return l.blames[part] == nil && l.lastCrashTime(part).IsZero() })
 }
 
-// crashCounts counts the crashes that cut requests with each part.
-func (l *Localizer) crashCounts() map[string]int {
+// crashesPerPart counts the crashes that interrupted requests with each part.
+func (l *Localizer) crashesPerPart() map[string]int {
 	counts := map[string]int{}
 	for _, c := range l.crashes {
 		for part := range c.parts {
@@ -101,11 +101,11 @@
 	return counts
 }
 
-// suspects are the parts of requests that were cut by at least leastCrashes crashes, sorted.
-func (l *Localizer) suspects() []string {
+// suspectParts lists, sorted, the parts whose requests were interrupted by at least minCrashes crashes.
+func (l *Localizer) suspectParts() []string {
 	var parts []string
-	for part, n := range l.crashCounts() {
-		if n >= leastCrashes {
+	for part, n := range l.crashesPerPart() {
+		if n >= minCrashes {
 			parts = append(parts, part)
 		}
 	}
--- a/internal/localizer/exchange.go
+++ b/internal/localizer/exchange.go
@@ -13,23 +13,23 @@
 	now := l.Clock.Now()
 	for _, r := range u.Reports {
 		at := now.Add(-milliseconds(r.AgeMS))
-		if r.Upstream == "" || r.Entry == l.Entry || now.Sub(at) > crashesKept {
+		if r.Upstream == "" || r.Entry == l.Entry || now.Sub(at) > crashRetention {
 			continue
 		}
-		if l.crashOf(r.Upstream, at).merge(r, 0) {
-			l.reportReplies(r.Parts)
+		if l.findOrAddCrash(r.Upstream, at).merge(r, 0) {
+			l.publishReplies(r.Parts)
 			l.undecided = true
 		}
 	}
 	for _, r := range u.Replies {
-		l.contradict(r.Part, now.Add(-milliseconds(r.AgeMS)), false)
+		l.recordReply(r.Part, now.Add(-milliseconds(r.AgeMS)), false)
 	}
 	for _, b := range u.Blames {
 		l.merge(b)
 	}
 }
 
-// Handle replies to a push or a pull of another entry.
+// Handle merges a push or a pull of another entry and returns the reply.
 func (l *Localizer) Handle(u Update) Update {
 	l.Apply(u)
 	answer := Update{}
@@ -38,19 +38,19 @@
 	}
 	l.mu.Lock()
 	defer l.mu.Unlock()
-	answer.Entry, answer.Begun = l.Entry, l.begun.since(l.Clock.Now(), replyWindow)
+	answer.Entry, answer.Begun = l.Entry, l.startedReplies.countSince(l.Clock.Now(), replyWindow)
 	return answer
 }
 
-// Acked takes in the reply of another entry to an update. Its count of replies is for the crashes in the
+// HandleAck processes another entry's reply to an update. Its count of replies applies to the crashes in the
 // update.
-func (l *Localizer) Acked(u, answer Update) {
+func (l *Localizer) HandleAck(u, answer Update) {
 	l.mu.Lock()
 	defer l.mu.Unlock()
 	for _, r := range u.Reports {
 		for _, c := range l.crashes {
-			if c.upstream == r.Upstream && l.Clock.Since(c.at) <= countedWithin && answer.Entry != "" {
-				c.counted[answer.Entry] = max(c.counted[answer.Entry], answer.Begun)
+			if c.upstream == r.Upstream && l.Clock.Since(c.at) <= replyCountMaxDelay && answer.Entry != "" {
+				c.replyCounts[answer.Entry] = max(c.replyCounts[answer.Entry], answer.Begun)
 			}
 		}
 	}
@@ -58,41 +58,42 @@
 
 func milliseconds(n int64) time.Duration { return time.Duration(max(0, n)) * time.Millisecond }
 
-// Idle tells whether there is nothing to weigh and no recent crash.
+// Idle reports whether there is no undecided evidence and no recent crash.
 func (l *Localizer) Idle() bool {
 	l.mu.Lock()
 	defer l.mu.Unlock()
 	n := len(l.crashes)
-	return !l.undecided && (n == 0 || l.Clock.Since(l.crashes[n-1].at) > snapshotAge)
+	return !l.undecided && (n == 0 || l.Clock.Since(l.crashes[n-1].at) > maxSnapshotAge)
 }
 
-// Sequence is the number of the last change that this entry has found itself.
+// Sequence returns the number of the last change that originated at this entry.
 func (l *Localizer) Sequence() uint64 {
 	l.mu.Lock()
 	defer l.mu.Unlock()
 	return l.sequence
 }
 
-// Since gives what this entry itself has found since a sequence number, and the number to go on from.
-func (l *Localizer) Since(after uint64) (Update, uint64) {
+// ChangesSince returns the changes that originated at this entry after a sequence number, and the number to
+// continue from.
+func (l *Localizer) ChangesSince(after uint64) (Update, uint64) {
 	l.mu.Lock()
 	defer l.mu.Unlock()
 	if l.sequence <= after {
 		return Update{}, after
 	}
-	return l.update(func(sequence uint64) bool { return sequence > after }, crashesKept), l.sequence
+	return l.update(func(sequence uint64) bool { return sequence > after }, crashRetention), l.sequence
 }
 
-// snapshotAge is up to which age crashes are in a snapshot.
-const snapshotAge = 10 * time.Second
+// maxSnapshotAge is the maximum age of crashes in a snapshot.
+const maxSnapshotAge = 10 * time.Second
 
-// Snapshot gives all that matters to an entry that may have missed some of it: of crashes, the parts that
-// more than one of them cut.
+// Snapshot returns the state for an entry that may have missed updates. Crashes include only the parts that
+// more than one of them interrupted.
 func (l *Localizer) Snapshot() Update {
 	l.mu.Lock()
 	defer l.mu.Unlock()
-	u := l.update(func(uint64) bool { return true }, snapshotAge)
-	counts := l.crashCounts()
+	u := l.update(func(uint64) bool { return true }, maxSnapshotAge)
+	counts := l.crashesPerPart()
 	for i := range u.Reports {
 		u.Reports[i].Parts = slices.DeleteFunc(u.Reports[i].Parts, func(part string) bool { return counts[part] < 2 })
 	}
@@ -100,15 +101,15 @@
 	return u
 }
 
-func (l *Localizer) update(wanted func(sequence uint64) bool, kept time.Duration) Update {
+func (l *Localizer) update(include func(sequence uint64) bool, maxAge time.Duration) Update {
 	var u Update
 	now := l.Clock.Now()
 	for _, c := range l.crashes {
-		if now.Sub(c.at) > kept {
+		if now.Sub(c.at) > maxAge {
 			continue
 		}
 		for _, r := range c.reports {
-			if wanted(r.sequence) {
+			if include(r.sequence) {
 				aged := r.Report
 				aged.AgeMS, aged.Parts = now.Sub(c.at).Milliseconds(), slices.Clone(r.Parts)
 				u.Reports = append(u.Reports, aged)
@@ -116,17 +117,17 @@
 		}
 	}
 	for part, r := range l.replies {
-		if wanted(r.sequence) && now.Sub(r.at) <= kept {
+		if include(r.sequence) && now.Sub(r.at) <= maxAge {
 			u.Replies = append(u.Replies, Reply{Part: part, AgeMS: now.Sub(r.at).Milliseconds()})
 		}
 	}
 	for _, b := range l.blames {
-		if wanted(b.sequence) {
+		if include(b.sequence) {
 			u.Blames = append(u.Blames, b.Blame)
 		}
 	}
 	return u
 }
 
-// Empty tells whether an update says nothing.
+// Empty reports whether an update carries no evidence.
 func (u *Update) Empty() bool { return len(u.Reports)+len(u.Replies)+len(u.Blames) == 0 }
--- a/internal/localizer/localizer.go
+++ b/internal/localizer/localizer.go
@@ -1,6 +1,6 @@
-// Package localizer finds parts of prompts that crash upstreams, queries of death, by statistical fault
-// localization: it compares the crashes that came with a part against the replies to other prompts with it.
-// Requests with a part that is blamed are refused.
+// Package localizer finds parts of prompts that crash upstreams (queries of death) by statistical fault
+// localization: it compares the crashes under requests with a part with the replies to other prompts that
+// contain it. Requests with a blamed part are refused.
 package localizer
 
 import (
@@ -16,87 +16,89 @@
 )
 
 const (
-	// maxCrashes, maxReports of each and maxParts of each report are kept, for crashesKept at most.
-	maxCrashes  = 128
-	maxReports  = 64
-	maxParts    = 256
-	crashesKept = 10 * time.Minute
-	// sameCrash is how far apart reports of one crash may be. Upstreams take longer to start again.
-	sameCrash = time.Second
-	// maxOwnReplies is for how many parts an entry keeps the time of its newest reply: those of some minutes.
+	// maxCrashes crashes, maxReports per crash and maxParts per report are kept, for crashRetention at most.
+	maxCrashes     = 128
+	maxReports     = 64
+	maxParts       = 256
+	crashRetention = 10 * time.Minute
+	// sameCrashWindow is how far apart reports of one crash may be. Upstreams take longer to restart.
+	sameCrashWindow = time.Second
+	// maxOwnReplies is the number of parts for which an entry keeps the time of its newest reply, enough
+	// for some minutes.
 	maxOwnReplies = 4096
-	// maxReplies is how many parts' replies are kept before those are dropped that no known crash cut.
+	// maxReplies is the number of parts with replies above which parts without a known crash are dropped.
 	maxReplies = 512
-	// maxBlames is how many parts are blamed at once; then the one not asked for the longest is cleared.
+	// maxBlames limits the active blames; beyond it, the least recently requested one is lifted.
 	maxBlames = 256
 	// maxDecisions bounds the work of one Tick.
 	maxDecisions = 8
-	// liftedKept is how long it is known that a blame was lifted, so that no late message renews it, and
-	// maxLifted of how many parts.
-	liftedKept = 10 * time.Minute
-	maxLifted  = 512
-	// idleLift is after what time without a request for it a part is blamed no more.
-	idleLift = time.Hour
+	// liftedRetention is how long a lifted blame is kept so that a late message doesn't renew it, maxLifted
+	// the number of lifted blames kept.
+	liftedRetention = 10 * time.Minute
+	maxLifted       = 512
+	// idleExpiry is the time without a request for a part after which its blame is lifted.
+	idleExpiry = time.Hour
 )
 
-// trialsAfter is how long after the decision, or the trial before, one request with a blamed part is sent
-// to see whether it still crashes its upstream. After the last trial only operators, or nobody's asking
-// for the part, end the blame.
-var trialsAfter = [...]time.Duration{2 * time.Minute, 10 * time.Minute}
+// trialDelays are the times from the decision, or the previous trial, to the next request with a blamed
+// part that is sent to test whether it still crashes its upstream. After the last trial only an operator or
+// idleExpiry ends the blame.
+var trialDelays = [...]time.Duration{2 * time.Minute, 10 * time.Minute}
 
-// trialTime is how long a request that makes a trial may take until it is sent.
-const trialTime = 10 * time.Second
+// trialTimeout bounds the time until a trial request is sent.
+const trialTimeout = 10 * time.Second
 
 // Localizer keeps the evidence and the blames of one entry. Set the exported fields before use; it is safe
 // for concurrent use.
 type Localizer struct {
 	// Entry is this entry's name.
 	Entry string
-	// Clock is for ages, WallClock for the times of blames, which the store keeps.
+	// Clock measures ages; WallClock gives the times of blames, which are stored.
 	Clock, WallClock clock.PassiveClock
-	// Members lists all entries, of which one makes a trial; nil for this one alone.
+	// Members lists all entries, one of which makes each trial; nil if this is the only one.
 	Members func() []string
-	// Metrics counts crashes reported, blames and refusals; nil for no count.
+	// Metrics counts reported crashes, blames and refusals; nil disables counting.
 	Metrics metrics.Registry
 
 	mu sync.Mutex
-	// ownReplies is when the newest reply to a prompt with each part began at this entry.
-	ownReplies *lru.LRU[string, time.Time]
-	begun      counter
-	crashes    []*crash
-	// replies are the newest ones at all entries, to prompts with parts that crashes have cut.
+	// ownReplies holds the start time of this entry's newest reply to a prompt with each part.
+	ownReplies     *lru.LRU[string, time.Time]
+	startedReplies slidingCounter
+	crashes        []*crash
+	// replies holds the newest replies at all entries to prompts with parts that crashes interrupted.
 	replies map[string]reply
 	blames  map[string]*blame
-	// sequence numbers the evidence of this entry itself.
+	// sequence numbers the evidence that originates at this entry.
 	sequence uint64
-	// undecided is set while the evidence has changed since it was last weighed.
+	// undecided is set while there is evidence that Tick has yet to evaluate.
 	undecided bool
 }
 
-// reply is the newest reply to prompts with a part. Sequence is 0 for one of another entry.
+// reply is the newest reply to prompts with a part. sequence is 0 for a reply of another entry.
 type reply struct {
 	at       time.Time
 	sequence uint64
 }
 
-// blame is a Blame as this entry knows it.
+// blame is a Blame with this entry's local state.
 type blame struct {
 	Blame
-	// since is from when on a reply to a prompt with the part ends the blame.
-	since time.Time
-	// changedAt is when its present state was merged here, askedAt when this entry last had a request.
-	changedAt, askedAt time.Time
-	// sequence is that of a change by this entry; 0 for others.
+	// refutableFrom is the time after which a reply to a prompt with the part lifts the blame.
+	refutableFrom time.Time
+	// changedAt is when the current state was merged, lastRequestAt when this entry last got a request for it.
+	changedAt, lastRequestAt time.Time
+	// sequence numbers the last change if this entry made it; else it is 0.
 	sequence uint64
-	// trial is the request that may be sent, and trialUntil until when no other one may; empty for none.
-	trial      string
-	trialUntil time.Time
+	// trialRequest is the request that may be sent as a trial, empty if none; no other one may be until
+	// trialDeadline.
+	trialRequest  string
+	trialDeadline time.Time
 }
 
-// BlamedError reports a request that isn't sent, as a part of its prompt crashes upstreams.
+// BlamedError reports a request that isn't sent because a part of its prompt crashes upstreams.
 type BlamedError struct {
 	Blame
-	// RetryAfter is when it may be tried again.
+	// RetryAfter is the time after which the request may be retried.
 	RetryAfter time.Duration
 }
 
@@ -104,7 +106,7 @@
 	return fmt.Sprintf("part %s of the prompt crashes upstreams, %d of them", e.Part, e.Crashes)
 }
 
-// ReplyStarted notes a reply that has got under way, after a begin at a time by Clock, to a prompt with shared parts.
+// ReplyStarted records a reply under way, which started at a time by Clock, to a prompt with shared parts.
 func (l *Localizer) ReplyStarted(parts []string, at time.Time) {
 	if l == nil {
 		return
@@ -112,19 +114,19 @@
 	l.mu.Lock()
 	defer l.mu.Unlock()
 	l.init()
-	l.begun.add(l.Clock.Now())
+	l.startedReplies.add(l.Clock.Now())
 	for _, part := range parts {
 		if known, ok := l.ownReplies.Get(part); !ok || at.After(known) {
 			l.ownReplies.Add(part, at)
 		}
-		l.contradict(part, at, true)
+		l.recordReply(part, at, true)
 	}
 }
 
-// contradict takes in that a reply to a prompt with a part began at a time. That of another entry may
-// arrive before the report of the crash that it contradicts.
-func (l *Localizer) contradict(part string, at time.Time, own bool) {
-	last := l.lastCrash(part)
+// recordReply records the start of a reply to a prompt with a part. A reply at another entry may be reported
+// before the crash that it refutes.
+func (l *Localizer) recordReply(part string, at time.Time, own bool) {
+	last := l.lastCrashTime(part)
 	if own && last.IsZero() && l.blames[part] == nil {
 		return
 	}
@@ -133,19 +135,19 @@
 		return
 	}
 	r := reply{at: at}
-	// One reply since the last crash is enough for the others.
+	// One reply since the last crash is enough for the other entries.
 	if own && (!known.at.After(last) || l.blames[part] != nil) {
 		l.sequence++
 		r.sequence = l.sequence
 	}
 	l.replies[part] = r
 	l.undecided = true
-	if b := l.blames[part]; b != nil && !b.Lifted && at.After(b.since) {
-		l.lift(b, "a prompt with the part was answered")
+	if b := l.blames[part]; b != nil && !b.Lifted && at.After(b.refutableFrom) {
+		l.liftBlame(b, "a prompt with the part was answered")
 	}
 }
 
-func (l *Localizer) lastCrash(part string) time.Time {
+func (l *Localizer) lastCrashTime(part string) time.Time {
 	for _, c := range slices.Backward(l.crashes) {
 		if c.parts[part] {
 			return c.at
@@ -154,8 +156,8 @@
 	return time.Time{}
 }
 
-// Crashed notes that a crash of an upstream, at a time by Clock, cut a request of this entry before its reply
-// had got under way. Parts are those that the prompt shares with others.
+// Crashed records that a crash of an upstream, at a time by Clock, interrupted a request of this entry before
+// its reply was under way. parts are those that the prompt shares with others.
 func (l *Localizer) Crashed(upstream string, parts []string, at time.Time) {
 	if l == nil {
 		return
@@ -163,8 +165,8 @@
 	l.mu.Lock()
 	defer l.mu.Unlock()
 	l.init()
-	c := l.crashOf(upstream, at)
-	r := Report{Upstream: upstream, Entry: l.Entry, Requests: 1, Parts: parts, Replies: l.begun.since(l.Clock.Now(), replyWindow)}
+	c := l.findOrAddCrash(upstream, at)
+	r := Report{Upstream: upstream, Entry: l.Entry, Requests: 1, Parts: parts, Replies: l.startedReplies.countSince(l.Clock.Now(), replyWindow)}
 	if known := c.reports[l.Entry]; known != nil {
 		r.Requests += known.Requests
 	} else {
@@ -172,21 +174,21 @@
 	}
 	l.sequence++
 	c.merge(r, l.sequence)
-	l.reportReplies(parts)
+	l.publishReplies(parts)
 	l.undecided = true
 }
 
-// reportReplies has the others learn when parts that a crash has cut were last answered here.
-func (l *Localizer) reportReplies(parts []string) {
+// publishReplies publishes to other entries when parts that a crash interrupted were last answered here.
+func (l *Localizer) publishReplies(parts []string) {
 	for _, part := range parts {
 		if at, ok := l.ownReplies.Peek(part); ok {
-			l.contradict(part, at, true)
+			l.recordReply(part, at, true)
 		}
 	}
 }
 
-// Check refuses a request with a blamed part. Request names it, as one that makes a trial passes; it is
-// empty for one that was sent before.
+// Check refuses a request with a blamed part unless it is a trial. request is the ID of the request, empty
+// for one that was sent before.
 // Errors are *BlamedError.
 func (l *Localizer) Check(request string, parts []string) error {
 	if l == nil || len(parts) == 0 {
@@ -199,8 +201,8 @@
 		if b == nil || b.Lifted {
 			continue
 		}
-		b.askedAt = l.Clock.Now()
-		if l.try(b, request) {
+		b.lastRequestAt = l.Clock.Now()
+		if l.allowTrial(b, request) {
 			continue
 		}
 		l.count("localizer.refused")
@@ -209,7 +211,7 @@
 	return nil
 }
 
-// AnyBlamed tells whether a part of a prompt is blamed. Unlike Check it makes no trial and counts nothing.
+// AnyBlamed reports whether a part of a prompt is blamed. Unlike Check it makes no trial and counts nothing.
 func (l *Localizer) AnyBlamed(parts []string) bool {
 	if l == nil {
 		return false
@@ -222,7 +224,7 @@
 	})
 }
 
-// init makes the maps.
+// init allocates the maps on first use.
 func (l *Localizer) init() {
 	if l.blames != nil {
 		return
@@ -232,7 +234,7 @@
 	l.replies, l.blames = map[string]reply{}, map[string]*blame{}
 }
 
-// Tick decides by what has come in. It should be called some ten times a second.
+// Tick evaluates the evidence and blames parts. It should be called about ten times a second.
 func (l *Localizer) Tick() {
 	l.mu.Lock()
 	defer l.mu.Unlock()
@@ -240,44 +242,44 @@
 		return
 	}
 	now := l.Clock.Now()
-	l.forget(now)
-	l.expire(now)
+	l.dropExpired(now)
+	l.expireBlames(now)
 	for n := 0; l.undecided && n < maxDecisions; n++ {
-		worst, waits := l.worst(now)
-		if len(worst) == 0 {
-			l.undecided = waits
+		strongest, pending := l.strongestSuspects(now)
+		if len(strongest) == 0 {
+			l.undecided = pending
 			return
 		}
-		for _, s := range worst {
-			l.convict(s, now)
+		for _, s := range strongest {
+			l.addBlame(s, now)
 		}
 	}
 }
 
-// convict blames a part.
-func (l *Localizer) convict(s suspicion, now time.Time) {
+// addBlame blames a part.
+func (l *Localizer) addBlame(s suspicion, now time.Time) {
 	epoch := uint64(l.WallClock.Now().UnixMilli())
-	if former := l.blames[s.part]; former != nil {
-		epoch = max(epoch, former.Epoch+1)
+	if previous := l.blames[s.part]; previous != nil {
+		epoch = max(epoch, previous.Epoch+1)
 	}
 	l.sequence++
-	b := &blame{sequence: l.sequence, since: s.crashes[0].at, changedAt: now, askedAt: now, Blame: Blame{
+	b := &blame{sequence: l.sequence, refutableFrom: s.crashes[0].at, changedAt: now, lastRequestAt: now, Blame: Blame{
 		Part: s.part, Epoch: epoch, Entry: l.Entry, DecidedAt: l.WallClock.Now().UTC(), Crashes: len(s.crashes), Chance: s.chance,
 	}}
-	for _, c := range s.crashes[max(0, len(s.crashes)-maxShown):] {
+	for _, c := range s.crashes[max(0, len(s.crashes)-maxShownUpstreams):] {
 		b.Upstreams = append(b.Upstreams, c.upstream)
 	}
-	l.makeRoom()
+	l.liftLeastRecent()
 	l.blames[s.part] = b
 	l.count("localizer.blames")
 	b.log("Prompt part blamed", "lastReplyBefore", s.crashes[0].at.Sub(l.replies[s.part].at))
 }
 
-// maxShown is how many crashed upstreams a blame names.
-const maxShown = 8
+// maxShownUpstreams is the number of crashed upstreams that a blame lists.
+const maxShownUpstreams = 8
 
-func (b *blame) log(text string, more ...any) {
-	klog.InfoS(text, append(b.LogFields(), more...)...)
+func (b *blame) log(message string, keysAndValues ...any) {
+	klog.InfoS(message, append(b.LogFields(), keysAndValues...)...)
 }
 
 func (l *Localizer) count(name string) {
--- a/internal/localizer/main_test.go
+++ b/internal/localizer/main_test.go
@@ -8,7 +8,7 @@
 	"github.com/oriolecroft/oriolecroft/internal/logger"
 )
 
-// TestMain drops the log, in which each of dozens of entries has a line for each blame.
+// TestMain discards the log, to which each of dozens of entries writes a line per blame.
 func TestMain(m *testing.M) {
 	logger.Install(io.Discard)
 	os.Exit(m.Run())
--- a/internal/localizer/messages.go
+++ b/internal/localizer/messages.go
@@ -2,27 +2,27 @@
 
 import "time"
 
-// Update is evidence that entries exchange. Times are ages, as the clocks of VMs differ.
+// Update is the evidence that entries exchange. Times are sent as ages because the clocks of VMs differ.
 type Update struct {
 	Reports []Report `json:"reports,omitempty"`
 	Replies []Reply  `json:"replies,omitempty"`
 	Blames  []Blame  `json:"blames,omitempty"`
-	// All pulls the receiver's snapshot.
+	// All requests the receiver's snapshot.
 	All bool `json:"all,omitempty"`
-	// Begun is how many replies of the entry named got under way in the last replyWindow; in replies to updates.
+	// Begun is set in replies to updates: how many replies of Entry got under way in the last replyWindow.
 	Entry string `json:"entry,omitempty"`
 	Begun int    `json:"begun,omitempty"`
 }
 
-// Report is what one entry saw of one crash.
+// Report is one entry's observation of one crash.
 type Report struct {
-	// Upstream crashed.
+	// Upstream is the one that crashed.
 	Upstream string `json:"upstream"`
 	Entry    string `json:"entry"`
-	// AgeMS is how many milliseconds ago the crash was.
+	// AgeMS is the time since the crash in milliseconds.
 	AgeMS int64 `json:"ageMs"`
-	// Requests of the entry were cut before their replies had got under way; Parts are the parts that
-	// these share with others.
+	// Requests counts the requests of the entry interrupted before their replies were under way; Parts are
+	// the parts that they share with others.
 	Requests int      `json:"requests"`
 	Parts    []string `json:"parts,omitempty"`
 	// Replies is how many replies of the entry got under way in the replyWindow before.
@@ -32,34 +32,34 @@
 // Reply is the newest reply to a prompt with a part that got under way.
 type Reply struct {
 	Part string `json:"part"`
-	// AgeMS is how many milliseconds ago it began.
+	// AgeMS is the time since its start in milliseconds.
 	AgeMS int64 `json:"ageMs"`
 }
 
-// Blame is the verdict that a part of prompts crashes upstreams. It is kept in the store, too. A later
-// epoch supersedes earlier ones, and within an epoch the end of a blame supersedes it.
+// Blame is the decision that a part of prompts crashes upstreams. It is also stored. A later epoch supersedes
+// earlier ones, and within an epoch a lifted blame supersedes an active one.
 type Blame struct {
 	Part string `json:"part"`
-	// Epoch is the Unix millisecond of the decision, and higher than that of any former blame of the part.
+	// Epoch is the Unix time of the decision in milliseconds, increased if needed to exceed earlier epochs of the part.
 	Epoch uint64 `json:"epoch"`
-	// Lifted blames are over, for the reason given.
+	// Lifted marks a blame that has ended, for the given Reason.
 	Lifted bool   `json:"lifted,omitempty"`
 	Reason string `json:"reason,omitempty"`
-	// Entry decided, at a time of its VM's clock.
+	// Entry is the entry that decided, at DecidedAt by its VM's clock.
 	Entry     string    `json:"entry"`
 	DecidedAt time.Time `json:"decidedAt"`
-	// Crashes came with the part and none of its replies got under way meanwhile; Upstreams are the last
-	// ones to crash. Chance is the probability of that for a part that has nothing to do with it.
+	// Crashes counts the crashes under requests with the part, without any reply under way in between;
+	// Upstreams are the last ones to crash. Chance is the probability of that for an unrelated part.
 	Crashes   int      `json:"crashes"`
 	Upstreams []string `json:"upstreams,omitempty"`
 	Chance    float64  `json:"chance"`
-	// Trials is how many requests with the part were sent since to see whether it still crashes
-	// upstreams, the last one at TriedAt.
+	// Trials is the number of requests sent since then to test whether the part still crashes upstreams,
+	// the last one at TriedAt.
 	Trials  int       `json:"trials,omitempty"`
 	TriedAt time.Time `json:"triedAt,omitzero"`
 }
 
-// LogFields are the evidence, for log lines.
+// LogFields returns the evidence as keys and values for log lines.
 func (b *Blame) LogFields() []any {
 	return []any{
 		"part", b.Part, "epoch", b.Epoch, "decidedBy", b.Entry, "decidedAt", b.DecidedAt, "crashes", b.Crashes, "chance", b.Chance,
@@ -67,7 +67,7 @@
 	}
 }
 
-// Supersedes tells whether this state of a blame replaces another one.
+// Supersedes reports whether this state of a blame replaces another one.
 func (b *Blame) Supersedes(other *Blame) bool {
 	switch {
 	case b.Epoch != other.Epoch:
--- a/internal/propagator/propagator.go
+++ b/internal/propagator/propagator.go
@@ -246,7 +246,7 @@
 		if to.pushing || now.Before(to.nextPush) {
 			continue
 		}
-		u, sequence := p.Localizer.Since(to.acked)
+		u, sequence := p.Localizer.ChangesSince(to.acked)
 		if u.Empty() {
 			to.acked = sequence
 			continue
@@ -326,7 +326,7 @@
 		return
 	}
 	to.acked = r.sequence
-	p.Localizer.Acked(r.request, r.replied)
+	p.Localizer.HandleAck(r.request, r.replied)
 }
 
 func (p *Propagator) finishPull(r result) {
--- a/internal/relayer/crash_test.go
+++ b/internal/relayer/crash_test.go
@@ -77,7 +77,7 @@
 func (w *world) reports(t *testing.T, n int) []localizer.Report {
 	deadline := time.Now().Add(patience)
 	for {
-		u, _ := w.relayer.Localizer.Since(0)
+		u, _ := w.relayer.Localizer.ChangesSince(0)
 		if len(u.Reports) >= n {
 			return u.Reports
 		}
@@ -104,7 +104,7 @@
 	w := newCrashWorld(t, crashAfter(4), complete)
 	w.askParts(t, "a", "kind,farm,own")
 	time.Sleep(200 * time.Millisecond)
-	u, _ := w.relayer.Localizer.Since(0)
+	u, _ := w.relayer.Localizer.ChangesSince(0)
 	must.SliceEmpty(t, u.Reports)
 }
 
@@ -118,7 +118,7 @@
 	for n := 0; !moved; n++ {
 		must.Less(t, 50, n)
 		w.askParts(t, fmt.Sprint(n), "kind,fatal,own")
-		if u, _ := w.relayer.Localizer.Since(0); len(u.Reports) > 0 {
+		if u, _ := w.relayer.Localizer.ChangesSince(0); len(u.Reports) > 0 {
 			break
 		}
 	}
@@ -133,14 +133,14 @@
 		w.relayer.SweepCuts()
 		time.Sleep(10 * time.Millisecond)
 	}
-	u, _ := w.relayer.Localizer.Since(0)
+	u, _ := w.relayer.Localizer.ChangesSince(0)
 	must.SliceEmpty(t, u.Reports)
 	w.startAgain(0)
 	deadline := time.Now().Add(patience)
 	for len(u.Reports) == 0 {
 		must.True(t, time.Now().Before(deadline))
 		w.relayer.SweepCuts()
-		u, _ = w.relayer.Localizer.Since(0)
+		u, _ = w.relayer.Localizer.ChangesSince(0)
 	}
 	must.Eq(t, []string{"kind", "fatal"}, u.Reports[0].Parts)
 }
@@ -152,7 +152,7 @@
 		w.askParts(t, fmt.Sprint(n), "kind,fatal,own")
 	}
 	time.Sleep(200 * time.Millisecond)
-	u, _ := w.relayer.Localizer.Since(0)
+	u, _ := w.relayer.Localizer.ChangesSince(0)
 	must.SliceEmpty(t, u.Reports)
 }
 
--- a/internal/relayer/reception.go
+++ b/internal/relayer/reception.go
@@ -139,7 +139,7 @@
 	if err := r.c.checkPartsOf(r.c.Request, r.failed); err != nil {
 		return nil, err
 	}
-	r.c.Localizer.Sent(r.c.ID, r.c.SharedParts())
+	r.c.Localizer.RequestSent(r.c.ID, r.c.SharedParts())
 	begun, err = r.c.closeUnlessBegun(r.place, conn)
 	if err == nil {
 		r.conn, r.begun = conn, begun
--- a/internal/simulator/fatal.go
+++ b/internal/simulator/fatal.go
@@ -101,13 +101,13 @@
 }
 
 func (e *entry) push(to *entry) {
-	u, sequence := e.relayer.Localizer.Since(e.acked[to])
+	u, sequence := e.relayer.Localizer.ChangesSince(e.acked[to])
 	e.acked[to] = sequence
 	if u.Empty() {
 		return
 	}
 	e.time.In(e.way(e.domain, to.domain), func() {
-		e.relayer.Localizer.Acked(u, to.relayer.Localizer.Handle(u))
+		e.relayer.Localizer.HandleAck(u, to.relayer.Localizer.Handle(u))
 	})
 }
 
