--- a/internal/entry/agents.go
+++ b/internal/entry/agents.go
@@ -8,49 +8,49 @@
 	"github.com/oriolecroft/oriolecroft/internal/messenger"
 )
 
-// agents are those that report to this entry directly.
+// agents tracks the agents that report to this entry directly.
 type agents struct {
-	mu      sync.Mutex
-	states  map[string]directAgent
-	leaving map[string]bool
-	// revision is the last one pushed.
+	mu       sync.Mutex
+	states   map[string]directAgent
+	draining map[string]bool
+	// revision is the last bundle revision pushed.
 	revision uint64
-	// swept is when silent agents were last forgotten.
-	swept time.Time
+	// lastPruned is when unresponsive agents were last removed.
+	lastPruned time.Time
 }
 
-// directAgent is what is known of an agent, and what it was told, on its present
+// directAgent is the state of an agent and what it was sent on its current
 // connection.
 type directAgent struct {
-	state messenger.AgentState
-	link  *messenger.Link
-	at    time.Time
-	// told are the entries that it was last told of.
-	told   []messenger.EntryRef
-	toldAt time.Time
+	state      messenger.AgentState
+	link       *messenger.Link
+	lastReport time.Time
+	// sentEntries is the list of entries last sent to the agent.
+	sentEntries   []messenger.EntryRef
+	entriesSentAt time.Time
 }
 
 const (
-	// directFor is how long an agent counts as direct after its last report.
-	directFor = 3 * time.Second
-	// tellEvery is how often an agent is told of the entries though none changed.
-	tellEvery = 3 * time.Second
+	// directAgentTimeout is how long an agent counts as direct after its last report.
+	directAgentTimeout = 3 * time.Second
+	// entriesInterval is how often an agent is sent an unchanged list of entries.
+	entriesInterval = 3 * time.Second
 )
 
 func newAgents() *agents {
 	return &agents{states: map[string]directAgent{}}
 }
 
-// take notes a report and gives the agent's whole state; false when a beat came
-// for which no state is known on this connection.
-func (a *agents) take(r messenger.Report, l *messenger.Link, now time.Time) (messenger.AgentState, bool) {
+// recordReport records a report and returns the agent's full state; false for a
+// beat without a known state on this connection.
+func (a *agents) recordReport(r messenger.Report, l *messenger.Link, now time.Time) (messenger.AgentState, bool) {
 	a.mu.Lock()
 	defer a.mu.Unlock()
-	a.forget(now)
+	a.pruneUnresponsive(now)
 	if r.State != nil {
-		d := directAgent{state: *r.State, link: l, at: now}
+		d := directAgent{state: *r.State, link: l, lastReport: now}
 		if old := a.states[d.state.ID]; old.link == l {
-			d.told, d.toldAt = old.told, old.toldAt
+			d.sentEntries, d.entriesSentAt = old.sentEntries, old.entriesSentAt
 		}
 		a.states[d.state.ID] = d
 		return d.state, true
@@ -62,46 +62,46 @@
 	if !ok || d.link != l || d.state.Incarnation != r.Beat.Incarnation {
 		return messenger.AgentState{}, false
 	}
-	d.state.Sequence, d.state.Running, d.at = r.Beat.Sequence, r.Beat.Running, now
+	d.state.Sequence, d.state.Running, d.lastReport = r.Beat.Sequence, r.Beat.Running, now
 	a.states[r.Beat.ID] = d
 	return d.state, true
 }
 
-// forget drops silent agents, once in a while: looking at all of them for each
-// report would cost the square of their number.
-func (a *agents) forget(now time.Time) {
-	if now.Sub(a.swept) < directFor/3 {
+// pruneUnresponsive removes unresponsive agents, but not on every report: scanning
+// all agents for each report would cost the square of their number.
+func (a *agents) pruneUnresponsive(now time.Time) {
+	if now.Sub(a.lastPruned) < directAgentTimeout/3 {
 		return
 	}
-	a.swept = now
+	a.lastPruned = now
 	for id, d := range a.states {
-		if now.Sub(d.at) > directFor {
+		if now.Sub(d.lastReport) > directAgentTimeout {
 			delete(a.states, id)
 		}
 	}
 }
 
-// tell gives the entries that an agent is to be told of: none when it was told the
-// same lately.
-func (a *agents) tell(id string, entries []messenger.EntryRef, now time.Time) []messenger.EntryRef {
+// entriesFor returns the list of entries to send to an agent: none if the same list
+// was sent recently.
+func (a *agents) entriesFor(id string, entries []messenger.EntryRef, now time.Time) []messenger.EntryRef {
 	a.mu.Lock()
 	defer a.mu.Unlock()
 	d, ok := a.states[id]
 	if !ok {
-		// The agent was forgotten while this entry was paused. Put back, it would
-		// have no connection, and the next push would end the entry.
+		// The agent was removed while this entry was paused. Adding it again would
+		// leave it without a connection, and the next push would crash the entry.
 		return entries
 	}
-	if now.Sub(d.toldAt) < tellEvery && slices.Equal(d.told, entries) {
+	if now.Sub(d.entriesSentAt) < entriesInterval && slices.Equal(d.sentEntries, entries) {
 		return nil
 	}
-	d.told, d.toldAt = entries, now
+	d.sentEntries, d.entriesSentAt = entries, now
 	a.states[id] = d
 	return entries
 }
 
-// weights sums up what the agents hold of one manifest.
-func (a *agents) weights(manifest string) WeightsStatus {
+// weightsStatus sums up what the agents hold of one manifest.
+func (a *agents) weightsStatus(manifest string) WeightsStatus {
 	a.mu.Lock()
 	defer a.mu.Unlock()
 	w := WeightsStatus{Manifest: manifest}
@@ -121,22 +121,22 @@
 	return w
 }
 
-// push sends news to those direct agents that have an older bundle and are ours to
-// tell. The others hear it from another entry, and from this one with the answer to
-// their next report; were every entry to push, each agent would get a long record
+// pushUpdate sends an update to the direct agents with an older bundle that match
+// the filter. The others get it from another entry, or from this one in the reply to
+// their next report; if every entry pushed, each agent would receive a long record
 // as many times as there are entries.
-func (a *agents) push(n messenger.News, ours func(messenger.AgentState) bool) {
+func (a *agents) pushUpdate(n messenger.News, filter func(messenger.AgentState) bool) {
 	a.mu.Lock()
 	defer a.mu.Unlock()
 	for _, d := range a.states {
-		if d.state.Revision < n.Word.Revision && ours(d.state) {
+		if d.state.Revision < n.Word.Revision && filter(d.state) {
 			d.link.Push(n)
 		}
 	}
 }
 
-// bring tells whether a revision has yet to be pushed.
-func (a *agents) bring(revision uint64) bool {
+// advanceRevision reports whether a revision has yet to be pushed, and records it as pushed.
+func (a *agents) advanceRevision(revision uint64) bool {
 	a.mu.Lock()
 	defer a.mu.Unlock()
 	if revision <= a.revision {
@@ -146,14 +146,14 @@
 	return true
 }
 
-func (a *agents) setLeaving(ids map[string]bool) {
+func (a *agents) setDraining(ids map[string]bool) {
 	a.mu.Lock()
 	defer a.mu.Unlock()
-	a.leaving = ids
+	a.draining = ids
 }
 
-func (a *agents) isLeaving(id string) bool {
+func (a *agents) isDraining(id string) bool {
 	a.mu.Lock()
 	defer a.mu.Unlock()
-	return a.leaving[id]
+	return a.draining[id]
 }
--- a/internal/entry/entry.go
+++ b/internal/entry/entry.go
@@ -1,6 +1,6 @@
-// Package entry is the daemon that callers connect to. It keeps nothing that
-// must last: the bundle is relearned from the store and from peers, the agents
-// from their reports.
+// Package entry implements the daemon that callers connect to. It has no
+// persistent state: it gets the bundle from the store and from peers, the agents'
+// states from their reports.
 package entry
 
 import (
@@ -32,11 +32,11 @@
 	Incarnation   string
 	FailureDomain string
 	Region        string
-	// Callers, Peers and Operators are where each connects.
+	// Callers, Peers and Operators are the listeners for each of these clients.
 	Callers, Peers, Operators net.Listener
 	// Seeds are the peer addresses of some other entries.
 	Seeds []netip.AddrPort
-	// List is the platform's list of VMs; nil when there is none.
+	// List is the platform's list of VMs; nil if there is none.
 	List       lister.List
 	State      *gossiper.State
 	Watcher    *gossiper.Watcher
@@ -46,83 +46,83 @@
 	Roller     *roller.Roller
 	Dispatcher *dispatcher.Dispatcher
 	Clock      clock.WithTicker
-	// Certifier makes connections between our processes; nil means plain ones.
+	// Certifier secures connections between processes; nil means plain ones.
 	Certifier *certifier.Certifier
-	// KeepFor is how long callers may keep the list of entries.
+	// KeepFor is how long callers may cache the list of entries.
 	KeepFor time.Duration
-	// Heartbeat is how often entries exchange what they know.
+	// Heartbeat is the interval of exchanges between entries.
 	Heartbeat time.Duration
 
-	members *members
-	agents  *agents
-	places  *places
-	running running
+	members     *members
+	agents      *agents
+	assignments *assignments
+	requests    requestCounter
 }
 
 const (
-	// listEvery is how often the list of VMs is read; it lags by seconds anyhow.
-	listEvery = time.Second
-	// applyEvery is the longest time until a new bundle reaches the deciding
-	// parts when no change wakes them.
-	applyEvery = time.Second
+	// listInterval is how often the list of VMs is read; it lags by seconds anyway.
+	listInterval = time.Second
+	// applyInterval is the maximum time until a new bundle is applied if no
+	// change notification arrives.
+	applyInterval = time.Second
 )
 
-// Run serves until the context ends, then leaves: callers are no longer told of
-// this entry, and what still comes and runs is finished.
+// Run serves until the context ends, then drains: this entry is removed from the
+// list for callers, and requests that still arrive or run are finished.
 func (e *Entry) Run(ctx context.Context) error {
 	e.members = newMembers(e)
 	e.agents = newAgents()
-	e.places = &places{clock: e.Clock, agents: e.Router.Agents, byDomain: map[string]division{}}
-	return reporter.RunUntil(ctx, e.parts(), e.leave)
+	e.assignments = &assignments{clock: e.Clock, agents: e.Router.Agents, byDomain: map[string]domainAssignments{}}
+	return reporter.RunUntil(ctx, e.services(), e.drain)
 }
 
-// parts are all that runs as long as the entry does.
-func (e *Entry) parts() *suture.Supervisor {
-	receive := &receiver.Receiver{Dispatcher: e.Dispatcher, Entries: e.callerEntries, KeepFor: e.KeepFor}
+// services returns the supervisor of all services of the entry.
+func (e *Entry) services() *suture.Supervisor {
+	recv := &receiver.Receiver{Dispatcher: e.Dispatcher, Entries: e.callerEntries, KeepFor: e.KeepFor}
 	s := suture.New("entry", suture.Spec{EventHook: reporter.LogEvents})
-	s.Add(&reporter.Web{Name: "callers", Listener: e.Callers, Handler: e.running.count(receive.Handler())})
-	s.Add(&reporter.Web{Name: "operators", Listener: e.Certifier.Listen(e.Operators), Handler: e.operators()})
-	s.Add(&messenger.Server{Listener: e.Certifier.Listen(e.Peers), OnReport: e.report, OnExchange: e.exchange})
+	s.Add(&reporter.Web{Name: "callers", Listener: e.Callers, Handler: e.requests.countRequests(recv.Handler())})
+	s.Add(&reporter.Web{Name: "operators", Listener: e.Certifier.Listen(e.Operators), Handler: e.operatorHandler()})
+	s.Add(&messenger.Server{Listener: e.Certifier.Listen(e.Peers), OnReport: e.handleReport, OnExchange: e.handleExchange})
 	s.Add(e.Watcher)
 	s.Add(e.Dispatcher)
 	s.Add(reporter.Every("members", e.Clock, e.Heartbeat, e.members.adjust))
-	s.Add(e.members.each)
+	s.Add(e.members.supervisor)
 	s.Add(&applier{entry: e})
 	if e.Certifier != nil {
 		s.Add(e.Certifier)
 	}
 	if e.List != nil {
-		s.Add(reporter.Every("list", e.Clock, listEvery, e.readList))
+		s.Add(reporter.Every("list", e.Clock, listInterval, e.refreshVMList))
 	}
 	return s
 }
 
-// leave takes the entry out of the list that callers get, waits until the lists
-// that callers kept have run out, and then until the last request is done.
-// Closing at once would cut those who connect by an answer they kept.
-func (e *Entry) leave(context.Context) {
+// drain removes the entry from the list for callers, waits until the lists cached by
+// callers have expired, and then until the last request is done. Closing at once
+// would disconnect callers that connect by a cached list.
+func (e *Entry) drain(context.Context) {
 	klog.InfoS("Leaving", "entry", e.ID)
-	e.members.leave()
-	// All others are told at once, and a caller may have asked one of them right
-	// before that.
+	e.members.drain()
+	// The other entries are notified at once, but a caller may have got its list from
+	// one of them right before that.
 	t := e.Clock.NewTimer(e.KeepFor + 2*e.Heartbeat)
 	defer t.Stop()
 	<-t.C()
-	e.running.wait()
+	e.requests.waitIdle()
 }
 
-// applier hands each new bundle to the parts that decide by it.
+// applier applies each new bundle to the components that use it.
 type applier struct {
 	entry *Entry
 }
 
 // Serve runs until the context ends.
 func (a *applier) Serve(ctx context.Context) error {
-	t := a.entry.Clock.NewTicker(applyEvery)
+	t := a.entry.Clock.NewTicker(applyInterval)
 	defer t.Stop()
 	for {
 		changed := a.entry.State.Changed()
-		a.entry.apply()
+		a.entry.applyBundle()
 		select {
 		case <-ctx.Done():
 			return ctx.Err()
@@ -134,77 +134,77 @@
 
 func (a *applier) String() string { return "applier" }
 
-// apply puts the bundle in force into effect and tells the agents at once.
-func (e *Entry) apply() {
+// applyBundle applies the bundle in force and pushes it to agents at once.
+func (e *Entry) applyBundle() {
 	b, r := e.State.Current()
 	if b == nil {
 		return
 	}
 	e.Router.SetBundle(b)
 	e.Limiter.SetBundle(b)
-	if !e.agents.bring(b.Revision) {
+	if !e.agents.advanceRevision(b.Revision) {
 		return
 	}
 	klog.InfoS("Bundle in force", "entry", e.ID, "revision", b.Revision, "change", b.ChangeID, "digest", r.Digest())
-	e.agents.push(messenger.News{Word: e.State.Word(), Record: r}, e.tells())
-	e.members.wake()
+	e.agents.pushUpdate(messenger.News{Word: e.State.Word(), Record: r}, e.notifyFilter())
+	e.members.wakeLinks()
 }
 
-// tells gives the rule by which this entry is the one to tell an agent of a new
-// bundle: it ranks first among the entries in use.
-func (e *Entry) tells() func(messenger.AgentState) bool {
-	entries := e.members.alive()
+// notifyFilter returns the filter for the agents to which this entry pushes a new
+// bundle: those for which it ranks first among the entries in use.
+func (e *Entry) notifyFilter() func(messenger.AgentState) bool {
+	entries := e.members.aliveEntries()
 	return func(s messenger.AgentState) bool {
 		first := router.ReportTo(s.ID, s.Region, entries, 1)
 		return len(first) == 0 || first[0].ID == e.ID
 	}
 }
 
-// readList takes over what the platform says of VMs. The list lags, so that it
-// can only take an agent out of use; that one lives is proved by its reports.
-func (e *Entry) readList(ctx context.Context) {
+// refreshVMList applies the platform's list of VMs. As the list lags, it can only
+// take an agent out of use; only an agent's reports prove that it is alive.
+func (e *Entry) refreshVMList(ctx context.Context) {
 	vms, err := e.List.VMs(ctx)
 	if err != nil {
-		klog.V(1).InfoS("List of VMs failed", "entry", e.ID, "err", err)
+		klog.V(1).InfoS("Listing VMs failed", "entry", e.ID, "err", err)
 		return
 	}
-	leaving := map[string]bool{}
-	entries := map[string]bool{}
+	drainingAgents := map[string]bool{}
+	drainingEntries := map[string]bool{}
 	for _, v := range vms {
 		switch {
 		case v.Role == lister.RoleEntry && v.Leaving:
-			entries[v.ID] = true
+			drainingEntries[v.ID] = true
 		case v.Role == lister.RoleEntry:
-			e.members.mention(v.Address)
+			e.members.addAddress(v.Address)
 		case v.Leaving:
-			leaving[v.ID] = true
+			drainingAgents[v.ID] = true
 		}
 	}
-	e.agents.setLeaving(leaving)
-	e.members.setListed(entries)
+	e.agents.setDraining(drainingAgents)
+	e.members.setListedDraining(drainingEntries)
 }
 
-// callerEntries lists where callers may connect: the entries that take work, or
-// all if none does. Each caller gets another order, so that callers spread.
+// callerEntries lists the entries that callers may connect to: those that accept
+// work, or all if none does. The order is random to spread callers.
 func (e *Entry) callerEntries() []receiver.Entry {
 	var serving, refusing []receiver.Entry
-	for _, m := range e.members.alive() {
-		at := receiver.Entry{Address: m.Callers, FailureDomain: m.FailureDomain, Region: m.Region}
+	for _, m := range e.members.aliveEntries() {
+		candidate := receiver.Entry{Address: m.Callers, FailureDomain: m.FailureDomain, Region: m.Region}
 		if m.Refusing {
-			refusing = append(refusing, at)
+			refusing = append(refusing, candidate)
 		} else {
-			serving = append(serving, at)
+			serving = append(serving, candidate)
 		}
 	}
 	if len(serving) == 0 {
 		serving = refusing
 	}
-	shuffle(serving)
+	shuffleEntries(serving)
 	return serving
 }
 
-// ready is why this entry takes no new work; nil when it does.
-func (e *Entry) ready() error { return e.State.MayServe() }
+// readiness returns the reason why this entry accepts no new work; nil if it does.
+func (e *Entry) readiness() error { return e.State.MayServe() }
 
-// Entries is how many entries are in use, at least one.
-func (e *Entry) Entries() int { return e.members.count() }
+// Entries returns the number of entries in use, at least one.
+func (e *Entry) Entries() int { return e.members.aliveCount() }
--- a/internal/entry/exchange.go
+++ b/internal/entry/exchange.go
@@ -7,38 +7,38 @@
 	"github.com/oriolecroft/oriolecroft/pkg/bundler"
 )
 
-// report answers an agent: what it says is noted, and it gets what it lacks.
-func (e *Entry) report(r messenger.Report, l *messenger.Link) messenger.News {
+// handleReport records an agent's report and returns the updates that it lacks.
+func (e *Entry) handleReport(r messenger.Report, l *messenger.Link) messenger.News {
 	if r.Record != nil {
 		if _, err := e.State.Offer(r.Record); err != nil {
 			klog.ErrorS(err, "Bundle from agent refused", "entry", e.ID)
 		}
 	}
-	s, ok := e.agents.take(r, l, e.Clock.Now())
+	s, ok := e.agents.recordReport(r, l, e.Clock.Now())
 	if !ok {
 		return messenger.News{Word: e.State.Word(), Resend: true}
 	}
-	e.see(s)
+	e.updateRouter(s)
 	e.Tracker.Report(s)
 	e.Roller.Report(s)
-	n := e.news(s)
-	n.Entries = e.agents.tell(s.ID, e.members.refs(), e.Clock.Now())
+	n := e.updateFor(s)
+	n.Entries = e.agents.entriesFor(s.ID, e.members.entryRefs(), e.Clock.Now())
 	return n
 }
 
-// see hands an agent's state to the router, as leaving if the platform says so.
-func (e *Entry) see(s messenger.AgentState) {
-	if e.agents.isLeaving(s.ID) {
+// updateRouter passes an agent's state to the router, as leaving if the platform lists it so.
+func (e *Entry) updateRouter(s messenger.AgentState) {
+	if e.agents.isDraining(s.ID) {
 		s.Leaving = true
 	}
 	e.Router.Report(s)
 }
 
-// news is what an agent should know.
-func (e *Entry) news(s messenger.AgentState) messenger.News {
+// updateFor returns the update for an agent.
+func (e *Entry) updateFor(s messenger.AgentState) messenger.News {
 	n := messenger.News{
 		Word:    e.State.Word(),
-		Leaving: e.agents.isLeaving(s.ID),
+		Leaving: e.agents.isDraining(s.ID),
 	}
 	b, r := e.State.Current()
 	if b == nil {
@@ -50,17 +50,17 @@
 	if s.Kind != messenger.KindEngine {
 		return n
 	}
-	n.Assignment = e.places.assign(b, s)
-	n.Holders = e.Tracker.Holders(s, wants(s))
-	// A permit that went to an agent whose weights are still on their way would keep
-	// from switching those who have them.
+	n.Assignment = e.assignments.modelFor(b, s)
+	n.Holders = e.Tracker.Holders(s, incompleteManifests(s))
+	// A permit for an agent whose weights are still in transfer would keep agents
+	// that have them from switching.
 	if m, ok := b.Model(n.Assignment); ok && holdsWhole(s, m) {
 		n.Switch = e.Roller.Permit(s, m)
 	}
 	return n
 }
 
-// holdsWhole tells whether an agent has all that the model needs.
+// holdsWhole reports whether an agent holds all weights that the model needs.
 func holdsWhole(s messenger.AgentState, m bundler.Model) bool {
 	whole := map[string]bool{}
 	for _, h := range s.Holdings {
@@ -74,8 +74,8 @@
 	return whole[m.Manifest]
 }
 
-// wants lists the manifests of which an agent lacks chunks.
-func wants(s messenger.AgentState) []string {
+// incompleteManifests lists the manifests of which an agent lacks chunks.
+func incompleteManifests(s messenger.AgentState) []string {
 	var ms []string
 	for _, h := range s.Holdings {
 		if h.Chunks == 0 || !h.Whole() {
@@ -85,20 +85,20 @@
 	return ms
 }
 
-// exchange answers another entry.
-func (e *Entry) exchange(x messenger.Exchange) messenger.Exchange {
+// handleExchange replies to another entry.
+func (e *Entry) handleExchange(x messenger.Exchange) messenger.Exchange {
 	if x.State.ID == e.ID {
-		// A seed that points back at this very entry, or another by the same name.
-		return messenger.Exchange{State: e.members.self()}
+		// A seed points back at this entry, or another entry has the same ID.
+		return messenger.Exchange{State: e.members.selfState()}
 	}
-	e.learn(x)
+	e.applyExchange(x)
 	e.State.Hear(x.State)
-	return e.members.mine(max(1, x.State.Word.Revision))
+	return e.members.exchangeFor(max(1, x.State.Word.Revision))
 }
 
-// learn takes over what another entry told, but for how fresh it is.
-func (e *Entry) learn(x messenger.Exchange) {
-	e.members.hear(x.State)
+// applyExchange merges what another entry sent, except for its confirmation of freshness.
+func (e *Entry) applyExchange(x messenger.Exchange) {
+	e.members.recordState(x.State)
 	if x.Record != nil {
 		if _, err := e.State.Offer(x.Record); err != nil {
 			klog.ErrorS(err, "Bundle from peer refused", "entry", e.ID, "peer", x.State.ID)
--- a/internal/entry/members.go
+++ b/internal/entry/members.go
@@ -19,57 +19,57 @@
 const (
 	// exchangeTimeout bounds one exchange with another entry.
 	exchangeTimeout = time.Second
-	// aliveRounds is after how many silent rounds an entry no longer counts as
-	// alive.
-	aliveRounds = 3
-	// asksPerHeartbeat is how many entries are asked in one heartbeat. All are asked
-	// in turn, in a round of as many heartbeats as that takes: what matters at once,
-	// a new bundle, comes by the store's watch and by waking, and asking all others
+	// livenessRounds is the number of rounds without contact after which an entry
+	// counts as down.
+	livenessRounds = 3
+	// exchangesPerHeartbeat is the number of exchanges in one heartbeat. A round
+	// covers all entries in as many heartbeats as needed: only new bundles are urgent
+	// and arrive by the store's watch and by wakeups, while exchanges with all others
 	// at each heartbeat would cost the square of their number.
-	asksPerHeartbeat = 4
-	// forgetAfter is how long a silent entry is still asked.
-	forgetAfter = time.Minute
+	exchangesPerHeartbeat = 4
+	// removalTimeout is how long an unresponsive entry is still contacted.
+	removalTimeout = time.Minute
 )
 
-// members are the deployment's entries as this one knows them.
+// members tracks the deployment's entries as seen by this one.
 type members struct {
 	entry *Entry
-	// each supervises the links to the others.
-	each *suture.Supervisor
-	// due wakes the links when an exchange can't wait for its turn.
-	due notifier.Broadcast
+	// supervisor runs the links to the other entries.
+	supervisor *suture.Supervisor
+	// wakeup triggers exchanges that can't wait for the next round.
+	wakeup notifier.Broadcast
 
-	mu      sync.Mutex
-	leaving bool
-	// listed are the entries that the platform lists as leaving, this one perhaps
-	// among them: callers are to go elsewhere before the VM does.
-	listed map[string]bool
-	heard  map[string]heardEntry
-	links  map[netip.AddrPort]*peer
+	mu       sync.Mutex
+	draining bool
+	// listedDraining holds the entries that the platform lists as leaving, perhaps
+	// including this one: callers must move to other entries before the VM stops.
+	listedDraining map[string]bool
+	states         map[string]entryRecord
+	links          map[netip.AddrPort]*peer
 }
 
-type heardEntry struct {
-	state messenger.EntryState
-	at    time.Time
+type entryRecord struct {
+	state       messenger.EntryState
+	lastContact time.Time
 }
 
 func newMembers(e *Entry) *members {
 	return &members{
-		entry: e,
-		each:  suture.New("links of the entry", suture.Spec{EventHook: reporter.LogEvents}),
-		heard: map[string]heardEntry{},
-		links: map[netip.AddrPort]*peer{},
+		entry:      e,
+		supervisor: suture.New("links of the entry", suture.Spec{EventHook: reporter.LogEvents}),
+		states:     map[string]entryRecord{},
+		links:      map[netip.AddrPort]*peer{},
 	}
 }
 
-// mention notes the peer address of an entry.
-func (m *members) mention(a netip.AddrPort) {
+// addAddress adds or confirms the peer address of an entry.
+func (m *members) addAddress(a netip.AddrPort) {
 	m.mu.Lock()
 	defer m.mu.Unlock()
-	m.note(a)
+	m.addAddressLocked(a)
 }
 
-func (m *members) note(a netip.AddrPort) {
+func (m *members) addAddressLocked(a netip.AddrPort) {
 	if a == addressOf(m.entry.Peers) || !a.IsValid() {
 		return
 	}
@@ -78,95 +78,96 @@
 		p = &peer{members: m}
 		m.links[a] = p
 	}
-	p.mentioned = m.entry.Clock.Now()
+	p.confirmedAt = m.entry.Clock.Now()
 }
 
-// adjust starts links to new entries and ends those to entries long silent. Seeds
-// stay for ever: they are the way back after a cut.
+// adjust starts links to new entries and removes those to unresponsive entries. Seeds
+// are never removed, as an entry reconnects through them after a partition.
 func (m *members) adjust(context.Context) {
 	m.mu.Lock()
 	defer m.mu.Unlock()
 	for _, s := range m.entry.Seeds {
-		m.note(s)
+		m.addAddressLocked(s)
 	}
 	now := m.entry.Clock.Now()
 	for a, p := range m.links {
-		if now.Sub(p.mentioned) > forgetAfter {
-			m.drop(a, p)
+		if now.Sub(p.confirmedAt) > removalTimeout {
+			m.removeLink(a, p)
 			continue
 		}
 		if p.client == nil {
-			m.start(a, p)
+			m.startLink(a, p)
 		}
 	}
-	for id, h := range m.heard {
-		if now.Sub(h.at) > forgetAfter {
-			delete(m.heard, id)
+	for id, r := range m.states {
+		if now.Sub(r.lastContact) > removalTimeout {
+			delete(m.states, id)
 		}
 	}
-	m.tellRouter()
+	m.updateRouterEntries()
 }
 
-// tellRouter names the live entries, among which a cold upstream is divided.
-func (m *members) tellRouter() {
+// updateRouterEntries passes the live entries to the router, which divides a cold
+// upstream's limit among them.
+func (m *members) updateRouterEntries() {
 	ids := []string{m.entry.ID}
-	for id, h := range m.heard {
-		if m.fresh(h) {
+	for id, r := range m.states {
+		if m.isAlive(r) {
 			ids = append(ids, id)
 		}
 	}
 	m.entry.Router.SetEntries(m.entry.ID, ids)
 }
 
-func (m *members) drop(a netip.AddrPort, p *peer) {
+func (m *members) removeLink(a netip.AddrPort, p *peer) {
 	if p.client != nil {
-		if err := m.each.Remove(p.token); err != nil {
+		if err := m.supervisor.Remove(p.token); err != nil {
 			klog.V(1).InfoS("Link not removed", "peer", a, "err", err)
 		}
 	}
 	delete(m.links, a)
 }
 
-func (m *members) start(a netip.AddrPort, p *peer) {
+func (m *members) startLink(a netip.AddrPort, p *peer) {
 	p.client = &messenger.Client{Address: a, Timeout: exchangeTimeout, Dial: m.entry.Certifier.Dial}
-	p.token = m.each.Add(p)
+	p.token = m.supervisor.Add(p)
 }
 
-func (m *members) isLeaving() bool {
+func (m *members) isDraining() bool {
 	m.mu.Lock()
 	defer m.mu.Unlock()
-	return m.leaving
+	return m.draining
 }
 
-// round is how long it takes to ask all other entries once.
-func (m *members) round() time.Duration {
+// roundDuration is the time for one exchange with each other entry.
+func (m *members) roundDuration() time.Duration {
 	m.mu.Lock()
 	defer m.mu.Unlock()
-	return m.roundOf(len(m.links))
+	return m.roundDurationOf(len(m.links))
 }
 
-func (m *members) roundOf(peers int) time.Duration {
-	beats := (peers + asksPerHeartbeat - 1) / asksPerHeartbeat
-	return time.Duration(max(1, beats)) * m.entry.Heartbeat
+func (m *members) roundDurationOf(peers int) time.Duration {
+	heartbeats := (peers + exchangesPerHeartbeat - 1) / exchangesPerHeartbeat
+	return time.Duration(max(1, heartbeats)) * m.entry.Heartbeat
 }
 
-// mine is what this entry tells another that holds the given revision: the record
-// goes along only when it is news.
-func (m *members) mine(theirs uint64) messenger.Exchange {
+// exchangeFor returns this entry's message to another that holds the given revision.
+// The bundle's record is included only if it is newer.
+func (m *members) exchangeFor(theirRevision uint64) messenger.Exchange {
 	x := messenger.Exchange{
-		State:          m.self(),
+		State:          m.selfState(),
 		Asked:          m.entry.Limiter.Asked(),
 		Demand:         m.entry.Router.Demand(),
 		OriginFetchers: m.entry.Tracker.OriginFetchers(),
 	}
 	b, r := m.entry.State.Current()
-	if b != nil && theirs > 0 && b.Revision > theirs {
+	if b != nil && theirRevision > 0 && b.Revision > theirRevision {
 		x.Record = r
 	}
 	return x
 }
 
-func (m *members) self() messenger.EntryState {
+func (m *members) selfState() messenger.EntryState {
 	m.mu.Lock()
 	defer m.mu.Unlock()
 	e := m.entry
@@ -177,48 +178,48 @@
 		Region:         e.Region,
 		Callers:        addressOf(e.Callers),
 		Peers:          addressOf(e.Peers),
-		Leaving:        m.leaving || m.listed[e.ID],
+		Leaving:        m.draining || m.listedDraining[e.ID],
 		Refusing:       e.State.MayServe() != nil,
 		StoreReachable: e.State.StoreReachable(),
 		Word:           e.State.Word(),
 	}
 }
 
-// hear notes another entry's account of itself.
-func (m *members) hear(s messenger.EntryState) {
+// recordState records the state that another entry reports of itself.
+func (m *members) recordState(s messenger.EntryState) {
 	m.mu.Lock()
 	defer m.mu.Unlock()
-	m.heard[s.ID] = heardEntry{state: s, at: m.entry.Clock.Now()}
-	m.note(s.Peers)
+	m.states[s.ID] = entryRecord{state: s, lastContact: m.entry.Clock.Now()}
+	m.addAddressLocked(s.Peers)
 }
 
-func (m *members) fresh(h heardEntry) bool {
-	if h.state.Leaving || m.listed[h.state.ID] {
+func (m *members) isAlive(r entryRecord) bool {
+	if r.state.Leaving || m.listedDraining[r.state.ID] {
 		return false
 	}
-	return m.entry.Clock.Since(h.at) < aliveRounds*m.roundOf(len(m.links))
+	return m.entry.Clock.Since(r.lastContact) < livenessRounds*m.roundDurationOf(len(m.links))
 }
 
-// alive lists the entries in use, this one among them unless it leaves.
-func (m *members) alive() []messenger.EntryState {
-	self := m.self()
+// aliveEntries lists the entries in use, including this one unless it drains.
+func (m *members) aliveEntries() []messenger.EntryState {
+	self := m.selfState()
 	m.mu.Lock()
 	defer m.mu.Unlock()
 	var es []messenger.EntryState
 	if !self.Leaving {
 		es = append(es, self)
 	}
-	for _, h := range m.heard {
-		if m.fresh(h) {
-			es = append(es, h.state)
+	for _, r := range m.states {
+		if m.isAlive(r) {
+			es = append(es, r.state)
 		}
 	}
 	return es
 }
 
-// refs lists the entries in use for agents, in an order that stays.
-func (m *members) refs() []messenger.EntryRef {
-	es := m.alive()
+// entryRefs lists the entries in use for agents, in a stable order.
+func (m *members) entryRefs() []messenger.EntryRef {
+	es := m.aliveEntries()
 	refs := make([]messenger.EntryRef, len(es))
 	for i, e := range es {
 		refs[i] = messenger.EntryRef{ID: e.ID, FailureDomain: e.FailureDomain, Region: e.Region, Peers: e.Peers}
@@ -227,35 +228,35 @@
 	return refs
 }
 
-// count is how many entries are in use, at least one. It is asked for each request,
-// so that no list is made for it.
-func (m *members) count() int {
+// aliveCount returns the number of entries in use, at least one. It is called for each
+// request, so it builds no list.
+func (m *members) aliveCount() int {
 	m.mu.Lock()
 	defer m.mu.Unlock()
 	n := 0
-	if !m.leaving && !m.listed[m.entry.ID] {
+	if !m.draining && !m.listedDraining[m.entry.ID] {
 		n++
 	}
-	for _, h := range m.heard {
-		if m.fresh(h) {
+	for _, r := range m.states {
+		if m.isAlive(r) {
 			n++
 		}
 	}
 	return max(1, n)
 }
 
-func (m *members) setListed(ids map[string]bool) {
+func (m *members) setListedDraining(ids map[string]bool) {
 	m.mu.Lock()
 	defer m.mu.Unlock()
-	m.listed = ids
+	m.listedDraining = ids
 }
 
-func (m *members) leave() {
+func (m *members) drain() {
 	m.mu.Lock()
-	m.leaving = true
+	m.draining = true
 	m.mu.Unlock()
-	m.wake()
+	m.wakeLinks()
 }
 
-// wake makes links exchange at once.
-func (m *members) wake() { m.due.Wake() }
+// wakeLinks triggers exchanges at once.
+func (m *members) wakeLinks() { m.wakeup.Wake() }
--- a/internal/entry/peer.go
+++ b/internal/entry/peer.go
@@ -16,52 +16,52 @@
 	members *members
 	client  *messenger.Client
 	token   suture.ServiceToken
-	// mentioned is when the address was last vouched for by anything but a seed.
-	mentioned time.Time
+	// confirmedAt is when the address was last confirmed.
+	confirmedAt time.Time
 }
 
 // Serve exchanges with one entry until the context ends.
 func (p *peer) Serve(ctx context.Context) error {
-	p.members.run(ctx, p.client)
+	p.members.exchangePeriodically(ctx, p.client)
 	return ctx.Err()
 }
 
 func (p *peer) String() string { return "link to " + p.client.Address.String() }
 
-// run exchanges with one entry at each heartbeat, and at once when woken.
-func (m *members) run(ctx context.Context, c *messenger.Client) {
+// exchangePeriodically exchanges with one entry in each round, and at once when woken.
+func (m *members) exchangePeriodically(ctx context.Context, c *messenger.Client) {
 	defer c.Close()
 	for ctx.Err() == nil {
-		m.swap(ctx, c)
-		m.rest(ctx)
+		m.exchangeOnce(ctx, c)
+		m.waitForRound(ctx)
 	}
 }
 
-// rest waits for about one round, or until woken. Of those woken only about as
-// many ask as in one heartbeat, and each of them wakes others in turn; but all of
-// them do when this entry leaves, since callers must not be sent here any more.
-func (m *members) rest(ctx context.Context) {
-	round := m.round()
+// waitForRound waits for about one round, or until woken. Of the woken links only
+// about as many exchange as in one heartbeat, and each of them wakes others in turn;
+// but all of them do when this entry drains, since callers must not be sent here.
+func (m *members) waitForRound(ctx context.Context) {
+	round := m.roundDuration()
 	t := m.entry.Clock.NewTimer(round*3/4 + rand.N(round/2))
 	defer t.Stop()
 	for {
-		woken := m.due.Wait()
+		woken := m.wakeup.Wait()
 		select {
 		case <-ctx.Done():
 			return
 		case <-t.C():
 			return
 		case <-woken:
-			if m.isLeaving() || rand.N(round) < m.entry.Heartbeat {
+			if m.isDraining() || rand.N(round) < m.entry.Heartbeat {
 				return
 			}
 		}
 	}
 }
 
-func (m *members) swap(ctx context.Context, c *messenger.Client) {
-	asked := m.entry.Clock.Now()
-	x, err := c.Exchange(ctx, m.mine(0))
+func (m *members) exchangeOnce(ctx context.Context, c *messenger.Client) {
+	sentAt := m.entry.Clock.Now()
+	x, err := c.Exchange(ctx, m.exchangeFor(0))
 	if err != nil {
 		klog.V(2).InfoS("Exchange failed", "entry", m.entry.ID, "peer", c.Address, "err", err)
 		return
@@ -69,6 +69,6 @@
 	if x.State.ID == m.entry.ID {
 		return
 	}
-	m.entry.learn(x)
-	m.entry.State.HearAnswer(x.State, asked)
+	m.entry.applyExchange(x)
+	m.entry.State.HearAnswer(x.State, sentAt)
 }
--- a/internal/entry/status.go
+++ b/internal/entry/status.go
@@ -16,70 +16,70 @@
 	"github.com/oriolecroft/oriolecroft/pkg/bundler"
 )
 
-// Status is what an entry tells operators.
+// Status is an entry's status for operators.
 type Status struct {
 	State   messenger.EntryState   `json:"state"`
 	Fresh   bool                   `json:"fresh"`
 	Running int                    `json:"running"`
 	Entries []messenger.EntryState `json:"entries"`
 	Agents  []messenger.AgentState `json:"agents"`
-	// Weights is how far the weights of the bundle in force have come.
+	// Weights is the distribution progress of the weights of the bundle in force.
 	Weights []WeightsStatus  `json:"weights,omitempty"`
 	Alarms  []reporter.Alarm `json:"alarms,omitempty"`
 }
 
-// WeightsStatus is how much of one manifest the agents hold that want it.
+// WeightsStatus is how much of one manifest is held by the agents that want it.
 type WeightsStatus struct {
 	Manifest string `json:"manifest"`
-	// Whole is how many of Agents hold all of it.
+	// Whole is the number of Agents that hold all of it.
 	Whole  int `json:"whole"`
 	Agents int `json:"agents"`
-	// Bytes is how much they hold together, of AllBytes.
+	// Bytes is their total of bytes held, out of AllBytes.
 	Bytes    int64 `json:"bytes"`
 	AllBytes int64 `json:"allBytes"`
 }
 
 func (e *Entry) status() Status {
 	return Status{
-		Weights: e.weights(),
-		State:   e.members.self(),
+		Weights: e.weightsStatus(),
+		State:   e.members.selfState(),
 		Fresh:   e.State.MayServe() == nil,
-		Running: e.running.now(),
-		Entries: e.members.alive(),
+		Running: e.requests.current(),
+		Entries: e.members.aliveEntries(),
 		Agents:  e.Router.Agents(),
 		Alarms:  reporter.Alarms(e.State),
 	}
 }
 
-// weights sums up what the agents hold of the bundle's weights.
-func (e *Entry) weights() []WeightsStatus {
+// weightsStatus sums up what the agents hold of the bundle's weights.
+func (e *Entry) weightsStatus() []WeightsStatus {
 	b, _ := e.State.Current()
 	if b == nil {
 		return nil
 	}
 	var all []WeightsStatus
 	for _, m := range b.Models {
-		all = append(all, e.agents.weights(m.Manifest))
+		all = append(all, e.agents.weightsStatus(m.Manifest))
 		for _, a := range m.Adapters {
-			all = append(all, e.agents.weights(a.Manifest))
+			all = append(all, e.agents.weightsStatus(a.Manifest))
 		}
 	}
 	return all
 }
 
-// operators is what this entry serves on the operators' address.
-func (e *Entry) operators() http.Handler {
+// operatorHandler returns the handler for the operators' address.
+func (e *Entry) operatorHandler() http.Handler {
 	m := http.NewServeMux()
-	m.Handle("/", reporter.Handler(func() any { return e.status() }, e.ready, e.metrics()))
-	m.HandleFunc("POST /bundle", e.takeBundle)
+	m.Handle("/", reporter.Handler(func() any { return e.status() }, e.readiness, e.registerMetrics()))
+	m.HandleFunc("POST /bundle", e.postBundle)
 	return m
 }
 
-// takeBundle takes an accepted bundle from the operator's own client. If the store
-// went out right after it had accepted the bundle, no entry could read it there:
-// a drain that the operator was told is accepted would wait for the store's return.
+// postBundle receives an accepted bundle from the operator's client. If the store
+// failed right after accepting the bundle, no entry could read it there: a drain
+// reported to the operator as accepted would wait until the store recovers.
 // The sign-offs are checked as with any record.
-func (e *Entry) takeBundle(w http.ResponseWriter, r *http.Request) {
+func (e *Entry) postBundle(w http.ResponseWriter, r *http.Request) {
 	data, err := io.ReadAll(http.MaxBytesReader(w, r.Body, bundler.MaxBytes))
 	if err != nil {
 		http.Error(w, err.Error(), http.StatusRequestEntityTooLarge)
@@ -95,8 +95,8 @@
 	}
 }
 
-// metrics are the figures that collectors read; the dispatcher adds its own.
-func (e *Entry) metrics() metrics.Registry {
+// registerMetrics registers the entry's metrics with those of the dispatcher.
+func (e *Entry) registerMetrics() metrics.Registry {
 	r := e.Dispatcher.Metrics
 	gauge := func(name string, value func() int64) {
 		metrics.NewRegisteredFunctionalGauge(name, r, value)
@@ -105,48 +105,48 @@
 	gauge("bundle.ageMs", func() int64 { return e.State.Word().AgeMS })
 	gauge("bundle.alarms", func() int64 { return int64(len(e.State.Alarms())) })
 	gauge("store.deadWatches", e.Watcher.DeadWatches)
-	gauge("entries.alive", func() int64 { return int64(e.members.count()) })
+	gauge("entries.alive", func() int64 { return int64(e.members.aliveCount()) })
 	gauge("agents.known", func() int64 { return int64(len(e.Router.Agents())) })
-	gauge("requests.running", func() int64 { return int64(e.running.now()) })
+	gauge("requests.running", func() int64 { return int64(e.requests.current()) })
 	return r
 }
 
-// running counts callers' requests.
-type running struct {
-	mu    sync.Mutex
-	under int
-	idle  chan struct{}
+// requestCounter counts the callers' requests in progress.
+type requestCounter struct {
+	mu     sync.Mutex
+	active int
+	idle   chan struct{}
 }
 
-// count wraps a handler.
-func (r *running) count(h http.Handler) http.Handler {
+// countRequests wraps a handler so that its requests are counted.
+func (r *requestCounter) countRequests(h http.Handler) http.Handler {
 	return http.HandlerFunc(func(w http.ResponseWriter, q *http.Request) {
-		r.add(1)
-		defer r.add(-1)
+		r.addActive(1)
+		defer r.addActive(-1)
 		h.ServeHTTP(w, q)
 	})
 }
 
-func (r *running) add(n int) {
+func (r *requestCounter) addActive(n int) {
 	r.mu.Lock()
 	defer r.mu.Unlock()
-	r.under += n
-	if r.under == 0 && r.idle != nil {
+	r.active += n
+	if r.active == 0 && r.idle != nil {
 		close(r.idle)
 		r.idle = nil
 	}
 }
 
-func (r *running) now() int {
+func (r *requestCounter) current() int {
 	r.mu.Lock()
 	defer r.mu.Unlock()
-	return r.under
+	return r.active
 }
 
-// wait returns once no request is under way.
-func (r *running) wait() {
+// waitIdle returns once no request is in progress.
+func (r *requestCounter) waitIdle() {
 	r.mu.Lock()
-	if r.under == 0 {
+	if r.active == 0 {
 		r.mu.Unlock()
 		return
 	}
@@ -158,7 +158,7 @@
 	<-idle
 }
 
-func shuffle(es []receiver.Entry) {
+func shuffleEntries(es []receiver.Entry) {
 	rand.Shuffle(len(es), func(i, j int) { es[i], es[j] = es[j], es[i] })
 }
 
