--- a/internal/entry/members.go
+++ b/internal/entry/members.go
@@ -108,7 +108,7 @@
 }
 
 // updateRouterEntries passes the live entries to the router, which divides a cold
-// upstream's limit among them.
+// upstream's slots among them.
 func (m *members) updateRouterEntries() {
 	ids := []string{m.entry.ID}
 	for id, r := range m.states {
--- a/internal/propagator/persister.go
+++ b/internal/propagator/persister.go
@@ -11,13 +11,13 @@
 )
 
 const (
-	// writePause is between two writes. The watch of the store takes a moment to show the first one.
+	// writePause is the pause between two writes, in which the watch of the store can show the first one.
 	writePause = 500 * time.Millisecond
-	// writeTimeout bounds a write.
+	// writeTimeout bounds one write to the store.
 	writeTimeout = 2 * time.Second
 )
 
-// persister brings the store in step with the localizer, one write at a time.
+// persister writes the localizer's state to the store, one write at a time.
 type persister struct {
 	store Store
 	clock clock.Clock
@@ -25,19 +25,19 @@
 
 	writing   bool
 	nextWrite time.Time
-	results   chan written
-	// staleSince is since when the store has an older state of a part.
+	results   chan writeResult
+	// staleSince holds the time since which the store has an older state of a part.
 	staleSince map[string]time.Time
 }
 
-// written is how a write ended.
-type written struct {
+// writeResult is the result of a write.
+type writeResult struct {
 	part string
 	err  error
 }
 
 // persist writes one state that the store lacks. The entry that decided writes at once, others only after
-// the takeover, as the one that decided may be gone.
+// takeoverDelay in case that entry is down.
 func (s *persister) persist(ctx context.Context, known []localizer.Blame, stored map[string]localizer.Blame) {
 	if len(known) == 0 && len(stored) == 0 {
 		return
@@ -45,39 +45,39 @@
 	if s.staleSince == nil {
 		s.staleSince = map[string]time.Time{}
 	}
-	now, found := s.clock.Now(), map[string]bool{}
+	now, knownParts := s.clock.Now(), map[string]bool{}
 	for _, b := range known {
-		found[b.Part] = true
-		if persisted(&b, stored) {
+		knownParts[b.Part] = true
+		if isPersisted(&b, stored) {
 			delete(s.staleSince, b.Part)
 			continue
 		}
 		if _, ok := s.staleSince[b.Part]; !ok {
 			s.staleSince[b.Part] = now
 		}
-		if b.Entry == s.entry || now.Sub(s.staleSince[b.Part]) > takeover {
+		if b.Entry == s.entry || now.Sub(s.staleSince[b.Part]) > takeoverDelay {
 			s.write(ctx, b.Part, func(ctx context.Context) error { return s.store.PutBlame(ctx, b) })
 		}
 	}
 	for part, b := range stored {
-		if !found[part] && b.Lifted {
+		if !knownParts[part] && b.Lifted {
 			s.write(ctx, part, func(ctx context.Context) error { return s.store.DropBlame(ctx, part) })
 		}
 	}
 	for part := range s.staleSince {
-		if !found[part] {
+		if !knownParts[part] {
 			delete(s.staleSince, part)
 		}
 	}
 }
 
-// persisted tells whether the store has a blame's state. One that was lifted need not be there.
-func persisted(b *localizer.Blame, stored map[string]localizer.Blame) bool {
-	have, ok := stored[b.Part]
+// isPersisted reports whether the store has a blame's state. A lifted blame need not be stored.
+func isPersisted(b *localizer.Blame, stored map[string]localizer.Blame) bool {
+	existing, ok := stored[b.Part]
 	if !ok {
 		return b.Lifted
 	}
-	return !b.Supersedes(&have)
+	return !b.Supersedes(&existing)
 }
 
 func (s *persister) write(ctx context.Context, part string, write func(context.Context) error) {
@@ -88,7 +88,7 @@
 	go func() {
 		ctx, cancel := context.WithTimeout(ctx, writeTimeout)
 		defer cancel()
-		w := written{part: part, err: write(ctx)}
+		w := writeResult{part: part, err: write(ctx)}
 		select {
 		case s.results <- w:
 		case <-ctx.Done():
@@ -96,7 +96,7 @@
 	}()
 }
 
-func (s *persister) finish(w written) {
+func (s *persister) finish(w writeResult) {
 	s.writing = false
 	s.nextWrite = s.clock.Now().Add(writePause)
 	if w.err != nil {
--- a/internal/propagator/propagator.go
+++ b/internal/propagator/propagator.go
@@ -1,6 +1,6 @@
-// Package propagator replicates the evidence on crashes, and the blames that follow from it, among the entries,
-// and persists the blames in the store. Entries push to each other directly, so that an outage of the store
-// delays nothing. The store serves entries that no other one reaches, and a restart of all.
+// Package propagator replicates the evidence on crashes, and the resulting blames, among the entries, and
+// persists the blames in the store. Entries push to each other directly, so that an outage of the store
+// delays nothing. The store serves entries that no other one can reach, and a restart of all entries.
 package propagator
 
 import (
@@ -20,25 +20,25 @@
 )
 
 const (
-	// tickInterval is how often new evidence is pushed and weighed, idleInterval the same while there is none.
+	// tickInterval is how often new evidence is pushed and evaluated, idleInterval the same without new evidence.
 	tickInterval = 50 * time.Millisecond
 	idleInterval = 250 * time.Millisecond
-	// pullInterval is the mean time between two pulls of a peer's state. A pull repairs what a push missed, as
-	// one to an entry that isn't known to others yet.
+	// pullInterval is the mean time between two pulls of a peer's state. A pull recovers evidence that wasn't
+	// pushed, for example to an entry that others don't know yet.
 	pullInterval = 2 * time.Second
-	// initialPull is the pause after an attempt to pull that failed, until the first one succeeds.
-	initialPull = 50 * time.Millisecond
-	// pullPeers is from how many peers an entry pulls, half of them of its own region as far as there are: the
-	// links between regions may be saturated. A connection to each of hundreds would cost more than all pulls.
-	pullPeers = 4
+	// initialPullRetry is the pause between attempts to pull until the first one succeeds.
+	initialPullRetry = 50 * time.Millisecond
+	// maxPullPeers is the number of peers from which an entry pulls, half of them in its own region if possible, as
+	// links between regions may be saturated. Connections to hundreds of peers would cost more than all pulls.
+	maxPullPeers = 4
 	// pushRetry is the pause after a push that failed.
 	pushRetry = 300 * time.Millisecond
 	// callTimeout bounds a call to another entry.
 	callTimeout = time.Second
-	// syncTimeout is how long after its start an entry waits for its first pull.
+	// syncTimeout is how long after its first view an entry waits for its first pull.
 	syncTimeout = 300 * time.Millisecond
-	// takeover is after what time an entry persists a blame that another one should have persisted.
-	takeover = 3 * time.Second
+	// takeoverDelay is the time after which an entry persists a blame that another one should have persisted.
+	takeoverDelay = 3 * time.Second
 )
 
 // Store persists blames.
@@ -47,69 +47,69 @@
 	DropBlame(ctx context.Context, part string) error
 }
 
-// Propagator connects a localizer with those of the other entries. Set the exported fields before Serve.
+// Propagator connects a localizer to those of the other entries. Set the exported fields before Serve.
 type Propagator struct {
 	Localizer *localizer.Localizer
 	Registrar *registrar.Registrar
-	// Member is this entry, Seeds are addresses to pull from while no other entry is known.
+	// Member is this entry; Seeds are the addresses to pull from while no other entry is known.
 	Member registrar.Member
 	Seeds  []netip.AddrPort
-	// Dial makes the client of an entry's address.
+	// Dial returns a client for an entry's address.
 	Dial  func(netip.AddrPort) *messenger.Client
 	Store Store
 	Clock clock.WithTicker
 
 	clients messenger.Clients
 	peers   map[netip.AddrPort]*peer
-	// pullFrom are the peers to pull from.
+	// pullFrom lists the peers to pull from.
 	pullFrom []netip.AddrPort
 	// acked is the sequence number up to which all peers have acknowledged the evidence of this entry.
 	acked   uint64
 	results chan result
-	// pulled is set after the first successful pull; pulling are the peers of those under way. The next is due at nextPull.
+	// pulled is set after the first successful pull; pulling holds the peers of pulls in progress. The next pull is due at nextPull.
 	pulled   bool
 	pulling  map[netip.AddrPort]bool
 	nextPull time.Time
-	// synced is set once this entry may rely on its blames; knownSince is when its first view came.
-	synced     atomic.Bool
-	knownSince time.Time
-	// merged is the view whose blames were merged last.
-	merged    *registrar.View
-	persister persister
+	// synced is set once this entry may rely on its blames; firstViewAt is when it received its first view.
+	synced      atomic.Bool
+	firstViewAt time.Time
+	// mergedView is the view whose blames were merged last.
+	mergedView *registrar.View
+	persister  persister
 }
 
 // peer is another entry.
 type peer struct {
 	incarnation, region string
-	// acked is the sequence number up to which it has acknowledged the evidence of this entry.
+	// acked is the sequence number up to which the peer has acknowledged the evidence of this entry.
 	acked   uint64
 	pushing bool
-	// nextPush is when it may be pushed to again after a failure.
+	// nextPush is the earliest time of the next push after a failure.
 	nextPush time.Time
 }
 
-// result is how a call to another entry ended.
+// result is the result of a call to another entry.
 type result struct {
-	to netip.AddrPort
-	// pull is set for a pull; sequence is that of the last evidence in a push.
-	pull             bool
-	sequence         uint64
-	request, replied localizer.Update
-	err              error
+	address netip.AddrPort
+	// pull is set for a pull; sequence is the number of the last evidence in a push.
+	pull           bool
+	sequence       uint64
+	request, reply localizer.Update
+	err            error
 }
 
 func (p *Propagator) String() string { return "propagator" }
 
-// Synced tells whether this entry has pulled the others' blames, or could not within syncTimeout. Until then
-// an entry that has just started would send what all others refuse.
+// Synced reports whether this entry has pulled the blames of others, or couldn't within syncTimeout. Until then
+// an entry that has just started would send requests that all others refuse.
 func (p *Propagator) Synced() bool { return p.synced.Load() }
 
 // Serve runs until the context ends.
 func (p *Propagator) Serve(ctx context.Context) error {
 	p.clients.Dial, p.clients.Timeout = p.Dial, callTimeout
 	p.peers, p.results, p.acked = map[netip.AddrPort]*peer{}, make(chan result), 0
-	p.pulling, p.nextPull, p.merged = map[netip.AddrPort]bool{}, time.Time{}, nil
-	p.persister = persister{store: p.Store, clock: p.Clock, entry: p.Member.ID, results: make(chan written)}
+	p.pulling, p.nextPull, p.mergedView = map[netip.AddrPort]bool{}, time.Time{}, nil
+	p.persister = persister{store: p.Store, clock: p.Clock, entry: p.Member.ID, results: make(chan writeResult)}
 	defer p.clients.Close()
 	timer := p.Clock.NewTimer(tickInterval)
 	defer timer.Stop()
@@ -118,10 +118,10 @@
 		select {
 		case <-ctx.Done():
 			return ctx.Err()
-		case <-p.firstView():
+		case <-p.awaitFirstView():
 			p.tick(ctx)
 		case r := <-p.results:
-			p.finish(r)
+			p.finishCall(r)
 		case w := <-p.persister.results:
 			p.persister.finish(w)
 		case <-timer.C():
@@ -131,9 +131,9 @@
 	}
 }
 
-// firstView is closed when this entry may have got its first view; nil once it has one.
-func (p *Propagator) firstView() <-chan struct{} {
-	if p.merged != nil {
+// awaitFirstView returns a channel that is closed when the first view may be available; nil once it was merged.
+func (p *Propagator) awaitFirstView() <-chan struct{} {
+	if p.mergedView != nil {
 		return nil
 	}
 	changed := p.Registrar.Changed()
@@ -145,7 +145,7 @@
 	return changed
 }
 
-// interval is the time until the next tick.
+// interval returns the time until the next tick.
 func (p *Propagator) interval() time.Duration {
 	if p.Localizer.Idle() && p.synced.Load() {
 		return idleInterval
@@ -155,8 +155,8 @@
 
 func (p *Propagator) tick(ctx context.Context) {
 	view := p.Registrar.View()
-	if view != nil && view != p.merged {
-		p.merged = view
+	if view != nil && view != p.mergedView {
+		p.mergedView = view
 		for _, b := range view.Blames {
 			p.Localizer.Merge(b)
 		}
@@ -176,16 +176,16 @@
 		return
 	}
 	now := p.Clock.Now()
-	if p.knownSince.IsZero() {
-		p.knownSince = now
+	if p.firstViewAt.IsZero() {
+		p.firstViewAt = now
 	}
-	if p.pulled || now.Sub(p.knownSince) >= syncTimeout {
+	if p.pulled || now.Sub(p.firstViewAt) >= syncTimeout {
 		p.synced.Store(true)
-		klog.InfoS("Blames synced", "pulled", p.pulled, "after", now.Sub(p.knownSince))
+		klog.InfoS("Blames synced", "pulled", p.pulled, "after", now.Sub(p.firstViewAt))
 	}
 }
 
-// updatePeers keeps peers in step with the known entries. A new incarnation has to get everything again.
+// updatePeers updates the peers to the known entries. A new incarnation needs all evidence again.
 func (p *Propagator) updatePeers(view *registrar.View) {
 	used := map[netip.AddrPort]bool{}
 	for _, s := range p.Seeds {
@@ -209,59 +209,59 @@
 		}
 	}
 	p.clients.Keep(used)
-	p.choosePullPeers()
+	p.updatePullPeers()
 }
 
-// choosePullPeers keeps the choice while its peers remain, so that their connections are used again.
-func (p *Propagator) choosePullPeers() {
+// updatePullPeers replaces only peers that were removed, so that connections are reused.
+func (p *Propagator) updatePullPeers() {
 	p.pullFrom = slices.DeleteFunc(p.pullFrom, func(a netip.AddrPort) bool { return p.peers[a] == nil })
-	p.choose(pullPeers/2, func(o *peer) bool { return o.region == p.Member.Region })
-	p.choose(pullPeers, func(*peer) bool { return true })
+	p.addPullPeers(maxPullPeers/2, func(o *peer) bool { return o.region == p.Member.Region })
+	p.addPullPeers(maxPullPeers, func(*peer) bool { return true })
 }
 
-// choose adds peers to pull from up to a number of them.
-func (p *Propagator) choose(most int, fits func(*peer) bool) {
+// addPullPeers adds matching peers to pull from up to a limit.
+func (p *Propagator) addPullPeers(limit int, match func(*peer) bool) {
 	for a, o := range p.peers {
-		if len(p.pullFrom) >= most {
+		if len(p.pullFrom) >= limit {
 			return
 		}
-		if fits(o) && !slices.Contains(p.pullFrom, a) {
+		if match(o) && !slices.Contains(p.pullFrom, a) {
 			p.pullFrom = append(p.pullFrom, a)
 		}
 	}
 }
 
-// push sends each peer the evidence of this entry that it hasn't acknowledged.
+// push sends each peer the evidence of this entry that the peer hasn't acknowledged.
 func (p *Propagator) push(ctx context.Context) {
 	newest := p.Localizer.Sequence()
 	if newest == p.acked {
 		return
 	}
-	now, all := p.Clock.Now(), true
-	for a, to := range p.peers {
-		if to.acked >= newest {
+	now, allAcked := p.Clock.Now(), true
+	for a, target := range p.peers {
+		if target.acked >= newest {
 			continue
 		}
-		all = false
-		if to.pushing || now.Before(to.nextPush) {
+		allAcked = false
+		if target.pushing || now.Before(target.nextPush) {
 			continue
 		}
-		u, sequence := p.Localizer.ChangesSince(to.acked)
+		u, sequence := p.Localizer.ChangesSince(target.acked)
 		if u.Empty() {
-			to.acked = sequence
+			target.acked = sequence
 			continue
 		}
-		to.pushing = true
-		p.call(ctx, result{to: a, request: u, sequence: sequence})
+		target.pushing = true
+		p.call(ctx, result{address: a, request: u, sequence: sequence})
 	}
-	if all {
+	if allAcked {
 		p.acked = newest
 	}
 }
 
-// pull asks peers for their whole state once that is due: one, or all of them and the seeds until the first one has
-// answered. With one after the other, a silent one or a saturated link took the whole syncTimeout of an entry that had
-// just started.
+// pull requests the whole state of peers once that is due: of one, or of all of them and the seeds until the first one has
+// answered. One request at a time could spend the whole syncTimeout of an entry that has just started on an unresponsive
+// peer or a saturated link.
 func (p *Propagator) pull(ctx context.Context) {
 	now := p.Clock.Now()
 	if now.Before(p.nextPull) {
@@ -272,37 +272,37 @@
 		if len(p.pulling) > 0 {
 			return
 		}
-		from = p.randomPeer()
+		from = p.randomPullPeer()
 	}
 	for _, a := range from {
 		if !p.pulling[a] {
 			p.pulling[a] = true
-			p.call(ctx, result{to: a, pull: true, request: localizer.Update{All: true}})
+			p.call(ctx, result{address: a, pull: true, request: localizer.Update{All: true}})
 		}
 	}
 	if !p.pulled {
-		p.nextPull = now.Add(initialPull)
+		p.nextPull = now.Add(initialPullRetry)
 	}
 }
 
-// randomPeer draws a peer to pull from, or a seed while there is none.
-func (p *Propagator) randomPeer() []netip.AddrPort {
-	as := p.pullFrom
-	if len(as) == 0 {
-		as = p.Seeds
+// randomPullPeer returns a random peer to pull from, or a seed while there is none.
+func (p *Propagator) randomPullPeer() []netip.AddrPort {
+	addresses := p.pullFrom
+	if len(addresses) == 0 {
+		addresses = p.Seeds
 	}
-	if len(as) == 0 {
+	if len(addresses) == 0 {
 		return nil
 	}
-	i := rand.IntN(len(as))
-	return as[i : i+1]
+	i := rand.IntN(len(addresses))
+	return addresses[i : i+1]
 }
 
-// call sends the request of a result, which is completed by the reply.
+// call sends the request of a result and completes the result with the reply.
 func (p *Propagator) call(ctx context.Context, r result) {
-	client := p.clients.To(r.to)
+	client := p.clients.To(r.address)
 	go func() {
-		r.replied, r.err = client.Evidence(ctx, r.request)
+		r.reply, r.err = client.Evidence(ctx, r.request)
 		select {
 		case p.results <- r:
 		case <-ctx.Done():
@@ -310,31 +310,31 @@
 	}()
 }
 
-func (p *Propagator) finish(r result) {
+func (p *Propagator) finishCall(r result) {
 	if r.pull {
 		p.finishPull(r)
 		return
 	}
-	to := p.peers[r.to]
-	if to == nil {
+	target := p.peers[r.address]
+	if target == nil {
 		return
 	}
-	to.pushing = false
+	target.pushing = false
 	if r.err != nil {
-		klog.V(1).InfoS("Evidence not pushed", "peer", r.to, "err", r.err)
-		to.nextPush = p.Clock.Now().Add(pushRetry)
+		klog.V(1).InfoS("Evidence not pushed", "peer", r.address, "err", r.err)
+		target.nextPush = p.Clock.Now().Add(pushRetry)
 		return
 	}
-	to.acked = r.sequence
-	p.Localizer.HandleAck(r.request, r.replied)
+	target.acked = r.sequence
+	p.Localizer.HandleAck(r.request, r.reply)
 }
 
 func (p *Propagator) finishPull(r result) {
-	delete(p.pulling, r.to)
+	delete(p.pulling, r.address)
 	if r.err == nil {
-		p.Localizer.Apply(r.replied)
+		p.Localizer.Apply(r.reply)
 		p.pulled = true
-		p.updateSynced(p.merged)
+		p.updateSynced(p.mergedView)
 	}
 	if p.pulled {
 		p.nextPull = p.Clock.Now().Add(pullInterval/2 + time.Duration(rand.Int64N(int64(pullInterval))))
--- a/internal/propagator/propagator_test.go
+++ b/internal/propagator/propagator_test.go
@@ -24,19 +24,19 @@
 // stepTimeout bounds how long a step may take on a machine that is short of processor time.
 const stepTimeout = 20 * time.Second
 
-// store keeps records and hands them to entries that read it, unless it is out.
-type store struct {
-	mu       sync.Mutex
-	out      bool
-	revision uint64
-	readers  []*registrar.Registrar
-	puts     map[string]localizer.Blame
+// fakeStore stores records and passes them to the registrars of entries, unless it is unavailable.
+type fakeStore struct {
+	mu          sync.Mutex
+	unavailable bool
+	revision    uint64
+	registrars  []*registrar.Registrar
+	puts        map[string]localizer.Blame
 }
 
-func (s *store) PutBlame(_ context.Context, b localizer.Blame) error {
+func (s *fakeStore) PutBlame(_ context.Context, b localizer.Blame) error {
 	s.mu.Lock()
 	defer s.mu.Unlock()
-	if s.out {
+	if s.unavailable {
 		return &storer.UnavailableError{Op: "put"}
 	}
 	s.puts[b.Part] = b
@@ -48,16 +48,16 @@
 	return nil
 }
 
-func (s *store) DropBlame(context.Context, string) error { return nil }
+func (s *fakeStore) DropBlame(context.Context, string) error { return nil }
 
-func (s *store) write(key string, value []byte) {
+func (s *fakeStore) write(key string, value []byte) {
 	s.revision++
-	for _, r := range s.readers {
+	for _, r := range s.registrars {
 		r.Apply(registrar.Batch{After: s.revision - 1, At: s.revision, Records: []registrar.Record{{Key: key, Value: value, Revision: s.revision}}})
 	}
 }
 
-func (s *store) kept(part string) localizer.Blame {
+func (s *fakeStore) storedBlame(part string) localizer.Blame {
 	s.mu.Lock()
 	defer s.mu.Unlock()
 	return s.puts[part]
@@ -74,8 +74,8 @@
 	return m, err
 }
 
-// entry is one of a deployment, with links that only it has.
-type entry struct {
+// testEntry is an entry of a deployment, with its own server and propagator.
+type testEntry struct {
 	*localizer.Localizer
 	propagator *propagator.Propagator
 	registrar  *registrar.Registrar
@@ -84,24 +84,24 @@
 	crashes    int
 }
 
-// deployment is some entries that know each other.
+// deployment is a set of entries that know each other.
 type deployment struct {
 	t       *testing.T
-	store   *store
-	entries []*entry
+	store   *fakeStore
+	entries []*testEntry
 }
 
 func newDeployment(t *testing.T, n int) *deployment {
-	d := &deployment{t: t, store: &store{puts: map[string]localizer.Blame{}}}
+	d := &deployment{t: t, store: &fakeStore{puts: map[string]localizer.Blame{}}}
 	for i := range n {
 		d.entries = append(d.entries, d.start(fmt.Sprint("e", i), "1", nil))
 	}
-	d.introduce()
+	d.announceMembers()
 	return d
 }
 
-// introduce has the store name all entries.
-func (d *deployment) introduce() {
+// announceMembers publishes all entries through the store.
+func (d *deployment) announceMembers() {
 	d.store.mu.Lock()
 	defer d.store.mu.Unlock()
 	for _, e := range d.entries {
@@ -111,10 +111,10 @@
 	}
 }
 
-func (d *deployment) start(id, incarnation string, seeds []netip.AddrPort) *entry {
+func (d *deployment) start(id, incarnation string, seeds []netip.AddrPort) *testEntry {
 	l, err := net.Listen("tcp", "127.0.0.1:0")
 	must.NoError(d.t, err)
-	e := &entry{registrar: &registrar.Registrar{Clock: clock.RealClock{}, Decode: decode}}
+	e := &testEntry{registrar: &registrar.Registrar{Clock: clock.RealClock{}, Decode: decode}}
 	e.Localizer = &localizer.Localizer{Entry: id, Clock: clock.RealClock{}, WallClock: clock.RealClock{}}
 	a := netip.MustParseAddrPort(l.Addr().String())
 	e.member = registrar.Member{ID: id, Incarnation: incarnation, Callers: a, Peers: a}
@@ -124,22 +124,22 @@
 	}
 	ctx, cancel := context.WithCancel(context.Background())
 	server := &messenger.Server{Listener: l, OnEvidence: e.Handle}
-	var all sync.WaitGroup
-	all.Go(func() { _ = server.Serve(ctx) })
-	all.Go(func() { _ = e.propagator.Serve(ctx) })
+	var wg sync.WaitGroup
+	wg.Go(func() { _ = server.Serve(ctx) })
+	wg.Go(func() { _ = e.propagator.Serve(ctx) })
 	e.stop = func() {
 		cancel()
-		all.Wait()
+		wg.Wait()
 	}
 	d.t.Cleanup(e.stop)
 	d.store.mu.Lock()
-	d.store.readers = append(d.store.readers, e.registrar)
+	d.store.registrars = append(d.store.registrars, e.registrar)
 	d.store.mu.Unlock()
 	return e
 }
 
-// crash has an entry see crashes under requests with a part, far enough apart.
-func (e *entry) crash(part string, n int) {
+// recordCrashes records crashes under requests with a part, far enough apart to count as separate ones.
+func (e *testEntry) recordCrashes(part string, n int) {
 	for range n {
 		e.crashes++
 		e.Crashed(fmt.Sprint(e.member.ID, " upstream ", e.crashes), []string{part}, time.Now())
@@ -147,75 +147,75 @@
 	}
 }
 
-// refuses waits until an entry refuses a part, or no longer does.
-func (d *deployment) refuses(e *entry, part string, yes bool) {
+// waitForRefusal waits until an entry refuses a part, or accepts it if want is false.
+func (d *deployment) waitForRefusal(e *testEntry, part string, want bool) {
 	deadline := time.Now().Add(stepTimeout)
-	for (e.Check("r", []string{part}) != nil) != yes {
+	for (e.Check("r", []string{part}) != nil) != want {
 		must.True(d.t, time.Now().Before(deadline), must.Sprintf("%s: %v", e.member.ID, e.Blames()))
 		time.Sleep(10 * time.Millisecond)
 	}
 }
 
-// Guards against evidence that stays where it was seen: no entry alone sees enough crashes, and the store is out.
-func TestEvidenceOfAllEntriesIsJoined(t *testing.T) {
+// Guards against evidence that isn't exchanged: no single entry observes enough crashes, and the store is unavailable.
+func TestEvidenceOfAllEntriesIsCombined(t *testing.T) {
 	d := newDeployment(t, 3)
-	d.store.out = true
+	d.store.unavailable = true
 	for range 2 {
 		for _, e := range d.entries {
-			e.crash("fatal", 1)
+			e.recordCrashes("fatal", 1)
 		}
 	}
 	for _, e := range d.entries {
-		d.refuses(e, "fatal", true)
+		d.waitForRefusal(e, "fatal", true)
 		must.NoError(t, e.Check("r", []string{"other"}))
 	}
 }
 
-// Guards against an entry that has just started and doesn't know what the others refuse, while the store is out.
+// Guards against an entry that has just started and lacks the others' blames while the store is unavailable.
 func TestStartedEntryPullsBlames(t *testing.T) {
 	d := newDeployment(t, 2)
-	d.store.out = true
-	d.entries[0].crash("fatal", 5)
-	d.refuses(d.entries[1], "fatal", true)
+	d.store.unavailable = true
+	d.entries[0].recordCrashes("fatal", 5)
+	d.waitForRefusal(d.entries[1], "fatal", true)
 	started := d.start("e2", "1", []netip.AddrPort{d.entries[1].member.Peers})
 	must.False(t, started.propagator.Synced())
-	d.refuses(started, "fatal", true)
+	d.waitForRefusal(started, "fatal", true)
 }
 
-// Guards against blames that a restart of all entries forgets, and against none in the store as the entry that
-// decided is gone.
-func TestBlamesAreKeptInTheStore(t *testing.T) {
+// Guards against blames that are lost by a restart of all entries, and against blames that aren't stored because the
+// entry that decided is down.
+func TestBlamesArePersistedInStore(t *testing.T) {
 	d := newDeployment(t, 2)
 	d.store.mu.Lock()
-	d.store.out = true
+	d.store.unavailable = true
 	d.store.mu.Unlock()
-	d.entries[0].crash("fatal", 5)
+	d.entries[0].recordCrashes("fatal", 5)
 	for _, e := range d.entries {
-		d.refuses(e, "fatal", true)
+		d.waitForRefusal(e, "fatal", true)
 	}
 	d.entries[0].stop()
 	d.store.mu.Lock()
-	d.store.out = false
+	d.store.unavailable = false
 	d.store.mu.Unlock()
 	deadline := time.Now().Add(stepTimeout)
-	for d.store.kept("fatal").Part == "" {
+	for d.store.storedBlame("fatal").Part == "" {
 		must.True(t, time.Now().Before(deadline))
 		time.Sleep(20 * time.Millisecond)
 	}
 	d.entries[1].stop()
 	started := d.start("e3", "1", nil)
-	value, err := json.Marshal(d.store.kept("fatal"))
+	value, err := json.Marshal(d.store.storedBlame("fatal"))
 	must.NoError(t, err)
 	started.registrar.Apply(registrar.Batch{Whole: true, At: 100, Records: []registrar.Record{{Key: "blame fatal", Value: value, Revision: 100}}})
-	d.refuses(started, "fatal", true)
+	d.waitForRefusal(started, "fatal", true)
 }
 
-// Guards against a blame that lasts at entries which the operator's word didn't reach.
+// Guards against a blame that stays active at entries that the operator's request to lift it didn't reach.
 func TestLiftedBlameEndsEverywhere(t *testing.T) {
 	d := newDeployment(t, 3)
-	d.entries[0].crash("fatal", 5)
+	d.entries[0].recordCrashes("fatal", 5)
 	for _, e := range d.entries {
-		d.refuses(e, "fatal", true)
+		d.waitForRefusal(e, "fatal", true)
 	}
 	b := d.entries[2].Blames()[0]
 	b.Lifted, b.Reason = true, "operator"
@@ -224,6 +224,6 @@
 	_, err := client.Evidence(t.Context(), localizer.Update{Blames: []localizer.Blame{b}})
 	must.NoError(t, err)
 	for _, e := range d.entries {
-		d.refuses(e, "fatal", false)
+		d.waitForRefusal(e, "fatal", false)
 	}
 }
--- a/internal/propagator/start_test.go
+++ b/internal/propagator/start_test.go
@@ -18,9 +18,9 @@
 	"github.com/oriolecroft/oriolecroft/internal/registrar"
 )
 
-// Guards against an entry that refuses prompts for long after it has its route table, or takes them without the others'
-// blames, as it asks one peer after the other and the first ones are silent or don't listen yet.
-func TestStartedEntryAsksAllSeedsForBlamesBesideTheTable(t *testing.T) {
+// Guards against an entry that refuses prompts long after it got its route table, or accepts them without the others'
+// blames, because it pulls from one peer at a time and the first ones are unresponsive or don't listen yet.
+func TestStartedEntryPullsFromAllSeedsConcurrently(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		t.Cleanup(func() { time.Sleep(connectortest.Settle) })
 		ctx, stop := context.WithCancel(t.Context())
@@ -37,10 +37,10 @@
 			other.Tick()
 		}
 		must.Error(t, other.Check("r", []string{"fatal"}))
-		lives := netip.MustParseAddrPort(listener.Addr().String())
-		seeds := []netip.AddrPort{netip.MustParseAddrPort("10.9.0.1:1"), netip.MustParseAddrPort("10.9.0.2:1"), netip.MustParseAddrPort("10.9.0.3:1"), lives}
+		responsive := netip.MustParseAddrPort(listener.Addr().String())
+		seeds := []netip.AddrPort{netip.MustParseAddrPort("10.9.0.1:1"), netip.MustParseAddrPort("10.9.0.2:1"), netip.MustParseAddrPort("10.9.0.3:1"), responsive}
 		dial := func(ctx context.Context, network, address string) (net.Conn, error) {
-			if address != lives.String() {
+			if address != responsive.String() {
 				<-ctx.Done()
 				return nil, ctx.Err()
 			}
@@ -49,10 +49,10 @@
 		started := &localizer.Localizer{Entry: "started", Clock: c, WallClock: c}
 		r := &registrar.Registrar{Clock: c, Decode: decode}
 		p := &propagator.Propagator{Localizer: started, Registrar: r, Member: registrar.Member{ID: "started"}, Seeds: seeds, Clock: c,
-			Store: &store{}, Dial: func(a netip.AddrPort) *messenger.Client { return &messenger.Client{Address: a, Dial: dial} }}
+			Store: &fakeStore{}, Dial: func(a netip.AddrPort) *messenger.Client { return &messenger.Client{Address: a, Dial: dial} }}
 		go func() { _ = p.Serve(ctx) }()
 		time.Sleep(200 * time.Millisecond)
-		must.False(t, p.Synced(), must.Sprint("without the blames in the store"))
+		must.False(t, p.Synced(), must.Sprint("synced without a view of the store"))
 		r.Apply(registrar.Batch{Whole: true, At: 1})
 		time.Sleep(time.Millisecond)
 		must.True(t, p.Synced())
