--- a/internal/localizer/evidence.go
+++ b/internal/localizer/evidence.go
@@ -32,8 +32,8 @@
 	return c.requests
 }
 
-// findOrAddCrash returns the crash of an upstream at a time and records it if it is new. The time tells
-// crashes apart, as an upstream may restart under the same name.
+// findOrAddCrash returns the crash of an upstream at a time and records it if it is new. The time distinguishes
+// crashes, as an upstream may restart under the same name.
 func (l *Localizer) findOrAddCrash(upstream string, at time.Time) *crash {
 	for _, c := range slices.Backward(l.crashes) {
 		if c.upstream == upstream && c.at.Sub(at).Abs() <= sameCrashWindow {
--- a/internal/propagator/propagator.go
+++ b/internal/propagator/propagator.go
@@ -24,7 +24,7 @@
 	tickInterval = 50 * time.Millisecond
 	idleInterval = 250 * time.Millisecond
 	// pullInterval is the mean time between two pulls of a peer's state. A pull recovers evidence that wasn't
-	// pushed, for example to an entry that others don't know yet.
+	// pushed, for example to an entry that others haven't discovered yet.
 	pullInterval = 2 * time.Second
 	// initialPullRetry is the pause between attempts to pull until the first one succeeds.
 	initialPullRetry = 50 * time.Millisecond
--- a/internal/propagator/propagator_test.go
+++ b/internal/propagator/propagator_test.go
@@ -84,7 +84,7 @@
 	crashes    int
 }
 
-// deployment is a set of entries that know each other.
+// deployment is a set of connected entries.
 type deployment struct {
 	t       *testing.T
 	store   *fakeStore
