--- a/internal/relayer/reception.go
+++ b/internal/relayer/reception.go
@@ -140,7 +140,7 @@
 	if err := r.call.checkPartsOf(r.call.Request, r.failed); err != nil {
 		return nil, err
 	}
-	r.call.Localizer.Sent(r.call.ID, r.call.SharedParts())
+	r.call.Localizer.RequestSent(r.call.ID, r.call.SharedParts())
 	started, err = r.call.closeUnlessStarted(r.place, conn)
 	if err == nil {
 		r.conn, r.started = conn, started
