--- a/cmd/oriolecroft/status.go
+++ b/cmd/oriolecroft/status.go
@@ -70,7 +70,7 @@
 	fmt.Fprintln(w, "ENTRY\tDOMAIN\tREVISION\tFRESH\tSTORE\tRUNNING\tALARMS")
 	for _, e := range d.Entries {
 		fmt.Fprintf(w, "%s\t%s\t%d\t%t\t%t\t%d\t%d\n", e.State.ID, e.State.FailureDomain,
-			e.State.Word.Revision, e.Fresh, e.State.StoreReachable, e.Running, len(e.Alarms))
+			e.State.Freshness.Revision, e.Fresh, e.State.StoreReachable, e.Running, len(e.Alarms))
 	}
 	for at, why := range d.Silent {
 		fmt.Fprintf(w, "%s\tno answer: %s\t\t\t\t\t\n", at, why)
--- a/internal/agent/bookings_test.go
+++ b/internal/agent/bookings_test.go
@@ -34,7 +34,7 @@
 	return w.client.Call(ctx, addressOf(w.Listener), o, []byte("{}"))
 }
 
-func (w *world) fate(key string) forwarder.Fate {
+func (w *world) fate(key string) forwarder.KeyState {
 	w.t.Helper()
 	ctx, cancel := context.WithTimeout(w.t.Context(), patience)
 	defer cancel()
@@ -63,7 +63,7 @@
 		must.True(t, errors.As(err, &u), must.Sprint(err))
 		w.post("/admin/faults", `{}`)
 	}
-	must.Eq(t, forwarder.FateUnknown, w.fate(k))
+	must.Eq(t, forwarder.KeyUnknown, w.fate(k))
 	must.Eq(t, 1, w.counts("runs"))
 }
 
@@ -79,13 +79,13 @@
 		both.Go(func() { replies[i], errs[i] = w.book(k) })
 	}
 	w.until(func() bool { return w.running() == 1 && w.clock.HasWaiters() })
-	must.Eq(t, forwarder.FateRunning, w.fate(k))
+	must.Eq(t, forwarder.KeyRunning, w.fate(k))
 	w.clock.Step(tokenTime)
 	both.Wait()
 	must.NoError(t, errors.Join(errs[:]...))
 	must.Eq(t, replies[0].Body, replies[1].Body)
 	must.True(t, replies[0].Replayed != replies[1].Replayed)
-	must.Eq(t, forwarder.FateRan, w.fate(k))
+	must.Eq(t, forwarder.KeyRan, w.fate(k))
 	must.Eq(t, 1, w.counts("runs"))
 }
 
@@ -102,7 +102,7 @@
 	w.until(func() bool { return w.State.Word().Revision == 3 && len(w.Gate.Holds()) == 0 })
 	_, err = w.book(k)
 	closedKey(t, err)
-	must.Eq(t, forwarder.FateNotRun, w.fate(k))
+	must.Eq(t, forwarder.KeyNotRun, w.fate(k))
 	must.Eq(t, 0, w.counts("runs"))
 }
 
@@ -111,7 +111,7 @@
 func TestLookupClosesUnseenKey(t *testing.T) {
 	w := startService(t, &imitator.Service{})
 	k := key("late")
-	must.Eq(t, forwarder.FateNotRun, w.fate(k))
+	must.Eq(t, forwarder.KeyNotRun, w.fate(k))
 	_, err := w.book(k)
 	closedKey(t, err)
 	must.Eq(t, 0, w.counts("runs"))
--- a/internal/agent/calls.go
+++ b/internal/agent/calls.go
@@ -46,7 +46,7 @@
 }
 
 // settled is the answer for a key that is not to be run now.
-func settled(v deduplicator.Verdict) (*forwarder.Reply, error) {
+func settled(v deduplicator.Outcome) (*forwarder.Reply, error) {
 	switch v := v.(type) {
 	case deduplicator.Replay:
 		return &forwarder.Reply{Status: v.Reply.Status, Header: v.Reply.Header, Body: v.Reply.Body, Replayed: true}, nil
@@ -140,19 +140,19 @@
 // Lookup tells what became of a key. A key that has not been seen is closed by
 // the question: the caller will take "not run" as leave to book anew, so a late
 // duplicate must not run afterwards.
-func (r *runner) Lookup(key string) forwarder.Fate {
+func (r *runner) Lookup(key string) forwarder.KeyState {
 	k, err := deduplicator.ParseKey(key)
 	if err != nil {
-		return forwarder.FateUnknown
+		return forwarder.KeyUnknown
 	}
 	switch r.agent.Ledger.Close(k).(type) {
 	case deduplicator.Replay:
-		return forwarder.FateRan
+		return forwarder.KeyRan
 	case deduplicator.Running, deduplicator.Run:
-		return forwarder.FateRunning
+		return forwarder.KeyRunning
 	case deduplicator.Refused:
-		return forwarder.FateNotRun
+		return forwarder.KeyNotRun
 	default:
-		return forwarder.FateUnknown
+		return forwarder.KeyUnknown
 	}
 }
--- a/internal/agent/dead_service_test.go
+++ b/internal/agent/dead_service_test.go
@@ -60,12 +60,12 @@
 			if tt.whole {
 				must.NoError(t, err)
 				must.Eq(t, "a part", string(reply.Body))
-				must.Eq(t, forwarder.FateRan, w.fate(k))
+				must.Eq(t, forwarder.KeyRan, w.fate(k))
 				return
 			}
 			var u *forwarder.UnknownError
 			must.True(t, errors.As(err, &u), must.Sprint(err))
-			must.Eq(t, forwarder.FateUnknown, w.fate(k))
+			must.Eq(t, forwarder.KeyUnknown, w.fate(k))
 		})
 	}
 }
--- a/internal/agent/link.go
+++ b/internal/agent/link.go
@@ -107,7 +107,7 @@
 		_, r.Record = l.agent.State.Current()
 	}
 	if k.told != nil && sameBut(*k.told, s) {
-		r.Beat = &messenger.Beat{ID: s.ID, Incarnation: s.Incarnation, Sequence: s.Sequence, Running: s.Running}
+		r.Heartbeat = &messenger.Heartbeat{ID: s.ID, Incarnation: s.Incarnation, Sequence: s.Sequence, Running: s.Running}
 		return r
 	}
 	k.told = &s
@@ -134,10 +134,10 @@
 		k.told = nil
 	}
 	w := l.agent.State.Word()
-	k.behind = n.Word.Revision < w.Revision
+	k.behind = n.Freshness.Revision < w.Revision
 	l.take(n)
 	l.place(n, k.client.Address)
 	// The answer is as fresh as the question: while it was under way, or this
 	// process frozen, a newer bundle may have come into force.
-	l.agent.State.HearWord(n.Word, asked)
+	l.agent.State.HearWord(n.Freshness, asked)
 }
--- a/internal/agent/links.go
+++ b/internal/agent/links.go
@@ -133,13 +133,13 @@
 
 // pushed takes what an entry sent unasked. It can bring a higher bundle but no
 // freshness: how long it lay in a socket is unknown.
-func (l *links) pushed(n messenger.News) {
+func (l *links) pushed(n messenger.Update) {
 	l.take(n)
 	l.agent.hold(context.Background())
 	l.announce()
 }
 
-func (l *links) take(n messenger.News) {
+func (l *links) take(n messenger.Update) {
 	a := l.agent
 	if n.Record != nil {
 		if _, err := a.State.Offer(n.Record); err != nil {
@@ -158,7 +158,7 @@
 // place takes over the model and the permit that an entry gave. Of all entries
 // only one counts for each: if every entry handed out its own permits, a quarter
 // of the replicas for each of nine entries would switch at the same time.
-func (l *links) place(n messenger.News, from netip.AddrPort) {
+func (l *links) place(n messenger.Update, from netip.AddrPort) {
 	a := l.agent
 	if n.Assignment == "" {
 		return
@@ -167,7 +167,7 @@
 		a.switcher.assign(n.Assignment)
 	}
 	if l.home(modelHome(n.Assignment)) == from {
-		a.switcher.permit(n.Assignment, n.Word.Revision, n.Switch)
+		a.switcher.permit(n.Assignment, n.Freshness.Revision, n.Switch)
 	}
 }
 
--- a/internal/agent/world_test.go
+++ b/internal/agent/world_test.go
@@ -196,16 +196,16 @@
 }
 
 // answer is the entry's part.
-func (w *world) answer(r messenger.Report, _ *messenger.Link) messenger.News {
+func (w *world) answer(r messenger.Report, _ *messenger.Link) messenger.Update {
 	w.mu.Lock()
 	defer w.mu.Unlock()
 	if r.State != nil {
 		w.state = *r.State
 	} else {
-		w.state.Sequence, w.state.Running = r.Beat.Sequence, r.Beat.Running
+		w.state.Sequence, w.state.Running = r.Heartbeat.Sequence, r.Heartbeat.Running
 	}
-	n := messenger.News{
-		Word:       messenger.Word{Revision: w.bundle.Revision, Digest: w.record.Digest()},
+	n := messenger.Update{
+		Freshness:  messenger.Freshness{Revision: w.bundle.Revision, Digest: w.record.Digest()},
 		Entries:    []messenger.EntryRef{{ID: "entry-1", Region: "r", Peers: w.peers}},
 		Assignment: "rota",
 		Switch:     !w.deny,
--- a/internal/deduplicator/claims.go
+++ b/internal/deduplicator/claims.go
@@ -18,24 +18,24 @@
 const (
 	defaultClaimRetain = 24 * time.Hour
 	defaultRetryAfter  = time.Second
-	// claimTries bounds how often a lost answer of the store is followed up.
-	claimTries = 4
-	// leasesPerRetain is how many leases are granted per Retain: all claims of
-	// one such period share a lease, which costs the store one write for them.
+	// maxClaimAttempts bounds the retries after lost replies of the store.
+	maxClaimAttempts = 4
+	// leasesPerRetain is the number of leases granted per Retain: all claims of
+	// one such period share a lease, which costs the store a single write.
 	leasesPerRetain = 24
 )
 
-// Claims bind keys that callers made themselves, by way of the platform's store.
+// Claims bind caller-provided keys to keys of the system, through the platform's store.
 // Set the exported fields before the first call; all methods may be called
 // concurrently.
 type Claims struct {
 	Store storer.Store
-	// Clock is only for when to take a new lease; nil means the real one.
+	// Clock only decides when to request a new lease; nil means the real clock.
 	Clock clock.PassiveClock
-	// Retain is the least time that a claim is kept; 0 means 24 hours. A caller
-	// that repeats a key later than that starts a new call.
+	// Retain is the minimum time for which a claim is kept; 0 means 24 hours. A caller
+	// that repeats a key after that starts a new call.
 	Retain time.Duration
-	// RetryAfter goes into errors while the store is out; 0 means one second.
+	// RetryAfter is put into errors while the store is down; 0 means one second.
 	RetryAfter time.Duration
 
 	mu      sync.Mutex
@@ -43,8 +43,8 @@
 	granted time.Time
 }
 
-// ClaimError reports that it is not known to which agent a caller's key is
-// bound. The call was not started by this attempt.
+// ClaimError reports that the agent to which a caller's key is bound is not
+// known. This attempt did not start the call.
 type ClaimError struct {
 	RetryAfter time.Duration
 	Err        error
@@ -52,50 +52,50 @@
 
 func (e *ClaimError) Error() string { return fmt.Sprintf("claim of a caller's key: %v", e.Err) }
 
-// Unwrap gives the cause.
+// Unwrap returns the cause.
 func (e *ClaimError) Unwrap() error { return e.Err }
 
-// UnclaimedError reports a key of which the store knows nothing.
+// UnclaimedError reports a key without a claim in the store.
 type UnclaimedError struct{}
 
 func (*UnclaimedError) Error() string { return "no call was made with this key lately" }
 
-// Claim gives the key to which the caller's own key is bound, and binds it to
-// what mint gives if it is not bound yet. First is set when this very call bound
-// it: nobody can have run it before, though a retry through another entry may
-// find the claim and run it from now on. Errors are *KeyError and *ClaimError.
+// Claim returns the key to which the caller's key is bound, and binds it to
+// the result of mint if it is not bound yet. First is set if this call bound
+// it: it has not run before, though a retry through another entry may find
+// the claim and run it at any time. Errors are *KeyError and *ClaimError.
 func (c *Claims) Claim(ctx context.Context, workspace, service, callerKey string, mint func() Key) (k Key, first bool, err error) {
-	name, err := claimName(workspace, service, callerKey)
+	name, err := claimKey(workspace, service, callerKey)
 	if err != nil {
 		return Key{}, false, err
 	}
-	ours := mint()
-	for range claimTries {
-		err = c.create(ctx, name, ours)
+	candidate := mint()
+	for range maxClaimAttempts {
+		err = c.create(ctx, name, candidate)
 		if err == nil {
-			return ours, true, nil
+			return candidate, true, nil
 		}
 		var conflict *storer.ConflictError
 		var unknown *storer.UnknownError
 		if !errors.As(err, &conflict) && !errors.As(err, &unknown) {
-			return Key{}, false, c.failed(err)
+			return Key{}, false, c.claimError(err)
 		}
-		// The answer to a write can be lost after the write took effect. To write
+		// The reply to a write can be lost after the write took effect. Writing
 		// another key then would bind the caller's key twice, and two agents would
-		// each run the booking once. So what stands in the store decides.
+		// each run the booking once. So the value in the store is decisive.
 		k, err = c.read(ctx, name, workspace, service)
 		var missing *storer.NotFoundError
 		if !errors.As(err, &missing) {
-			return k, err == nil && k.String() == ours.String(), c.failed(err)
+			return k, err == nil && k.String() == candidate.String(), c.claimError(err)
 		}
 	}
-	return Key{}, false, c.failed(err)
+	return Key{}, false, c.claimError(err)
 }
 
-// Find gives the key to which the caller's own key is bound. Errors are
+// Find returns the key to which the caller's key is bound. Errors are
 // *KeyError, *UnclaimedError and *ClaimError.
 func (c *Claims) Find(ctx context.Context, workspace, service, callerKey string) (Key, error) {
-	name, err := claimName(workspace, service, callerKey)
+	name, err := claimKey(workspace, service, callerKey)
 	if err != nil {
 		return Key{}, err
 	}
@@ -104,19 +104,19 @@
 	if errors.As(err, &missing) {
 		return Key{}, &UnclaimedError{}
 	}
-	return k, c.failed(err)
+	return k, c.claimError(err)
 }
 
 // create writes the claim if there is none.
 func (c *Claims) create(ctx context.Context, name string, k Key) error {
-	lease, err := c.leased(ctx)
+	lease, err := c.currentLease(ctx)
 	if err != nil {
 		return err
 	}
 	_, err = c.Store.Put(ctx, name, []byte(k.String()), 0, lease)
 	var missing *storer.NotFoundError
 	if errors.As(err, &missing) {
-		c.drop(lease)
+		c.dropLease(lease)
 	}
 	return err
 }
@@ -136,10 +136,10 @@
 	return k, nil
 }
 
-// leased gives the lease for claims made now. A claim must outlive every retry
-// of its caller: were it gone, the retry would run as a new call. The lease is
-// therefore never renewed nor given back, and lasts Retain beyond its period.
-func (c *Claims) leased(ctx context.Context) (string, error) {
+// currentLease returns the lease for new claims. A claim must outlive every retry
+// of its caller, or the retry would run as a new call. The lease is
+// therefore never renewed or revoked, and lasts Retain beyond its period.
+func (c *Claims) currentLease(ctx context.Context) (string, error) {
 	c.mu.Lock()
 	defer c.mu.Unlock()
 	now := c.now()
@@ -149,14 +149,14 @@
 	}
 	lease, err := c.Store.Grant(ctx, c.retain()+2*period)
 	if err != nil {
-		// A lease whose grant was not answered holds nothing and lapses by itself.
+		// A lease whose grant was not confirmed has no keys attached and expires by itself.
 		return "", &storer.UnavailableError{Op: "grant", Err: err}
 	}
 	c.lease, c.granted = lease, now
 	return lease, nil
 }
 
-func (c *Claims) drop(lease string) {
+func (c *Claims) dropLease(lease string) {
 	c.mu.Lock()
 	defer c.mu.Unlock()
 	if c.lease == lease {
@@ -178,8 +178,8 @@
 	return c.Retain
 }
 
-// failed wraps what kept a claim from being made or read; nil stays nil.
-func (c *Claims) failed(err error) error {
+// claimError wraps an error of writing or reading a claim; nil stays nil.
+func (c *Claims) claimError(err error) error {
 	if err == nil {
 		return nil
 	}
@@ -190,9 +190,9 @@
 	return &ClaimError{RetryAfter: after, Err: err}
 }
 
-// claimName is where in the store the claim lies. The hash keeps what callers
-// write out of the store's key space.
-func claimName(workspace, service, callerKey string) (string, error) {
+// claimKey returns the claim's key in the store. The hash keeps text of callers
+// out of the store's keys.
+func claimKey(workspace, service, callerKey string) (string, error) {
 	if callerKey == "" || len(callerKey) > MaxKeyBytes {
 		return "", &KeyError{Problem: fmt.Sprintf("caller's key has %d bytes, want 1 to %d", len(callerKey), MaxKeyBytes)}
 	}
--- a/internal/deduplicator/claims_test.go
+++ b/internal/deduplicator/claims_test.go
@@ -15,17 +15,17 @@
 	"github.com/oriolecroft/oriolecroft/internal/storer"
 )
 
-// fakeStore holds keys in memory; the embedded nil interface stands for what
-// claims never call.
+// fakeStore holds keys in memory; the embedded nil interface provides the methods
+// that claims never call.
 type fakeStore struct {
 	storer.Store
 	items  map[string][]byte
 	leases int
 	writes int
-	// lose makes that many of the next writes take effect without an answer,
-	// vanish makes them take none.
-	lose, vanish int
-	down         bool
+	// lostReplies is the number of next writes that take effect without a reply,
+	// lostWrites the number of those that take no effect.
+	lostReplies, lostWrites int
+	down                    bool
 }
 
 func newFakeStore() *fakeStore { return &fakeStore{items: map[string][]byte{}} }
@@ -54,30 +54,30 @@
 	if s.down {
 		return 0, &storer.UnavailableError{Op: "put", Err: errors.New("503")}
 	}
-	if s.vanish > 0 {
-		s.vanish--
+	if s.lostWrites > 0 {
+		s.lostWrites--
 		return 0, &storer.UnknownError{Op: "put", Err: errors.New("timeout")}
 	}
 	if _, ok := s.items[key]; ok {
 		return 0, &storer.ConflictError{Key: key, Version: 1}
 	}
 	s.items[key] = value
-	if s.lose > 0 {
-		s.lose--
+	if s.lostReplies > 0 {
+		s.lostReplies--
 		return 0, &storer.UnknownError{Op: "put", Err: errors.New("reset")}
 	}
 	return 1, nil
 }
 
-// claim makes a claim for one caller's key, which mint would bind to nonce.
+// claim makes a claim for a fixed caller's key, with a minted key of the given nonce.
 func claim(c *deduplicator.Claims, nonce string) (deduplicator.Key, bool, error) {
 	mint := func() deduplicator.Key { return newKey(nonce, epoch) }
 	return c.Claim(context.Background(), "fern", "booking", "friday-swap-7", mint)
 }
 
-// A shed lead's app repeats a booking under its own key through another entry.
-// Bound to a second agent it would run there again, and two casuals turn up.
-func TestClaimBindsACallersKeyOnce(t *testing.T) {
+// A shed lead's app repeats a booking with its own key through another entry.
+// Bound to a second agent it would run again there, and two casuals would turn up.
+func TestClaimBindsCallerKeyOnce(t *testing.T) {
 	s := newFakeStore()
 	k, first, err := claim(&deduplicator.Claims{Store: s}, "a")
 	must.NoError(t, err)
@@ -91,17 +91,17 @@
 	test.Eq(t, k, found)
 }
 
-// The store writes the claim and its answer is lost on the way. The entry must
-// find its own claim again, not take it for another's and not make a second one.
-func TestClaimSurvivesALostAnswer(t *testing.T) {
+// The store writes the claim and its reply is lost. The entry must recognize its
+// own claim, and neither treat it as another entry's nor make a second one.
+func TestClaimSurvivesLostReply(t *testing.T) {
 	s := newFakeStore()
-	s.lose = 1
+	s.lostReplies = 1
 	k, first, err := claim(&deduplicator.Claims{Store: s}, "a")
 	must.NoError(t, err)
 	test.True(t, first)
 	test.Eq(t, "a", k.Nonce)
 	s = newFakeStore()
-	s.vanish = 2
+	s.lostWrites = 2
 	k, first, err = claim(&deduplicator.Claims{Store: s}, "a")
 	must.NoError(t, err)
 	test.True(t, first)
@@ -109,9 +109,9 @@
 	test.Eq(t, 3, s.writes)
 }
 
-// The store is out. Nothing can be said of a caller's own key, so nothing runs,
-// and the caller is told when to come back.
-func TestClaimRefusesWhileTheStoreIsOut(t *testing.T) {
+// During an outage of the store, a caller's key can not be resolved. Nothing may run,
+// and the error must state when to retry.
+func TestClaimFailsDuringStoreOutage(t *testing.T) {
 	s := newFakeStore()
 	s.down = true
 	_, _, err := claim(&deduplicator.Claims{Store: s, RetryAfter: 3 * time.Second}, "a")
@@ -124,7 +124,7 @@
 	test.True(t, errors.As(err, &u))
 }
 
-func TestClaimsShareALeaseForAPeriod(t *testing.T) {
+func TestClaimsShareLeaseForPeriod(t *testing.T) {
 	s := newFakeStore()
 	clock := testingclock.NewFakePassiveClock(epoch)
 	c := &deduplicator.Claims{Store: s, Clock: clock}
--- a/internal/deduplicator/fuzz_test.go
+++ b/internal/deduplicator/fuzz_test.go
@@ -14,7 +14,7 @@
 	"github.com/oriolecroft/oriolecroft/internal/deduplicator"
 )
 
-// TestMain fixes rapid's seed: the same code gets the same verdict every run.
+// TestMain fixes rapid's seed, so that results are reproducible.
 func TestMain(m *testing.M) {
 	flag.Parse()
 	if err := flag.Set("rapid.seed", "20261202"); err != nil {
@@ -23,45 +23,45 @@
 	os.Exit(m.Run())
 }
 
-// Callers retry through other entries, answers are lost, agents are replaced or
-// wake after a pause, and the ledger forgets. Were one booking run twice, two
-// crews would stand before one family while another waits a week.
+// Callers retry through other entries, replies are lost, agents are replaced or
+// resume after a pause, and the ledger evicts keys. If one booking ran twice, two
+// crews would be sent to one family while another waits a week.
 func TestLedgerAgainstOracle(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
-		w := newWorld(ourMemory)
+		w := newSimulation(newLedgerUnderTest)
 		pick := func(n int) int { return rapid.IntRange(0, n-1).Draw(t, "pick") }
 		for range 300 {
-			w.step(pick)
-			must.Eq(t, 0, w.doubled)
-			must.Eq(t, 0, w.untrue)
+			w.randomStep(pick)
+			must.Eq(t, 0, w.repeated)
+			must.Eq(t, 0, w.wrong)
 		}
 	})
 }
 
-// A cache of the last replies is what most systems have. In the same world it
-// runs bookings again that it has forgotten, and says "not run" of others.
-func TestLedgerAgainstCache(t *testing.T) {
+// Compares the ledger with a common cache of the last replies. In the same simulation
+// the cache repeats bookings that it has evicted, and reports "not run" for others.
+func TestLedgerAgainstLRUCache(t *testing.T) {
 	const steps = 100_000
-	run := func(m func(*world, string) memory) *world {
-		w := newWorld(m)
+	simulate := func(m func(*simulation, string) callLedger) *simulation {
+		w := newSimulation(m)
 		r := rand.New(rand.NewPCG(3, 5))
 		for range steps {
-			w.step(r.IntN)
+			w.randomStep(r.IntN)
 		}
-		t.Logf("%d runs, %d doubled, %d untrue answers, %d replays", w.ran, w.doubled, w.untrue, w.replayed)
+		t.Logf("%d runs, %d repeated, %d wrong answers, %d replays", w.ran, w.repeated, w.wrong, w.replayed)
 		return w
 	}
-	ours, cache := run(ourMemory), run(naiveMemory)
-	test.Eq(t, 0, ours.doubled)
-	test.Eq(t, 0, ours.untrue)
-	test.Positive(t, ours.replayed)
-	test.Greater(t, 1000, ours.ran)
-	test.Positive(t, cache.doubled)
-	test.Positive(t, cache.untrue)
+	ledger, cache := simulate(newLedgerUnderTest), simulate(newLRULedger)
+	test.Eq(t, 0, ledger.repeated)
+	test.Eq(t, 0, ledger.wrong)
+	test.Positive(t, ledger.replayed)
+	test.Greater(t, 1000, ledger.ran)
+	test.Positive(t, cache.repeated)
+	test.Positive(t, cache.wrong)
 }
 
-// A key comes from outside. Whatever it says must be refused with a typed error
-// or be exactly a key that we could have written.
+// Keys come from outside. Any text must either be rejected with a typed error
+// or be exactly a key that the system could have issued.
 func FuzzParseKey(f *testing.F) {
 	f.Add(newKey("n", epoch).String())
 	f.Add("v1.e30")
--- a/internal/deduplicator/key.go
+++ b/internal/deduplicator/key.go
@@ -1,8 +1,8 @@
-// Package deduplicator sees to it that a call that may not be repeated runs at
+// Package deduplicator ensures that a call that may not be repeated runs at
 // most once. An entry mints a key and binds it to one incarnation of one agent;
-// only that incarnation may ever run it, so its memory alone is the ledger. No
-// store is asked before a run, no clocks are compared for safety, and no key
-// fails over. docs/ATMOSTONCE.md weighs the alternatives.
+// only that incarnation may run it, so its memory alone is the ledger. A run requires no
+// store access, its safety does not depend on clocks, and no key
+// fails over. docs/ATMOSTONCE.md compares the alternatives.
 package deduplicator
 
 import (
@@ -16,26 +16,26 @@
 
 // Bounds of a key's text form.
 const (
-	// MaxKeyBytes is the longest text form of a key.
+	// MaxKeyBytes is the maximum length of the text form of a key.
 	MaxKeyBytes  = 1024
 	maxNameBytes = 128
 	keyPrefix    = "v1."
 )
 
-// Key names one call and the one agent incarnation that may run it.
+// Key identifies one call and the one agent incarnation that may run it.
 type Key struct {
 	Workspace string `json:"workspace"`
 	Service   string `json:"service"`
-	// Owner is the agent's ID, Incarnation its start.
+	// Owner is the agent's ID, Incarnation that of its current start.
 	Owner       string `json:"owner"`
 	Incarnation string `json:"incarnation"`
 	// Issued is when the entry minted the key, by the entry's clock.
 	Issued time.Time `json:"issued"`
-	// Nonce tells keys of one instant apart.
+	// Nonce distinguishes keys that were issued at the same time.
 	Nonce string `json:"nonce"`
 }
 
-// KeyError reports a text that is no key.
+// KeyError reports a text that is not a valid key.
 type KeyError struct {
 	Problem string
 	Err     error
@@ -50,7 +50,7 @@
 
 func (e *KeyError) Unwrap() error { return e.Err }
 
-// String gives the text form "v1." and base64url of the JSON.
+// String returns the text form: "v1." followed by the JSON in base64url.
 func (k Key) String() string {
 	k.Issued = k.Issued.UTC().Round(0)
 	data, err := json.Marshal(k)
@@ -60,11 +60,11 @@
 	return keyPrefix + base64.RawURLEncoding.EncodeToString(data)
 }
 
-// IsKey tells whether a text claims to be a key of ours; others are callers'
-// own keys.
+// IsKey reports whether a text has the prefix of the system's keys; others are
+// caller-provided keys.
 func IsKey(text string) bool { return strings.HasPrefix(text, keyPrefix) }
 
-// ParseKey reads the text form. Errors are *KeyError.
+// ParseKey parses the text form. Errors are *KeyError.
 func ParseKey(text string) (Key, error) {
 	if len(text) > MaxKeyBytes {
 		return Key{}, &KeyError{Problem: fmt.Sprintf("%d bytes, over the limit of %d", len(text), MaxKeyBytes)}
@@ -86,15 +86,15 @@
 	if err := k.Validate(); err != nil {
 		return Key{}, err
 	}
-	// One call, one text: a second spelling of a key would be a second key to
-	// everyone who compares texts.
+	// A call has exactly one text: a second spelling of a key would be a different
+	// key to any code that compares texts.
 	if k.String() != text {
 		return Key{}, &KeyError{Problem: "not in the form in which keys are issued"}
 	}
 	return k, nil
 }
 
-// Validate checks that all parts are there and of a bearable length.
+// Validate checks that all fields are set and not too long.
 func (k Key) Validate() error {
 	parts := []struct{ name, value string }{
 		{"workspace", k.Workspace},
--- a/internal/deduplicator/ledger.go
+++ b/internal/deduplicator/ledger.go
@@ -15,12 +15,12 @@
 	defaultMaxBytes   = 16 << 20
 	defaultRetain     = time.Hour
 	defaultMaxAhead   = time.Minute
-	// entryBytes is what an entry takes besides its reply; BenchmarkLedgerMemory
+	// entryBytes is the memory of an entry without its reply; BenchmarkLedgerMemory
 	// measures it.
 	entryBytes = 200
 )
 
-// Ledger is the memory of one agent incarnation of the calls it was asked to
+// Ledger records the calls that one agent incarnation was asked to
 // run. Set the exported fields before the first call; all methods may be called
 // concurrently.
 type Ledger struct {
@@ -29,38 +29,38 @@
 	Owner, Incarnation string
 	// MaxEntries and MaxBytes bound the memory; 0 means 50,000 and 16 MiB.
 	MaxEntries, MaxBytes int
-	// Retain is how long an ended call is kept when memory allows; 0 means an hour.
+	// Retain is how long an ended call is kept if memory allows; 0 means an hour.
 	Retain time.Duration
-	// MaxAhead is how far a key's time of issue may lie ahead of Clock; 0 means a
+	// MaxAhead is how far a key's time of issue may be ahead of Clock; 0 means a
 	// minute.
 	MaxAhead time.Duration
 
-	mu      sync.Mutex
-	begun   bool
-	entries map[name]*entry
-	ended   endedHeap
-	bytes   int
-	// horizon is the latest time of issue of all keys that were forgotten.
+	mu          sync.Mutex
+	initialized bool
+	entries     map[keyDigest]*entry
+	ended       endedHeap
+	bytes       int
+	// horizon is the latest time of issue of all evicted keys.
 	horizon time.Time
 }
 
-// entry is what is known of one key.
+// entry is the state of one key.
 type entry struct {
-	name    name
+	digest  keyDigest
 	issued  time.Time
-	verdict Verdict
+	outcome Outcome
 	endedAt time.Time
 	bytes   int
-	// done is made by the first that waits, and closed when the call has ended.
+	// done is created by the first waiter and closed when the call has ended.
 	done chan struct{}
 }
 
-func (l *Ledger) begin() {
-	if l.begun {
+func (l *Ledger) initialize() {
+	if l.initialized {
 		return
 	}
-	l.begun = true
-	l.entries = map[name]*entry{}
+	l.initialized = true
+	l.entries = map[keyDigest]*entry{}
 	if l.MaxEntries <= 0 {
 		l.MaxEntries = defaultMaxEntries
 	}
@@ -75,41 +75,41 @@
 	}
 }
 
-// Begin asks to run the call of key k. Only the verdict Run permits it.
-func (l *Ledger) Begin(k Key) Verdict {
+// Begin requests to run the call of key k. Only the outcome Run permits it.
+func (l *Ledger) Begin(k Key) Outcome {
 	l.mu.Lock()
 	defer l.mu.Unlock()
-	l.begin()
-	v := l.look(k)
+	l.initialize()
+	v := l.outcomeOf(k)
 	if _, ok := v.(Unseen); !ok {
 		return v
 	}
-	return l.start(k)
+	return l.addRunning(k)
 }
 
-// Lookup says what became of k and starts nothing.
-func (l *Ledger) Lookup(k Key) Verdict {
+// Lookup returns the outcome of k without starting it.
+func (l *Ledger) Lookup(k Key) Outcome {
 	l.mu.Lock()
 	defer l.mu.Unlock()
-	l.begin()
-	return l.look(k)
+	l.initialize()
+	return l.outcomeOf(k)
 }
 
-// look gives the verdict on k as things are.
-func (l *Ledger) look(k Key) Verdict {
+// outcomeOf returns the current outcome of k.
+func (l *Ledger) outcomeOf(k Key) Outcome {
 	if k.Owner != l.Owner || k.Incarnation != l.Incarnation {
 		return Unknown{Reason: OtherIncarnation}
 	}
-	if e, ok := l.entries[nameOf(k)]; ok {
-		return e.verdict
+	if e, ok := l.entries[digestKey(k)]; ok {
+		return e.outcome
 	}
-	// A forgotten key would look like one never seen, and its call would run a
-	// second time: the customer finds two bookings. No forgotten key was issued
-	// after the horizon, so what is past it has truly not been seen.
+	// An evicted key would look like one never seen, and its call would run a
+	// second time: the customer would get two bookings. No evicted key was issued
+	// after the horizon, so any key beyond it has never been seen.
 	if !k.Issued.After(l.horizon) {
-		return Unknown{Reason: Forgotten}
+		return Unknown{Reason: Evicted}
 	}
-	// Forgetting a key from far ahead would move the horizon there, and every
+	// Evicting a key from far ahead would move the horizon there, and every
 	// call until then would be answered with Unknown.
 	if k.Issued.After(l.Clock.Now().Add(l.MaxAhead)) {
 		return Unknown{Reason: FromFuture}
@@ -117,24 +117,24 @@
 	return Unseen{}
 }
 
-// start notes that k runs, if there is room to remember it.
-func (l *Ledger) start(k Key) Verdict {
-	if !l.room(len(l.entries) + 1) {
-		return Unknown{Reason: Overrun}
+// addRunning records that k runs, if the ledger has space for it.
+func (l *Ledger) addRunning(k Key) Outcome {
+	if !l.evict(len(l.entries) + 1) {
+		return Unknown{Reason: LedgerFull}
 	}
-	e := &entry{name: nameOf(k), issued: k.Issued.Round(0), verdict: Running{}, bytes: entryBytes}
-	l.entries[e.name] = e
+	e := &entry{digest: digestKey(k), issued: k.Issued.Round(0), outcome: Running{}, bytes: entryBytes}
+	l.entries[e.digest] = e
 	l.bytes += e.bytes
 	return Run{}
 }
 
-// Finish keeps the reply of a call that Begin let run.
+// Finish stores the reply of a call that Begin permitted.
 func (l *Ledger) Finish(k Key, r Reply) {
 	l.mu.Lock()
 	defer l.mu.Unlock()
-	l.begin()
+	l.initialize()
 	if r.size() > l.MaxBytes/2 {
-		l.end(k, Unknown{Reason: NotKept}, 0)
+		l.end(k, Unknown{Reason: ReplyNotKept}, 0)
 		return
 	}
 	l.end(k, Replay{Reply: r}, r.size())
@@ -144,47 +144,47 @@
 func (l *Ledger) Abandon(k Key) {
 	l.mu.Lock()
 	defer l.mu.Unlock()
-	l.begin()
+	l.initialize()
 	l.end(k, Unknown{Reason: InDoubt}, 0)
 }
 
-// Refuse ends a call that Begin let run but that certainly never reached the
+// Refuse ends a call that Begin permitted but that certainly never reached the
 // service. Its key stays closed: a late duplicate must not run after the caller
-// was told "not run" and went on with a new key.
+// has received "not run" and continued with a new key.
 func (l *Ledger) Refuse(k Key) {
 	l.mu.Lock()
 	defer l.mu.Unlock()
-	l.begin()
+	l.initialize()
 	l.end(k, Refused{}, 0)
 }
 
-// Close makes "not run" final for a key that has not been seen, and otherwise
-// only looks. A caller who gave up may ask so before it books anew.
-func (l *Ledger) Close(k Key) Verdict {
+// Close makes "not run" final for a key that has not been seen, and otherwise only returns
+// the outcome. A caller that gave up may close its key before it books with a new one.
+func (l *Ledger) Close(k Key) Outcome {
 	l.mu.Lock()
 	defer l.mu.Unlock()
-	l.begin()
-	v := l.look(k)
+	l.initialize()
+	v := l.outcomeOf(k)
 	if _, ok := v.(Unseen); !ok {
 		return v
 	}
-	if _, ok := l.start(k).(Run); !ok {
-		return Unknown{Reason: Overrun}
+	if _, ok := l.addRunning(k).(Run); !ok {
+		return Unknown{Reason: LedgerFull}
 	}
 	l.end(k, Refused{}, 0)
 	return Refused{}
 }
 
-// end gives a running entry its last verdict.
-func (l *Ledger) end(k Key, v Verdict, bytes int) {
-	e, ok := l.entries[nameOf(k)]
+// end sets the final outcome of a running entry.
+func (l *Ledger) end(k Key, v Outcome, bytes int) {
+	e, ok := l.entries[digestKey(k)]
 	if !ok {
 		return
 	}
-	if _, ok := e.verdict.(Running); !ok {
+	if _, ok := e.outcome.(Running); !ok {
 		return
 	}
-	e.verdict = v
+	e.outcome = v
 	e.endedAt = l.Clock.Now()
 	e.bytes += bytes
 	l.bytes += bytes
@@ -192,35 +192,35 @@
 		close(e.done)
 	}
 	heap.Push(&l.ended, e)
-	l.room(len(l.entries))
+	l.evict(len(l.entries))
 }
 
-// room forgets ended calls, those issued first, until the given number of
-// entries and the bytes are within bounds, and those kept long enough.
-func (l *Ledger) room(entries int) bool {
-	extra := entries - len(l.entries)
+// evict removes ended calls, those issued first, while the given number of
+// entries or the bytes exceed the limits, or the first has been kept for Retain.
+func (l *Ledger) evict(entries int) bool {
+	added := entries - len(l.entries)
 	for len(l.ended) > 0 {
-		over := len(l.entries)+extra > l.MaxEntries || l.bytes > l.MaxBytes
-		old := l.Clock.Since(l.ended[0].endedAt) >= l.Retain
-		if !over && !old {
+		over := len(l.entries)+added > l.MaxEntries || l.bytes > l.MaxBytes
+		expired := l.Clock.Since(l.ended[0].endedAt) >= l.Retain
+		if !over && !expired {
 			break
 		}
-		l.forget(heap.Pop(&l.ended).(*entry))
+		l.evictEntry(heap.Pop(&l.ended).(*entry))
 	}
-	return len(l.entries)+extra <= l.MaxEntries
+	return len(l.entries)+added <= l.MaxEntries
 }
 
-func (l *Ledger) forget(e *entry) {
-	delete(l.entries, e.name)
+func (l *Ledger) evictEntry(e *entry) {
+	delete(l.entries, e.digest)
 	l.bytes -= e.bytes
 	if e.issued.After(l.horizon) {
 		l.horizon = e.issued
 	}
 }
 
-// Wait gives the verdict on k once it does not run any more.
-func (l *Ledger) Wait(ctx context.Context, k Key) (Verdict, error) {
-	e, done := l.waiting(k)
+// Wait returns the outcome of k after its run has ended.
+func (l *Ledger) Wait(ctx context.Context, k Key) (Outcome, error) {
+	e, done := l.runningEntry(k)
 	if e == nil {
 		return l.Lookup(k), nil
 	}
@@ -231,20 +231,20 @@
 	}
 	l.mu.Lock()
 	defer l.mu.Unlock()
-	return e.verdict, nil
+	return e.outcome, nil
 }
 
-// waiting gives the entry of a call that runs and the channel that is closed
-// when it ends; nil when it does not run.
-func (l *Ledger) waiting(k Key) (*entry, <-chan struct{}) {
+// runningEntry returns the entry of a running call and the channel that is closed
+// when it ends; nil if it does not run.
+func (l *Ledger) runningEntry(k Key) (*entry, <-chan struct{}) {
 	l.mu.Lock()
 	defer l.mu.Unlock()
-	l.begin()
-	e, ok := l.entries[nameOf(k)]
+	l.initialize()
+	e, ok := l.entries[digestKey(k)]
 	if !ok {
 		return nil, nil
 	}
-	if _, ok := e.verdict.(Running); !ok {
+	if _, ok := e.outcome.(Running); !ok {
 		return nil, nil
 	}
 	if e.done == nil {
@@ -253,7 +253,7 @@
 	return e, e.done
 }
 
-// Stats gives the number of keys kept and the bytes they are counted at.
+// Stats returns the number of keys and their estimated memory in bytes.
 func (l *Ledger) Stats() (entries, bytes int) {
 	l.mu.Lock()
 	defer l.mu.Unlock()
--- a/internal/deduplicator/ledger_test.go
+++ b/internal/deduplicator/ledger_test.go
@@ -28,84 +28,84 @@
 	}
 }
 
-// expect checks a verdict.
-func expect(t *testing.T, want, got deduplicator.Verdict) {
+// checkOutcome compares two outcomes.
+func checkOutcome(t *testing.T, want, got deduplicator.Outcome) {
 	t.Helper()
 	test.Eq(t, want, got)
 }
 
 var slot = deduplicator.Reply{Status: 200, Body: []byte("slot 4")}
 
-func TestLedgerReplaysWhatRan(t *testing.T) {
+func TestLedgerReplaysReply(t *testing.T) {
 	l, k := newLedger(), newKey("n", epoch)
-	expect(t, deduplicator.Unseen{}, l.Lookup(k))
-	expect(t, deduplicator.Run{}, l.Begin(k))
-	expect(t, deduplicator.Running{}, l.Begin(k))
+	checkOutcome(t, deduplicator.Unseen{}, l.Lookup(k))
+	checkOutcome(t, deduplicator.Run{}, l.Begin(k))
+	checkOutcome(t, deduplicator.Running{}, l.Begin(k))
 	l.Finish(k, slot)
-	expect(t, deduplicator.Replay{Reply: slot}, l.Begin(k))
+	checkOutcome(t, deduplicator.Replay{Reply: slot}, l.Begin(k))
 	l.Abandon(k)
-	expect(t, deduplicator.Replay{Reply: slot}, l.Begin(k))
+	checkOutcome(t, deduplicator.Replay{Reply: slot}, l.Begin(k))
 }
 
-// A VM is replaced while a lead's booking is on its way, and the retry reaches
-// the new agent. It can not know whether the old one ran the call, and running
-// it could book the slot twice.
-func TestLedgerRunsNoOtherIncarnationsKey(t *testing.T) {
+// A VM is replaced while a lead's booking is in transit, and the retry reaches
+// the new agent. That one can not determine whether the old one ran the call, and a
+// second run could book the slot twice.
+func TestLedgerRejectsKeyOfOtherIncarnation(t *testing.T) {
 	l, k := newLedger(), newKey("n", epoch)
 	k.Incarnation = "b"
-	expect(t, deduplicator.Unknown{Reason: deduplicator.OtherIncarnation}, l.Begin(k))
+	checkOutcome(t, deduplicator.Unknown{Reason: deduplicator.OtherIncarnation}, l.Begin(k))
 }
 
-// The service died after the call was sent to it. The booking may be in its
-// books, so that no later attempt may run it again.
-func TestLedgerKeepsDoubt(t *testing.T) {
+// The service crashed after the call was sent to it. The booking may have taken
+// effect, so no later attempt may run it again.
+func TestAbandonedKeyStaysInDoubt(t *testing.T) {
 	l, k := newLedger(), newKey("n", epoch)
 	l.Begin(k)
 	l.Abandon(k)
-	expect(t, deduplicator.Unknown{Reason: deduplicator.InDoubt}, l.Begin(k))
+	checkOutcome(t, deduplicator.Unknown{Reason: deduplicator.InDoubt}, l.Begin(k))
 }
 
-// The gate refuses an attempt, the caller is told "not run" and books anew, and
-// then a copy of the first attempt that was stuck in a slow connection arrives.
-func TestLedgerKeepsARefusedKeyClosed(t *testing.T) {
+// The gate refuses an attempt, its caller receives "not run" and books with a new key, and
+// then a delayed copy of the first attempt arrives.
+func TestRefusedKeyStaysClosed(t *testing.T) {
 	l, k, unseen := newLedger(), newKey("n", epoch), newKey("m", epoch)
 	l.Begin(k)
 	l.Refuse(k)
-	expect(t, deduplicator.Refused{}, l.Begin(k))
-	expect(t, deduplicator.Refused{}, l.Close(unseen))
-	expect(t, deduplicator.Refused{}, l.Begin(unseen))
+	checkOutcome(t, deduplicator.Refused{}, l.Begin(k))
+	checkOutcome(t, deduplicator.Refused{}, l.Close(unseen))
+	checkOutcome(t, deduplicator.Refused{}, l.Begin(unseen))
 }
 
-// A busy morning fills the ledger, and it forgets the earliest bookings. A retry
-// of one of those looks like a new call but for its time of issue.
-func TestLedgerNeverTakesAForgottenKeyForNew(t *testing.T) {
+// A busy morning fills the ledger, and it evicts the earliest bookings. A retry
+// of one of those differs from a new call only by its time of issue.
+func TestLedgerRejectsEvictedKey(t *testing.T) {
 	l := newLedger()
 	l.MaxEntries = 3
 	running := newKey("running", epoch.Add(-time.Hour))
 	l.Begin(running)
-	var ks []deduplicator.Key
+	var keys []deduplicator.Key
 	for i := range 5 {
-		ks = append(ks, newKey(fmt.Sprint(i), epoch.Add(time.Duration(i)*time.Millisecond)))
-		expect(t, deduplicator.Run{}, l.Begin(ks[i]))
-		l.Finish(ks[i], slot)
+		keys = append(keys, newKey(fmt.Sprint(i), epoch.Add(time.Duration(i)*time.Millisecond)))
+		checkOutcome(t, deduplicator.Run{}, l.Begin(keys[i]))
+		l.Finish(keys[i], slot)
 	}
-	expect(t, deduplicator.Unknown{Reason: deduplicator.Forgotten}, l.Begin(ks[0]))
-	expect(t, deduplicator.Replay{Reply: slot}, l.Begin(ks[4]))
-	expect(t, deduplicator.Running{}, l.Begin(running))
+	checkOutcome(t, deduplicator.Unknown{Reason: deduplicator.Evicted}, l.Begin(keys[0]))
+	checkOutcome(t, deduplicator.Replay{Reply: slot}, l.Begin(keys[4]))
+	checkOutcome(t, deduplicator.Running{}, l.Begin(running))
 	l.Finish(running, slot)
 	l.Begin(newKey("last", epoch.Add(time.Second)))
-	expect(t, deduplicator.Unknown{Reason: deduplicator.Forgotten}, l.Begin(running))
-	expect(t, deduplicator.Unknown{Reason: deduplicator.Forgotten}, l.Begin(ks[0]))
+	checkOutcome(t, deduplicator.Unknown{Reason: deduplicator.Evicted}, l.Begin(running))
+	checkOutcome(t, deduplicator.Unknown{Reason: deduplicator.Evicted}, l.Begin(keys[0]))
 }
 
-// An entry's clock is an hour ahead. Once its keys were forgotten, every call of
-// the other entries would look too old, and none would be served for that hour.
-func TestLedgerRefusesKeysFromTheFuture(t *testing.T) {
+// An entry's clock is an hour ahead. Once its keys were evicted, every call of
+// the other entries would be rejected as too old for that hour.
+func TestLedgerRejectsKeyFromFuture(t *testing.T) {
 	l := newLedger()
-	expect(t, deduplicator.Unknown{Reason: deduplicator.FromFuture}, l.Begin(newKey("n", epoch.Add(time.Hour))))
+	checkOutcome(t, deduplicator.Unknown{Reason: deduplicator.FromFuture}, l.Begin(newKey("n", epoch.Add(time.Hour))))
 }
 
-func TestLedgerBoundsItsMemory(t *testing.T) {
+func TestLedgerLimitsItsMemory(t *testing.T) {
 	l := newLedger()
 	l.MaxBytes = 10_000
 	for i := range 20 {
@@ -118,23 +118,23 @@
 	k := newKey("large", epoch.Add(time.Second))
 	l.Begin(k)
 	l.Finish(k, deduplicator.Reply{Body: make([]byte, 9000)})
-	expect(t, deduplicator.Unknown{Reason: deduplicator.NotKept}, l.Begin(k))
+	checkOutcome(t, deduplicator.Unknown{Reason: deduplicator.ReplyNotKept}, l.Begin(k))
 }
 
-func TestLedgerLetsDuplicatesWait(t *testing.T) {
+func TestDuplicateWaitsForReply(t *testing.T) {
 	l, k := newLedger(), newKey("n", epoch)
 	l.Begin(k)
 	ended, cancel := context.WithCancel(t.Context())
 	cancel()
 	_, err := l.Wait(ended, k)
 	test.ErrorIs(t, err, context.Canceled)
-	got := make(chan deduplicator.Verdict)
+	got := make(chan deduplicator.Outcome)
 	go func() {
 		v, _ := l.Wait(t.Context(), k)
 		got <- v
 	}()
 	l.Finish(k, slot)
-	expect(t, deduplicator.Replay{Reply: slot}, <-got)
+	checkOutcome(t, deduplicator.Replay{Reply: slot}, <-got)
 }
 
 func BenchmarkLedger(b *testing.B) {
@@ -146,7 +146,7 @@
 	}
 }
 
-// BenchmarkLedgerMemory gives the heap that a closed key takes.
+// BenchmarkLedgerMemory measures the heap that a closed key takes.
 func BenchmarkLedgerMemory(b *testing.B) {
 	const keys = 50_000
 	var before, after runtime.MemStats
--- a/internal/dispatcher/call.go
+++ b/internal/dispatcher/call.go
@@ -285,15 +285,15 @@
 }
 
 // Lookup tells what became of a key; it never starts anything.
-func (d *Dispatcher) Lookup(ctx context.Context, workspace, service, key string) (forwarder.Fate, error) {
+func (d *Dispatcher) Lookup(ctx context.Context, workspace, service, key string) (forwarder.KeyState, error) {
 	k, err := d.boundKey(ctx, workspace, service, key)
 	if err != nil {
-		return forwarder.FateUnknown, err
+		return forwarder.KeyUnknown, err
 	}
 	for _, a := range d.Router.Agents() {
 		if a.ID == k.Owner && a.Incarnation == k.Incarnation {
 			return d.Agents.Lookup(ctx, a.Address, k.String())
 		}
 	}
-	return forwarder.FateUnknown, nil
+	return forwarder.KeyUnknown, nil
 }
--- a/internal/dispatcher/call_test.go
+++ b/internal/dispatcher/call_test.go
@@ -141,7 +141,7 @@
 	w.add(t, "vm-1", messenger.KindService, a, 4)
 	fate, err := w.Lookup(t.Context(), "farm", "bookings", "shed4-7")
 	must.NoError(t, err)
-	must.Eq(t, forwarder.FateNotRun, fate)
+	must.Eq(t, forwarder.KeyNotRun, fate)
 	_, err = w.Call(t.Context(), book("shed4-7", true))
 	must.NoError(t, err)
 	must.Eq(t, []string{a.calls[0].Key}, a.asked)
--- a/internal/dispatcher/world_test.go
+++ b/internal/dispatcher/world_test.go
@@ -114,11 +114,11 @@
 
 func (a *fakeAgent) State() messenger.AgentState { return messenger.AgentState{} }
 
-func (a *fakeAgent) Lookup(key string) forwarder.Fate {
+func (a *fakeAgent) Lookup(key string) forwarder.KeyState {
 	a.mu.Lock()
 	defer a.mu.Unlock()
 	a.asked = append(a.asked, key)
-	return forwarder.FateNotRun
+	return forwarder.KeyNotRun
 }
 
 // world is one dispatcher before some fake agents.
--- a/internal/entry/agents.go
+++ b/internal/entry/agents.go
@@ -55,15 +55,15 @@
 		a.states[d.state.ID] = d
 		return d.state, true
 	}
-	if r.Beat == nil {
+	if r.Heartbeat == nil {
 		return messenger.AgentState{}, false
 	}
-	d, ok := a.states[r.Beat.ID]
-	if !ok || d.link != l || d.state.Incarnation != r.Beat.Incarnation {
+	d, ok := a.states[r.Heartbeat.ID]
+	if !ok || d.link != l || d.state.Incarnation != r.Heartbeat.Incarnation {
 		return messenger.AgentState{}, false
 	}
-	d.state.Sequence, d.state.Running, d.at = r.Beat.Sequence, r.Beat.Running, now
-	a.states[r.Beat.ID] = d
+	d.state.Sequence, d.state.Running, d.at = r.Heartbeat.Sequence, r.Heartbeat.Running, now
+	a.states[r.Heartbeat.ID] = d
 	return d.state, true
 }
 
@@ -111,9 +111,9 @@
 				continue
 			}
 			w.Agents++
-			w.Bytes += h.Held()
+			w.Bytes += h.HeldBytes()
 			w.AllBytes += h.Bytes
-			if h.Whole() {
+			if h.Complete() {
 				w.Whole++
 			}
 		}
@@ -125,11 +125,11 @@
 // tell. The others hear it from another entry, and from this one with the answer to
 // their next report; were every entry to push, each agent would get a long record
 // as many times as there are entries.
-func (a *agents) push(n messenger.News, ours func(messenger.AgentState) bool) {
+func (a *agents) push(n messenger.Update, ours func(messenger.AgentState) bool) {
 	a.mu.Lock()
 	defer a.mu.Unlock()
 	for _, d := range a.states {
-		if d.state.Revision < n.Word.Revision && ours(d.state) {
+		if d.state.Revision < n.Freshness.Revision && ours(d.state) {
 			d.link.Push(n)
 		}
 	}
--- a/internal/entry/entry.go
+++ b/internal/entry/entry.go
@@ -146,7 +146,7 @@
 		return
 	}
 	klog.InfoS("Bundle in force", "entry", e.ID, "revision", b.Revision, "change", b.ChangeID, "digest", r.Digest())
-	e.agents.push(messenger.News{Word: e.State.Word(), Record: r}, e.tells())
+	e.agents.push(messenger.Update{Freshness: e.State.Word(), Record: r}, e.tells())
 	e.members.wake()
 }
 
--- a/internal/entry/exchange.go
+++ b/internal/entry/exchange.go
@@ -8,7 +8,7 @@
 )
 
 // report answers an agent: what it says is noted, and it gets what it lacks.
-func (e *Entry) report(r messenger.Report, l *messenger.Link) messenger.News {
+func (e *Entry) report(r messenger.Report, l *messenger.Link) messenger.Update {
 	if r.Record != nil {
 		if _, err := e.State.Offer(r.Record); err != nil {
 			klog.ErrorS(err, "Bundle from agent refused", "entry", e.ID)
@@ -16,7 +16,7 @@
 	}
 	s, ok := e.agents.take(r, l, e.Clock.Now())
 	if !ok {
-		return messenger.News{Word: e.State.Word(), Resend: true}
+		return messenger.Update{Freshness: e.State.Word(), Resend: true}
 	}
 	e.see(s)
 	e.Tracker.Report(s)
@@ -35,10 +35,10 @@
 }
 
 // news is what an agent should know.
-func (e *Entry) news(s messenger.AgentState) messenger.News {
-	n := messenger.News{
-		Word:    e.State.Word(),
-		Leaving: e.agents.isLeaving(s.ID),
+func (e *Entry) news(s messenger.AgentState) messenger.Update {
+	n := messenger.Update{
+		Freshness: e.State.Word(),
+		Leaving:   e.agents.isLeaving(s.ID),
 	}
 	b, r := e.State.Current()
 	if b == nil {
@@ -64,7 +64,7 @@
 func holdsWhole(s messenger.AgentState, m bundler.Model) bool {
 	whole := map[string]bool{}
 	for _, h := range s.Holdings {
-		whole[h.Manifest] = h.Whole()
+		whole[h.Manifest] = h.Complete()
 	}
 	for _, a := range m.Adapters {
 		if !whole[a.Manifest] {
@@ -78,7 +78,7 @@
 func wants(s messenger.AgentState) []string {
 	var ms []string
 	for _, h := range s.Holdings {
-		if h.Chunks == 0 || !h.Whole() {
+		if h.Chunks == 0 || !h.Complete() {
 			ms = append(ms, h.Manifest)
 		}
 	}
@@ -93,7 +93,7 @@
 	}
 	e.learn(x)
 	e.State.Hear(x.State)
-	return e.members.mine(max(1, x.State.Word.Revision))
+	return e.members.mine(max(1, x.State.Freshness.Revision))
 }
 
 // learn takes over what another entry told, but for how fresh it is.
@@ -104,7 +104,7 @@
 			klog.ErrorS(err, "Bundle from peer refused", "entry", e.ID, "peer", x.State.ID)
 		}
 	}
-	e.Limiter.Hear(x.State.ID, x.Asked)
+	e.Limiter.Hear(x.State.ID, x.RequestRates)
 	e.Router.HearDemand(x.State.ID, x.Demand)
 	e.Tracker.Introduce(x.OriginFetchers)
 }
--- a/internal/entry/members.go
+++ b/internal/entry/members.go
@@ -155,7 +155,7 @@
 func (m *members) mine(theirs uint64) messenger.Exchange {
 	x := messenger.Exchange{
 		State:          m.self(),
-		Asked:          m.entry.Limiter.Asked(),
+		RequestRates:   m.entry.Limiter.Asked(),
 		Demand:         m.entry.Router.Demand(),
 		OriginFetchers: m.entry.Tracker.OriginFetchers(),
 	}
@@ -180,7 +180,7 @@
 		Leaving:        m.leaving || m.listed[e.ID],
 		Refusing:       e.State.MayServe() != nil,
 		StoreReachable: e.State.StoreReachable(),
-		Word:           e.State.Word(),
+		Freshness:      e.State.Word(),
 	}
 }
 
--- a/internal/fetcher/errors.go
+++ b/internal/fetcher/errors.go
@@ -5,37 +5,37 @@
 	"time"
 )
 
-// CorruptError reports bytes that are not those asked for: another digest, or
-// another size.
+// CorruptError reports bytes that differ from the requested ones in their digest
+// or size.
 type CorruptError struct {
-	// Source names who sent the bytes, where known.
+	// Source is the sender of the bytes, if known.
 	Source string
-	// Digest was asked for, Got was received.
+	// Digest was requested, Got was received.
 	Digest, Got string
 }
 
 func (e *CorruptError) Error() string {
-	return fmt.Sprintf("%s sent %s for %s", e.Source, e.Got, e.Digest)
+	return fmt.Sprintf("%s returned %s instead of %s", e.Source, e.Got, e.Digest)
 }
 
-// ShapeError reports a manifest whose digest is right and whose content isn't:
-// it was published so, and no other source can help.
-type ShapeError struct {
+// InvalidManifestError reports a manifest with a matching digest and invalid content:
+// it was published that way, so no other source can help.
+type InvalidManifestError struct {
 	Digest, Problem string
 }
 
-func (e *ShapeError) Error() string {
+func (e *InvalidManifestError) Error() string {
 	return fmt.Sprintf("manifest %s: %s", e.Digest, e.Problem)
 }
 
-// UnavailableError reports a source that didn't answer, broke off, stalled, or
-// refused for now.
+// UnavailableError reports a source that didn't respond, disconnected, stalled, or
+// refused temporarily.
 type UnavailableError struct {
 	Source string
 	// Status is the HTTP status; 0 when there was none.
 	Status int
-	// RetryAfter is how long the source asked to be left alone; 0 when it said
-	// nothing.
+	// RetryAfter is the source's requested delay before a retry; 0 when it stated
+	// none.
 	RetryAfter time.Duration
 	Err        error
 }
@@ -49,7 +49,7 @@
 
 func (e *UnavailableError) Unwrap() error { return e.Err }
 
-// Busy tells whether the source is alive and only had no free upload slot.
+// Busy reports whether the source is alive and merely had no free upload slot.
 func (e *UnavailableError) Busy() bool { return e.Status == 429 }
 
 // NotHeldError reports a source that is alive and doesn't have the digest.
--- a/internal/fetcher/http.go
+++ b/internal/fetcher/http.go
@@ -18,14 +18,14 @@
 	"github.com/oriolecroft/oriolecroft/pkg/bundler"
 )
 
-// DefaultTimeout is how long a source may send nothing before it counts as
+// DefaultTimeout is how long a source may send nothing until it is considered
 // stalled.
 const DefaultTimeout = 5 * time.Second
 
-// HoldingHeader carries the bitmap of the chunks that an agent holds, in base64, of the manifest
-// that ManifestHeader of the request names. It goes with each request for a chunk, which names
-// the agent in AgentHeader, and with each answer. It is younger than any that was asked for, and
-// costs no call.
+// HoldingHeader carries the base64 bitmap of the chunks that an agent holds, for the manifest
+// in ManifestHeader of the request. It is part of each request for a chunk, with the agent's
+// name in AgentHeader, and of each response. It is fresher than any bitmap fetched separately,
+// and needs no extra call.
 const (
 	HoldingHeader  = "Holding"
 	ManifestHeader = "Manifest"
@@ -35,19 +35,19 @@
 // RegionHeader carries the caller's region to an agent.
 const RegionHeader = "Region"
 
-// idleFor is how long the shared client keeps a connection.
-const idleFor = 90 * time.Second
+// idleConnTimeout is how long the shared client keeps idle connections.
+const idleConnTimeout = 90 * time.Second
 
 var sharedClient = newClient()
 
 func newClient() *http.Client {
 	t := connector.NewTransport(connector.DialContext)
-	t.IdleConnTimeout = idleFor
+	t.IdleConnTimeout = idleConnTimeout
 	return &http.Client{Transport: t}
 }
 
-// Source gives manifests and chunks by their digest. What it returns has been
-// checked against the digest. Its errors are *CorruptError, *UnavailableError
+// Source serves manifests and chunks by their digest. Returned data has been
+// verified against the digest. Its errors are *CorruptError, *UnavailableError
 // and *NotHeldError.
 type Source interface {
 	Manifest(ctx context.Context, digest string) ([]byte, error)
@@ -55,31 +55,31 @@
 	Chunk(ctx context.Context, digest string, size int64) ([]byte, error)
 }
 
-// HolderSource is a Source that also tells which chunks it has: an agent.
+// HolderSource is a Source that also reports which chunks it holds: an agent.
 type HolderSource interface {
 	Source
-	// Holding gives the bitmap of the chunks held of a manifest, chunk i in bit
+	// Holding returns the bitmap of the chunks held of a manifest, chunk i in bit
 	// i%8 of byte i/8.
 	Holding(ctx context.Context, manifest string) ([]byte, error)
 }
 
-// HTTP is a weight store, an origin or an agent.
+// HTTP fetches from a weight store, an origin or an agent.
 type HTTP struct {
 	Address netip.AddrPort
 	// Timeout is how long the source may send nothing; 0 means DefaultTimeout.
 	Timeout time.Duration
 	// Client makes the calls; nil means one that all sources share.
 	Client *http.Client
-	// Watched and OnHolding, when set, name a manifest and take the bitmap of it that comes with
-	// each chunk. Agent and Held are the caller's name and its own bitmap.
+	// Watched is a manifest, and OnHolding is called with the bitmap of it that comes with
+	// each chunk, if set. Agent and Held are the caller's name and its own bitmap.
 	Watched   string
 	OnHolding func(have []byte)
 	Agent     string
 	Held      []byte
-	// Region is the caller's own, told to agents so that they keep upload slots
-	// free for fetches across a region link; empty for none.
+	// Region is the caller's own, sent to agents so that they keep upload slots
+	// free for fetches across regions; empty for none.
 	Region string
-	// Clock measures Timeout; nil means the real one.
+	// Clock measures Timeout; nil means the real clock.
 	Clock clock.WithDelayedExecution
 }
 
@@ -91,13 +91,13 @@
 	if err != nil {
 		return nil, err
 	}
-	return h.verified(digest, body)
+	return h.verify(digest, body)
 }
 
 // Chunk fetches the bytes of a chunk.
 func (h *HTTP) Chunk(ctx context.Context, digest string, size int64) ([]byte, error) {
 	if size < 1 || size > MaxChunkBytes {
-		return nil, &ShapeError{Digest: digest, Problem: fmt.Sprintf("chunk of %d bytes", size)}
+		return nil, &InvalidManifestError{Digest: digest, Problem: fmt.Sprintf("invalid chunk size of %d bytes", size)}
 	}
 	body, err := h.get(ctx, "/chunks/"+digest, digest, size)
 	if err != nil {
@@ -106,7 +106,7 @@
 	if int64(len(body)) != size {
 		return nil, &CorruptError{Source: h.Address.String(), Digest: digest, Got: fmt.Sprintf("%d bytes", len(body))}
 	}
-	return h.verified(digest, body)
+	return h.verify(digest, body)
 }
 
 // Holding fetches the bitmap of chunks that an agent holds of a manifest.
@@ -114,7 +114,7 @@
 	return h.get(ctx, "/holdings/"+manifest, manifest, MaxChunks/8)
 }
 
-func (h *HTTP) verified(digest string, body []byte) ([]byte, error) {
+func (h *HTTP) verify(digest string, body []byte) ([]byte, error) {
 	if got := bundler.Digest(body); got != digest {
 		return nil, &CorruptError{Source: h.Address.String(), Digest: digest, Got: got}
 	}
@@ -122,9 +122,9 @@
 }
 
 // get reads at most limit bytes of a reply. A peer on a stalled link keeps its
-// connection open and sends nothing, for ever as far as TCP can tell; a chunk
-// would then never be asked of anyone else. So the call is cut once nothing has
-// arrived for Timeout.
+// connection open and sends nothing, which TCP does not detect, and the chunk
+// would never be requested from another source. So the call is cancelled once nothing
+// has arrived for Timeout.
 func (h *HTTP) get(ctx context.Context, path, digest string, limit int64) ([]byte, error) {
 	ctx, cancel := context.WithCancel(ctx)
 	defer cancel()
@@ -132,7 +132,7 @@
 	defer idle.Stop()
 	req, err := http.NewRequestWithContext(ctx, http.MethodGet, "http://"+h.Address.String()+path, nil)
 	if err != nil {
-		return nil, h.unavailable(err)
+		return nil, h.unavailableError(err)
 	}
 	if h.Region != "" {
 		req.Header.Set(RegionHeader, h.Region)
@@ -144,11 +144,11 @@
 	}
 	res, err := h.client().Do(req)
 	if err != nil {
-		return nil, h.unavailable(err)
+		return nil, h.unavailableError(err)
 	}
 	defer res.Body.Close()
-	h.hold(res)
-	if err := h.refused(res, digest); err != nil {
+	h.reportHolding(res)
+	if err := h.statusError(res, digest); err != nil {
 		return nil, err
 	}
 	body := bodyreader.Reader{Response: res, OnArrival: func() { idle.Reset(h.timeout()) }}
@@ -156,15 +156,15 @@
 	var large *bodyreader.OversizeError
 	switch {
 	case errors.As(err, &large):
-		return nil, h.oversize(digest, limit)
+		return nil, h.oversizeError(digest, limit)
 	case err != nil:
-		return nil, h.unavailable(err)
+		return nil, h.unavailableError(err)
 	}
 	return data, nil
 }
 
-// hold hands on the bitmap that came with an answer.
-func (h *HTTP) hold(res *http.Response) {
+// reportHolding passes the bitmap of a response to OnHolding.
+func (h *HTTP) reportHolding(res *http.Response) {
 	if h.OnHolding == nil {
 		return
 	}
@@ -173,12 +173,12 @@
 	}
 }
 
-// SetHolding puts a bitmap of chunks into a header.
+// SetHolding sets the header for a bitmap of chunks.
 func SetHolding(header http.Header, have []byte) {
 	header.Set(HoldingHeader, base64.StdEncoding.EncodeToString(have))
 }
 
-// Holding reads the bitmap that SetHolding put into a header; false for none that can be read.
+// Holding decodes the bitmap that SetHolding put into a header; false for a missing or invalid one.
 func Holding(header http.Header) (have []byte, ok bool) {
 	text := header.Get(HoldingHeader)
 	if text == "" {
@@ -186,17 +186,17 @@
 	}
 	have, err := base64.StdEncoding.DecodeString(text)
 	if err != nil {
-		klog.V(1).InfoS("Bitmap not read", "bitmap", text, "err", err)
+		klog.V(1).InfoS("Invalid bitmap of held chunks", "bitmap", text, "err", err)
 		return nil, false
 	}
 	return have, true
 }
 
-func (h *HTTP) oversize(digest string, limit int64) error {
-	return &CorruptError{Source: h.Address.String(), Digest: digest, Got: fmt.Sprintf("over %d bytes", limit)}
+func (h *HTTP) oversizeError(digest string, limit int64) error {
+	return &CorruptError{Source: h.Address.String(), Digest: digest, Got: fmt.Sprintf("more than %d bytes", limit)}
 }
 
-func (h *HTTP) refused(res *http.Response, digest string) error {
+func (h *HTTP) statusError(res *http.Response, digest string) error {
 	switch res.StatusCode {
 	case http.StatusOK:
 		return nil
@@ -211,7 +211,7 @@
 	}
 }
 
-func (h *HTTP) unavailable(err error) error {
+func (h *HTTP) unavailableError(err error) error {
 	return &UnavailableError{Source: h.Address.String(), Err: err}
 }
 
--- a/internal/fetcher/http_test.go
+++ b/internal/fetcher/http_test.go
@@ -22,9 +22,9 @@
 	return &fetcher.HTTP{Address: netip.MustParseAddrPort(s.Listener.Addr().String())}
 }
 
-func TestStalledReplyIsCut(t *testing.T) {
-	// A peer's link stalls in the middle of a chunk. The connection stays open and
-	// says nothing, so that without a limit on silence the call would never end
+func TestStalledReplyIsCancelled(t *testing.T) {
+	// Guards against a link that stalls in the middle of a chunk. The connection
+	// stays open without data, so that without a timeout the call would never end
 	// and its slot would be lost to all other chunks.
 	ended := make(chan struct{})
 	h := serve(t, func(w http.ResponseWriter, _ *http.Request) {
@@ -40,7 +40,7 @@
 	must.True(t, errors.As(err, &unavailable))
 }
 
-func TestRepliesAreTyped(t *testing.T) {
+func TestReplyErrorTypes(t *testing.T) {
 	chunk := []byte("weights")
 	digest := bundler.Digest(chunk)
 	reply := func(status int, body string) http.HandlerFunc {
@@ -71,9 +71,9 @@
 	must.Eq(t, chunk, got)
 }
 
-func TestManifestThatLies(t *testing.T) {
-	// A manifest has been published with sizes that don't fit its chunks. Taken at
-	// its word it would make each agent allocate without end, or read past a chunk.
+func TestInvalidManifests(t *testing.T) {
+	// Guards against a published manifest whose sizes don't match its chunks. An
+	// agent that trusts it would allocate without bound, or read past a chunk.
 	digest := strings.Repeat("0", 64)
 	for _, body := range []string{
 		``, `[]`, `{"size":-1,"chunkSize":10,"chunks":[]}`, `{"size":10,"chunkSize":0,"chunks":[]}`,
@@ -83,8 +83,8 @@
 		`{"size":10,"chunkSize":10,"chunks":["sha256:` + digest + `"]} more`,
 	} {
 		_, err := fetcher.ParseManifest(bundler.Digest([]byte(body)), []byte(body))
-		var shape *fetcher.ShapeError
-		must.True(t, errors.As(err, &shape), must.Sprint(body))
+		var invalid *fetcher.InvalidManifestError
+		must.True(t, errors.As(err, &invalid), must.Sprint(body))
 	}
 	body := []byte(`{"size":15,"chunkSize":10,"chunks":["sha256:` + digest + `","sha256:` + digest + `"]}`)
 	m, err := fetcher.ParseManifest(bundler.Digest(body), body)
@@ -95,8 +95,8 @@
 	must.True(t, errors.As(err, &corrupt))
 }
 
-// Guards against a source whose replies have heads without end.
-func TestEndlessHeadIsNoChunk(t *testing.T) {
+// Guards against a source whose responses have heads without end.
+func TestEndlessHeadIsRejected(t *testing.T) {
 	bodyreadertest.EndlessHeads(t, func(a netip.AddrPort) error {
 		_, err := (&fetcher.HTTP{Address: a}).Chunk(t.Context(), bundler.Digest(nil), 1000)
 		return err
--- a/internal/fetcher/verified.go
+++ b/internal/fetcher/verified.go
@@ -7,27 +7,27 @@
 	"github.com/oriolecroft/oriolecroft/pkg/bundler"
 )
 
-// Verified checks all that a source returns against the digest asked for. A
-// source that forgets to check would otherwise bring wrong bytes into the memory
+// Verified wraps a source to verify all that it returns against the requested digest. A
+// source that omits this check would otherwise put wrong bytes into the memory
 // from which all other agents are served.
 func Verified(s Source) Source {
 	if h, ok := s.(*HTTP); ok {
 		return h
 	}
-	return verified{s}
+	return verifiedSource{s}
 }
 
-type verified struct{ Source }
+type verifiedSource struct{ Source }
 
-func (v verified) Manifest(ctx context.Context, digest string) ([]byte, error) {
+func (v verifiedSource) Manifest(ctx context.Context, digest string) ([]byte, error) {
 	body, err := v.Source.Manifest(ctx, digest)
 	if err != nil {
 		return nil, err
 	}
-	return check(digest, body)
+	return verify(digest, body)
 }
 
-func (v verified) Chunk(ctx context.Context, digest string, size int64) ([]byte, error) {
+func (v verifiedSource) Chunk(ctx context.Context, digest string, size int64) ([]byte, error) {
 	body, err := v.Source.Chunk(ctx, digest, size)
 	if err != nil {
 		return nil, err
@@ -35,10 +35,10 @@
 	if int64(len(body)) != size {
 		return nil, &CorruptError{Source: fmt.Sprintf("%T", v.Source), Digest: digest, Got: fmt.Sprintf("%d bytes", len(body))}
 	}
-	return check(digest, body)
+	return verify(digest, body)
 }
 
-func check(digest string, body []byte) ([]byte, error) {
+func verify(digest string, body []byte) ([]byte, error) {
 	if got := bundler.Digest(body); got != digest {
 		return nil, &CorruptError{Source: "source", Digest: digest, Got: got}
 	}
--- a/internal/forwarder/client.go
+++ b/internal/forwarder/client.go
@@ -17,28 +17,28 @@
 	"github.com/oriolecroft/oriolecroft/internal/messenger"
 )
 
-// maxAnswer bounds an answer of the agent's own, in bytes.
-const maxAnswer = 64 << 10
+// maxResponse bounds a reply of the agent itself, in bytes.
+const maxResponse = 64 << 10
 
-// idleConnections bounds what an entry keeps open to one agent.
-const idleConnections = 16
+// maxIdleConnections bounds the idle connections of an entry to one agent.
+const maxIdleConnections = 16
 
 // Client sends orders to agents.
 type Client struct {
 	http *http.Client
 }
 
-// Dial makes a connection. Its errors are *net.OpError of the operation "dial".
+// Dial opens a connection. Its errors are *net.OpError of the operation "dial".
 type Dial func(ctx context.Context, network, address string) (net.Conn, error)
 
-// NewClient makes a client with its own connections.
+// NewClient returns a client with its own connections.
 func NewClient(dial Dial) *Client {
 	t := connector.NewTransport(dial)
-	t.MaxIdleConnsPerHost, t.IdleConnTimeout = idleConnections, 30*time.Second
+	t.MaxIdleConnsPerHost, t.IdleConnTimeout = maxIdleConnections, 30*time.Second
 	return &Client{http: &http.Client{Transport: t}}
 }
 
-// refusal is the body of an answer that is not a reply.
+// refusal is the body of a response without a reply.
 type refusal struct {
 	Reason       string `json:"reason"`
 	RetryAfterMS int64  `json:"retryAfterMs"`
@@ -47,7 +47,7 @@
 }
 
 // Generate starts or resumes a stream. Errors are *NotRunError, *UnknownError
-// and *CrossedError.
+// and *AttemptMismatchError.
 func (c *Client) Generate(ctx context.Context, to netip.AddrPort, o GenerateOrder) (*Stream, error) {
 	body, err := json.Marshal(o)
 	if err != nil {
@@ -57,7 +57,7 @@
 	if err != nil {
 		return nil, err
 	}
-	if err := answered(r, o.Attempt); err != nil {
+	if err := checkOutcome(r, o.Attempt); err != nil {
 		r.Body.Close()
 		return nil, err
 	}
@@ -66,7 +66,7 @@
 	return s, nil
 }
 
-// Call makes one call to a plain service. Errors as with Generate.
+// Call makes one call to a plain service. Its errors are those of Generate.
 func (c *Client) Call(ctx context.Context, to netip.AddrPort, o CallOrder, body []byte) (*Reply, error) {
 	order, err := json.Marshal(o)
 	if err != nil {
@@ -77,7 +77,7 @@
 		return nil, err
 	}
 	defer r.Body.Close()
-	if err := answered(r, o.Attempt); err != nil {
+	if err := checkOutcome(r, o.Attempt); err != nil {
 		return nil, err
 	}
 	data, err := readReply(r)
@@ -89,12 +89,12 @@
 		Header:   serviceHeader(r.Header),
 		Body:     data,
 		Replayed: r.Header.Get(headerReplayed) != "",
-		Agent:    agentOf(r),
+		Agent:    agentState(r),
 	}, nil
 }
 
-// readReply reads a whole body. An agent that dies while it answers, or answers
-// more than fits, leaves a part that a caller could take for the whole.
+// readReply reads a whole body. An agent that crashes while it replies, or sends
+// too much, leaves a partial body that a caller could mistake for a complete one.
 func readReply(r *http.Response) ([]byte, error) {
 	body := bodyreader.Reader{Response: r}
 	data, err := body.ReadAll(MaxBody)
@@ -104,29 +104,29 @@
 	return data, nil
 }
 
-// Lookup asks what became of a key; it never starts anything.
-func (c *Client) Lookup(ctx context.Context, to netip.AddrPort, key string) (Fate, error) {
+// Lookup returns the state of a key's call; it never starts one.
+func (c *Client) Lookup(ctx context.Context, to netip.AddrPort, key string) (KeyState, error) {
 	r, err := c.post(ctx, to, pathLookup, nil, []byte(key))
 	if err != nil {
-		return FateUnknown, err
+		return KeyUnknown, err
 	}
 	defer r.Body.Close()
-	var answer struct {
-		Fate Fate `json:"fate"`
+	var response struct {
+		Fate KeyState `json:"fate"`
 	}
 	body := bodyreader.Reader{Response: r}
-	if err := body.ReadJSON(maxAnswer, &answer); err != nil {
-		return FateUnknown, &UnknownError{Reason: err.Error()}
+	if err := body.ReadJSON(maxResponse, &response); err != nil {
+		return KeyUnknown, &UnknownError{Reason: err.Error()}
 	}
-	switch answer.Fate {
-	case FateRan, FateRunning, FateNotRun, FateUnknown:
-		return answer.Fate, nil
+	switch response.Fate {
+	case KeyRan, KeyRunning, KeyNotRun, KeyUnknown:
+		return response.Fate, nil
 	}
-	return FateUnknown, &UnknownError{Reason: "no fate " + strconv.Quote(string(answer.Fate))}
+	return KeyUnknown, &UnknownError{Reason: "no fate " + strconv.Quote(string(response.Fate))}
 }
 
-// Cancel tells an agent that nobody reads a stream any more. Without it the agent
-// holds the stream for a caller that may read on through another entry.
+// Cancel ends a stream without readers. Otherwise the agent
+// keeps the stream for a caller that may resume it through another entry.
 func (c *Client) Cancel(ctx context.Context, to netip.AddrPort, stream string) error {
 	r, err := c.post(ctx, to, pathCancel, nil, []byte(stream))
 	if err != nil {
@@ -140,7 +140,7 @@
 }
 
 // post sends a request whose body can not be read again, so that the HTTP
-// library never sends it a second time by itself.
+// library never retries it by itself.
 func (c *Client) post(ctx context.Context, to netip.AddrPort, path string, order, body []byte) (*http.Response, error) {
 	url := "http://" + to.String() + path
 	r, err := http.NewRequestWithContext(ctx, http.MethodPost, url, io.NopCloser(bytes.NewReader(body)))
@@ -158,8 +158,8 @@
 	return res, nil
 }
 
-// sendError tells a dial that failed, after which nothing was sent, from
-// anything later, after which the request may have run.
+// sendError distinguishes a failed dial, after which nothing was sent, from
+// later errors, after which the request may have run.
 func sendError(err error) error {
 	var o *net.OpError
 	if errors.As(err, &o) && o.Op == "dial" {
@@ -168,18 +168,18 @@
 	return &UnknownError{Reason: err.Error()}
 }
 
-// answered checks that the answer is to this attempt and says that it ran.
-func answered(r *http.Response, a Attempt) error {
+// checkOutcome checks that the response belongs to this attempt and that the request ran.
+func checkOutcome(r *http.Response, a Attempt) error {
 	got := r.Header.Get(headerRequest) + "/" + r.Header.Get(headerAttempt)
 	if got != a.RequestID+"/"+strconv.Itoa(a.Number) {
-		return &CrossedError{Want: a, Got: got}
+		return &AttemptMismatchError{Want: a, Got: got}
 	}
 	if r.Header.Get(headerOutcome) == outcomeRan {
 		return nil
 	}
 	var f refusal
 	body := bodyreader.Reader{Response: r}
-	if err := body.ReadJSON(maxAnswer, &f); err != nil {
+	if err := body.ReadJSON(maxResponse, &f); err != nil {
 		return &UnknownError{Reason: "refusal can not be read: " + err.Error()}
 	}
 	if r.Header.Get(headerOutcome) != outcomeNotRun {
@@ -190,12 +190,12 @@
 		RetryAfter: time.Duration(f.RetryAfterMS) * time.Millisecond,
 		Busy:       f.Busy,
 		KeyClosed:  f.KeyClosed,
-		Agent:      agentOf(r),
+		Agent:      agentState(r),
 	}
 }
 
-// agentOf reads the agent's account of itself; nil when there is none.
-func agentOf(r *http.Response) *messenger.AgentState {
+// agentState returns the agent's state from a response; nil if there is none.
+func agentState(r *http.Response) *messenger.AgentState {
 	s := new(messenger.AgentState)
 	if json.Unmarshal([]byte(r.Header.Get(headerAgent)), s) != nil {
 		return nil
@@ -203,9 +203,9 @@
 	return s
 }
 
-// Stream is a reply under way.
+// Stream is a reply that is being received.
 type Stream struct {
-	// EngineStart is the engine's start id, to which a resume is bound.
+	// EngineStart is the engine's start id, which a resume must match.
 	EngineStart string
 
 	body    io.ReadCloser
@@ -216,41 +216,41 @@
 // maxEvent bounds an event, in bytes.
 const maxEvent = 1 << 20
 
-// eventReader bounds what is read for one event: the decoder keeps it in memory until its end.
+// eventReader limits the bytes read for one event: the decoder buffers a whole event.
 type eventReader struct {
-	body bodyreader.Reader
-	left int
+	body      bodyreader.Reader
+	remaining int
 }
 
 // Read implements io.Reader.
 func (r *eventReader) Read(b []byte) (int, error) {
-	if r.left <= 0 {
+	if r.remaining <= 0 {
 		return 0, &bodyreader.OversizeError{Limit: maxEvent}
 	}
-	n, err := r.body.Read(b[:min(len(b), r.left)])
-	r.left -= n
+	n, err := r.body.Read(b[:min(len(b), r.remaining)])
+	r.remaining -= n
 	return n, err
 }
 
-// CutError reports a stream that ended without its end mark.
-type CutError struct {
+// TruncatedError reports a stream that ended without its last event.
+type TruncatedError struct {
 	Err error
 }
 
-func (e *CutError) Error() string { return "stream was cut: " + e.Err.Error() }
+func (e *TruncatedError) Error() string { return "stream was cut: " + e.Err.Error() }
 
-func (e *CutError) Unwrap() error { return e.Err }
+func (e *TruncatedError) Unwrap() error { return e.Err }
 
-// Next gives the next event; a stream that ends before an event with Done or
-// Failure gives a *CutError.
+// Next returns the next event; for a stream that ends before an event with Done or
+// Failure it returns a *TruncatedError.
 func (s *Stream) Next() (Event, error) {
 	var e Event
-	s.events.left = maxEvent
+	s.events.remaining = maxEvent
 	if err := s.decoder.Decode(&e); err != nil {
-		return Event{}, &CutError{Err: err}
+		return Event{}, &TruncatedError{Err: err}
 	}
 	return e, nil
 }
 
-// Close gives the stream up.
+// Close closes the stream.
 func (s *Stream) Close() { s.body.Close() }
--- a/internal/forwarder/client_test.go
+++ b/internal/forwarder/client_test.go
@@ -21,13 +21,13 @@
 	"github.com/oriolecroft/oriolecroft/internal/forwarder"
 )
 
-const patience = 10 * time.Second
+const testTimeout = 10 * time.Second
 
 var attempt = forwarder.Attempt{RequestID: "r7", Number: 2}
 
-// raw starts an agent that reads each request and answers with bare bytes, then
+// serveRaw starts an agent that reads each request, answers with raw bytes and
 // closes the connection. It counts the requests.
-func raw(t *testing.T, answer string) (netip.AddrPort, *atomic.Int64) {
+func serveRaw(t *testing.T, response string) (netip.AddrPort, *atomic.Int64) {
 	count := new(atomic.Int64)
 	s := httptest.NewServer(http.HandlerFunc(func(w http.ResponseWriter, r *http.Request) {
 		count.Add(1)
@@ -36,15 +36,15 @@
 		if err != nil {
 			panic(err)
 		}
-		_, _ = io.WriteString(c, answer)
+		_, _ = io.WriteString(c, response)
 		c.Close()
 	}))
 	t.Cleanup(s.Close)
 	return netip.MustParseAddrPort(s.Listener.Addr().String()), count
 }
 
-// head is the start of an answer to the attempt, with more header lines.
-func head(lines ...string) string {
+// responseHead returns the head of a response to the attempt, with more header lines.
+func responseHead(lines ...string) string {
 	h := []string{"HTTP/1.1 200 OK", "Oriolecroft-Request: r7", "Oriolecroft-Attempt: 2", "Oriolecroft-Outcome: ran"}
 	return strings.Join(append(h, lines...), "\r\n") + "\r\n\r\n"
 }
@@ -52,92 +52,92 @@
 func client() *forwarder.Client { return forwarder.NewClient(new(net.Dialer).DialContext) }
 
 func call(t *testing.T, to netip.AddrPort) (*forwarder.Reply, error) {
-	ctx, cancel := context.WithTimeout(t.Context(), patience)
+	ctx, cancel := context.WithTimeout(t.Context(), testTimeout)
 	defer cancel()
 	o := forwarder.CallOrder{Attempt: attempt, Key: "k", DeadlineMS: 1000}
 	return client().Call(ctx, to, o, []byte("slot 4"))
 }
 
 func generate(t *testing.T, to netip.AddrPort) (*forwarder.Stream, error) {
-	ctx, cancel := context.WithTimeout(t.Context(), patience)
+	ctx, cancel := context.WithTimeout(t.Context(), testTimeout)
 	t.Cleanup(cancel)
 	return client().Generate(ctx, to, forwarder.GenerateOrder{Attempt: attempt, DeadlineMS: 1000})
 }
 
-// as gives the error of type E in err's chain.
-func as[E error](t *testing.T, err error) E {
+// errorAs returns the first error of type E in err's chain.
+func errorAs[E error](t *testing.T, err error) E {
 	t.Helper()
 	var e E
 	must.True(t, errors.As(err, &e), must.Sprintf("%T: %v", err, err))
 	return e
 }
 
-func is[E error](t *testing.T, err error) {
+func requireError[E error](t *testing.T, err error) {
 	t.Helper()
-	_ = as[E](t, err)
+	_ = errorAs[E](t, err)
 }
 
-// A VM is gone and its address refuses connections. Nothing was sent, so the
-// booking may be tried on another agent; called unknown, it would be given up.
+// Guards against giving up a booking whose agent's VM no longer exists and refuses connections.
+// Nothing was sent, so the booking may be retried on another agent.
 func TestFailedDialIsNotRun(t *testing.T) {
 	l, err := net.Listen("tcp", "127.0.0.1:0")
 	must.NoError(t, err)
 	must.NoError(t, l.Close())
-	at := netip.MustParseAddrPort(l.Addr().String())
-	_, err = call(t, at)
-	must.True(t, as[*forwarder.NotRunError](t, err).Gone)
-	_, err = generate(t, at)
-	must.True(t, as[*forwarder.NotRunError](t, err).Gone)
+	addr := netip.MustParseAddrPort(l.Addr().String())
+	_, err = call(t, addr)
+	must.True(t, errorAs[*forwarder.NotRunError](t, err).Gone)
+	_, err = generate(t, addr)
+	must.True(t, errorAs[*forwarder.NotRunError](t, err).Gone)
 }
 
-// An agent dies after it has read the request. The booking may have run: said to
-// be not run, or sent again by the HTTP library, it would book two crews.
-func TestCutConnectionIsUnknown(t *testing.T) {
-	at, count := raw(t, "")
-	_, err := call(t, at)
-	is[*forwarder.UnknownError](t, err)
-	_, err = generate(t, at)
-	is[*forwarder.UnknownError](t, err)
+// An agent crashes after it has read the request. The booking may have run: reported
+// errorAs not run, or retried by the HTTP library, it would book two crews.
+func TestClosedConnectionIsUnknown(t *testing.T) {
+	addr, count := serveRaw(t, "")
+	_, err := call(t, addr)
+	requireError[*forwarder.UnknownError](t, err)
+	_, err = generate(t, addr)
+	requireError[*forwarder.UnknownError](t, err)
 	must.Eq(t, 2, count.Load())
 }
 
-// An answer that was late for another request arrives on the same connection. A
-// resident would be shown somebody else's permit.
-func TestCrossedAnswerIsNoReply(t *testing.T) {
+// Guards against accepting a late response to another request on the same connection, which
+// would show a resident somebody else's permit.
+func TestResponseToOtherAttemptIsRejected(t *testing.T) {
 	for _, crossed := range []string{
-		strings.Replace(head("Content-Length: 2"), "r7", "r8", 1) + "ok",
-		strings.Replace(head("Content-Length: 2"), "Attempt: 2", "Attempt: 1", 1) + "ok",
+		strings.Replace(responseHead("Content-Length: 2"), "r7", "r8", 1) + "ok",
+		strings.Replace(responseHead("Content-Length: 2"), "Attempt: 2", "Attempt: 1", 1) + "ok",
 		"HTTP/1.1 200 OK\r\nContent-Length: 2\r\n\r\nok",
 	} {
-		at, _ := raw(t, crossed)
-		_, err := call(t, at)
-		must.Eq(t, attempt, as[*forwarder.CrossedError](t, err).Want)
-		_, err = generate(t, at)
-		is[*forwarder.CrossedError](t, err)
+		addr, _ := serveRaw(t, crossed)
+		_, err := call(t, addr)
+		must.Eq(t, attempt, errorAs[*forwarder.AttemptMismatchError](t, err).Want)
+		_, err = generate(t, addr)
+		requireError[*forwarder.AttemptMismatchError](t, err)
 	}
 }
 
-// An agent dies while it sends its reply, or sends more than fits. The part that
-// came must not pass for the whole: a lead would read half of a confirmation.
-func TestReplyIsWholeOrUnknown(t *testing.T) {
+// Guards against accepting a truncated reply of an agent that crashes while it sends it, or
+// of an oversized one: the caller would read half of a confirmation.
+func TestTruncatedReplyIsUnknown(t *testing.T) {
 	large := strings.Repeat("x", forwarder.MaxBody+1)
 	for name, tt := range map[string]struct {
 		answer string
 		whole  bool
 	}{
-		"length":             {head("Content-Length: 4") + "slot", true},
-		"chunks":             {head("Transfer-Encoding: chunked") + "4\r\nslot\r\n0\r\n\r\n", true},
-		"short of length":    {head("Content-Length: 9") + "slot", false},
-		"no last chunk":      {head("Transfer-Encoding: chunked") + "4\r\nslot\r\n", false},
-		"over the bound":     {head(fmt.Sprintf("Content-Length: %d", len(large))) + large, false},
-		"no outcome":         {strings.Replace(head("Content-Length: 4"), "ran", "", 1) + "slot", false},
-		"unreadable refusal": {strings.Replace(head("Content-Length: 4"), "ran", "notRun", 1) + "slot", false},
+		"length":             {responseHead("Content-Length: 4") + "slot", true},
+		"chunks":             {responseHead("Transfer-Encoding: chunked") + "4\r\nslot\r\n0\r\n\r\n", true},
+		"short of length":    {responseHead("Content-Length: 9") + "slot", false},
+		"no last chunk":      {responseHead("Transfer-Encoding: chunked") + "4\r\nslot\r\n", false},
+		"over the bound":     {responseHead(fmt.Sprintf("Content-Length: %d", len(large))) + large, false},
+		"no outcome":         {strings.Replace(responseHead("Content-Length: 4"), "ran", "", 1) + "slot", false},
+		"unreadable refusal": {strings.Replace(responseHead("Content-Length: 4"), "ran", "notRun", 1) + "slot", false},
 	} {
 		t.Run(name, func(t *testing.T) {
-			at, _ := raw(t, tt.answer)
-			r, err := call(t, at)
+			addr, _ := serveRaw(t, tt.answer)
+			r, err := call(t, addr)
 			if !tt.whole {
-				is[*forwarder.UnknownError](t, err)
+				requireError[*forwarder.UnknownError](t, err)
 				return
 			}
 			must.NoError(t, err)
@@ -146,17 +146,17 @@
 	}
 }
 
-// A stream breaks off between two events, where nothing looks wrong. Only the
-// missing end mark tells that the roster draft is not whole.
-func TestStreamWithoutEndIsCut(t *testing.T) {
+// Guards against a stream that ends between two events and is accepted as complete. Only
+// the missing last event shows that the roster draft is truncated.
+func TestStreamWithoutLastEventIsTruncated(t *testing.T) {
 	for _, body := range []string{"", `{"index":0,"token":"two"}` + "\n", `{"index":0,"tok`} {
-		at, _ := raw(t, head("Transfer-Encoding: chunked")+chunk(body)+"0\r\n\r\n")
-		s, err := generate(t, at)
+		addr, _ := serveRaw(t, responseHead("Transfer-Encoding: chunked")+chunk(body)+"0\r\n\r\n")
+		s, err := generate(t, addr)
 		must.NoError(t, err)
 		for err == nil {
 			_, err = s.Next()
 		}
-		is[*forwarder.CutError](t, err)
+		requireError[*forwarder.TruncatedError](t, err)
 		s.Close()
 	}
 }
@@ -168,53 +168,53 @@
 	return fmt.Sprintf("%x\r\n%s\r\n", len(s), s)
 }
 
-// Something else than an agent answers a question about a key, such as one of an
-// older release. Its silence must not pass for a fate.
-func TestLookupWantsAFate(t *testing.T) {
-	for _, answer := range []string{
+// Guards against treating the response of another program, or of an agent of an
+// older release, as the state of a key.
+func TestLookupRejectsInvalidResponse(t *testing.T) {
+	for _, response := range []string{
 		"HTTP/1.1 404 Not Found\r\nContent-Length: 2\r\n\r\n{}",
 		"HTTP/1.1 200 OK\r\nContent-Length: 2\r\n\r\n{}",
 		"HTTP/1.1 200 OK\r\nContent-Length: 16\r\n\r\n{\"fate\":\"maybe\"}",
 		"HTTP/1.1 200 OK\r\nContent-Length: 4\r\n\r\nnope",
 	} {
-		at, _ := raw(t, answer)
-		ctx, cancel := context.WithTimeout(t.Context(), patience)
+		addr, _ := serveRaw(t, response)
+		ctx, cancel := context.WithTimeout(t.Context(), testTimeout)
 		defer cancel()
-		fate, err := client().Lookup(ctx, at, "k")
-		is[*forwarder.UnknownError](t, err)
-		must.Eq(t, forwarder.FateUnknown, fate)
+		state, err := client().Lookup(ctx, addr, "k")
+		requireError[*forwarder.UnknownError](t, err)
+		must.Eq(t, forwarder.KeyUnknown, state)
 	}
 }
 
-// Guards against a reply without a length that is refused though whole, or taken as whole though reset.
-func TestReplyThatEndsWithItsConnection(t *testing.T) {
+// Guards against rejecting a complete reply without a length, or accepting one whose connection was reset.
+func TestReplyWithoutLength(t *testing.T) {
 	for _, size := range []int{0, 4, forwarder.MaxBody} {
 		body := strings.Repeat("x", size)
-		r, err := call(t, bodyreadertest.Serve(t, head()+body, bodyreadertest.Close))
+		r, err := call(t, bodyreadertest.Serve(t, responseHead()+body, bodyreadertest.Close))
 		must.NoError(t, err)
 		must.True(t, body == string(r.Body), must.Sprintf("%d bytes", len(r.Body)))
-		_, err = call(t, bodyreadertest.Serve(t, head()+body, bodyreadertest.Reset))
-		is[*forwarder.UnknownError](t, err)
+		_, err = call(t, bodyreadertest.Serve(t, responseHead()+body, bodyreadertest.Reset))
+		requireError[*forwarder.UnknownError](t, err)
 	}
 }
 
-// Guards against a key's fate that is believed though the answer was cut.
-func TestCutFateIsUnknown(t *testing.T) {
+// Guards against accepting a key's state from a truncated response.
+func TestTruncatedKeyStateIsUnknown(t *testing.T) {
 	text := "HTTP/1.1 200 OK\r\nContent-Length: 900\r\n\r\n{\"fate\":\"notRun\"}"
-	fate, err := client().Lookup(t.Context(), bodyreadertest.Serve(t, text, bodyreadertest.Close), "k")
-	is[*forwarder.UnknownError](t, err)
-	must.Eq(t, forwarder.FateUnknown, fate)
+	state, err := client().Lookup(t.Context(), bodyreadertest.Serve(t, text, bodyreadertest.Close), "k")
+	requireError[*forwarder.UnknownError](t, err)
+	must.Eq(t, forwarder.KeyUnknown, state)
 }
 
-// Guards against a promise that a request did not run, taken from a refusal that was cut.
-func TestCutRefusalIsNoPromise(t *testing.T) {
-	text := strings.Replace(head("Content-Length: 900"), "ran", "notRun", 1) + "{}"
+// Guards against reporting that a request did not run on the basis of a truncated refusal.
+func TestTruncatedRefusalIsUnknown(t *testing.T) {
+	text := strings.Replace(responseHead("Content-Length: 900"), "ran", "notRun", 1) + "{}"
 	_, err := call(t, bodyreadertest.Serve(t, text, bodyreadertest.Close))
-	is[*forwarder.UnknownError](t, err)
+	requireError[*forwarder.UnknownError](t, err)
 }
 
-// Guards against an agent's stream that is taken for whole without its last event, or refused for its framing.
-func TestAgentStreamEndsInAnyFraming(t *testing.T) {
+// Guards against accepting an agent's stream without its last event, or rejecting one for its framing.
+func TestStreamEndInAllFramings(t *testing.T) {
 	const first, last = `{"index":0,"token":"two"}` + "\n", `{"done":true,"tokens":1}` + "\n"
 	for name, frame := range map[string]func(sent string, complete bool) string{
 		"length": func(sent string, complete bool) string {
@@ -222,29 +222,29 @@
 			if complete {
 				length = len(sent)
 			}
-			return head(fmt.Sprintf("Content-Length: %d", length)) + sent
+			return responseHead(fmt.Sprintf("Content-Length: %d", length)) + sent
 		},
 		"chunks": func(sent string, complete bool) string {
-			text := head("Transfer-Encoding: chunked") + chunk(sent)
+			text := responseHead("Transfer-Encoding: chunked") + chunk(sent)
 			if complete {
 				text += "0\r\n\r\n"
 			}
 			return text
 		},
-		"connection": func(sent string, _ bool) string { return head() + sent },
+		"connection": func(sent string, _ bool) string { return responseHead() + sent },
 	} {
 		must.NoError(t, streamError(t, frame(first+last, true), bodyreadertest.Close), must.Sprint(name))
 		for _, sent := range []string{"", first[:9], first, first + last[:9]} {
 			for _, complete := range []bool{false, true} {
 				for _, end := range []bodyreadertest.End{bodyreadertest.Close, bodyreadertest.Reset} {
-					is[*forwarder.CutError](t, streamError(t, frame(sent, complete), end))
+					requireError[*forwarder.TruncatedError](t, streamError(t, frame(sent, complete), end))
 				}
 			}
 		}
 	}
 }
 
-// streamError reads a stream up to its last event, or gives the error at which it ended before.
+// streamError reads a stream up to its last event, or returns the error that ended it before.
 func streamError(t *testing.T, text string, end bodyreadertest.End) error {
 	t.Helper()
 	s, err := generate(t, bodyreadertest.Serve(t, text, end))
@@ -258,16 +258,16 @@
 	}
 }
 
-// Guards against an agent whose answers have heads without end.
-func TestEndlessHeadIsNoAnswer(t *testing.T) {
+// Guards against an agent whose responses have heads without end.
+func TestEndlessHeadIsRejected(t *testing.T) {
 	bodyreadertest.EndlessHeads(t, func(a netip.AddrPort) error {
 		_, err := client().Lookup(t.Context(), a, "k")
 		return err
 	})
 }
 
-// Guards against an agent's event without end that is kept until its stream is over.
-func TestEndlessEventIsCut(t *testing.T) {
+// Guards against buffering an event without end until its stream is over.
+func TestOversizedEventIsRejected(t *testing.T) {
 	head := fmt.Sprintf("HTTP/1.1 200 OK\r\nOriolecroft-Request: %s\r\nOriolecroft-Attempt: %d\r\nOriolecroft-Outcome: ran\r\n\r\n",
 		attempt.RequestID, attempt.Number)
 	for name, r := range map[string]struct{ start, part string }{
--- a/internal/forwarder/messages.go
+++ b/internal/forwarder/messages.go
@@ -1,6 +1,6 @@
-// Package forwarder is the data path between an entry and an agent: HTTP, with
-// an order that names the request, its attempt and its deadline, and replies
-// that say whether the request ran. Nothing outside it knows the wire.
+// Package forwarder is the data path between an entry and an agent: HTTP with
+// an order that carries the request's id, attempt and deadline, and responses
+// that state whether the request ran. The wire format is private to it.
 package forwarder
 
 import (
@@ -11,7 +11,7 @@
 	"github.com/oriolecroft/oriolecroft/internal/messenger"
 )
 
-// Paths and headers of the wire.
+// Paths and headers of the protocol.
 const (
 	pathGenerate = "/run/generate"
 	pathCall     = "/run/call"
@@ -23,12 +23,12 @@
 	headerRequest = "Oriolecroft-Request"
 	headerAttempt = "Oriolecroft-Attempt"
 	headerEngine  = "Oriolecroft-Engine-Start"
-	// headerAgent carries the agent's account of itself as JSON, so that an entry
-	// knows what its agents bear from each answer and not only from heartbeats.
+	// headerAgent carries the agent's state as JSON, so that an entry learns its
+	// agents' capacity from each response and not only from heartbeats.
 	headerAgent = "Oriolecroft-Agent"
 )
 
-// The words of headerOutcome.
+// The values of headerOutcome.
 const (
 	outcomeRan     = "ran"
 	outcomeNotRun  = "notRun"
@@ -38,15 +38,15 @@
 // MaxBody is the largest body of a call or its reply, in bytes.
 const MaxBody = 1 << 20
 
-// Attempt names one try of one request. The agent echoes it and the entry drops
-// an answer that names another: a late answer on a reused connection must never
+// Attempt identifies one attempt of one request. The agent echoes it and the entry drops
+// responses to other attempts: a late response on a reused connection must never
 // reach the wrong caller.
 type Attempt struct {
 	RequestID string `json:"requestId"`
 	Number    int    `json:"number"`
 }
 
-// GenerateOrder asks an agent's engine for a stream of tokens.
+// GenerateOrder requests a stream of tokens from an agent's engine.
 type GenerateOrder struct {
 	Attempt   Attempt `json:"attempt"`
 	Workspace string  `json:"workspace"`
@@ -55,21 +55,21 @@
 	Prompt    string  `json:"prompt"`
 	MaxTokens int     `json:"maxTokens"`
 	Priority  int     `json:"priority,omitempty"`
-	// Revision is the bundle by which the entry decided.
+	// Revision is the bundle revision that the entry's decision is based on.
 	Revision uint64 `json:"revision"`
-	// Version and EngineStart bind the reply; empty means whatever is in force.
+	// Version and EngineStart must match the engine; empty ones match any.
 	Version     string `json:"version,omitempty"`
 	EngineStart string `json:"engineStart,omitempty"`
-	// Stream names the stream in the engine, for a resume.
+	// Stream is the name of the stream in the engine, for a resume.
 	Stream string `json:"stream"`
-	// From is the first event wanted; above 0 the stream is resumed, and nothing
-	// is run anew.
+	// From is the index of the first event to send; above 0 the stream is resumed, and
+	// nothing runs again.
 	From int `json:"from,omitempty"`
-	// DeadlineMS is what is left, in milliseconds, when the order is sent.
+	// DeadlineMS is the remaining time in milliseconds when the order is sent.
 	DeadlineMS int64 `json:"deadlineMs"`
 }
 
-// CallOrder asks an agent's plain service for one call; the body goes beside it.
+// CallOrder requests one call from an agent's plain service; the body is sent separately.
 type CallOrder struct {
 	Attempt   Attempt `json:"attempt"`
 	Workspace string  `json:"workspace"`
@@ -84,19 +84,19 @@
 	DeadlineMS int64             `json:"deadlineMs"`
 }
 
-// Event is one step of a stream of tokens; the last has Done or Failure.
+// Event is one event of a stream of tokens; the last has Done or Failure.
 type Event struct {
 	Index   int    `json:"index"`
 	Token   string `json:"token,omitempty"`
 	Version string `json:"version,omitempty"`
 	Weights string `json:"weights,omitempty"`
-	// AdapterWeights is the adapter's, when one was used.
+	// AdapterWeights are the adapter's weights, if one was used.
 	AdapterWeights string   `json:"adapterWeights,omitempty"`
 	Done           bool     `json:"done,omitempty"`
 	Tokens         int      `json:"tokens,omitempty"`
 	Digest         string   `json:"digest,omitempty"`
 	Failure        *Failure `json:"failure,omitempty"`
-	// Agent is the agent's account of itself at the end of the stream.
+	// Agent is the agent's state at the end of the stream.
 	Agent *messenger.AgentState `json:"agent,omitempty"`
 }
 
@@ -105,41 +105,41 @@
 	Message string `json:"message"`
 }
 
-// Reply is a plain service's whole answer.
+// Reply is a plain service's complete reply.
 type Reply struct {
 	Status int
 	Header http.Header
 	Body   []byte
-	// Replayed is set when an earlier attempt with the same key ran, and this is
-	// its answer again.
+	// Replayed is set when an earlier attempt with the same key ran, and this is a
+	// copy of its reply.
 	Replayed bool
-	// Agent is the agent's account of itself after the call.
+	// Agent is the agent's state after the call.
 	Agent *messenger.AgentState
 }
 
-// Fate is what became of a key.
-type Fate string
+// KeyState is the state of a key's call.
+type KeyState string
 
-// The fates of a key.
+// The states of a key's call.
 const (
-	FateRan     Fate = "ran"
-	FateRunning Fate = "running"
-	FateNotRun  Fate = "notRun"
-	FateUnknown Fate = "unknown"
+	KeyRan     KeyState = "ran"
+	KeyRunning KeyState = "running"
+	KeyNotRun  KeyState = "notRun"
+	KeyUnknown KeyState = "unknown"
 )
 
-// NotRunError is the agent's own word, or a dial that failed: the request never
-// reached the upstream.
+// NotRunError states that the request never reached the upstream, as the agent
+// reports or because a dial failed.
 type NotRunError struct {
 	Reason     string        `json:"reason"`
 	RetryAfter time.Duration `json:"-"`
-	// Busy means that the upstream was full and nothing else was wrong.
+	// Busy means that the upstream was full and there was no other problem.
 	Busy bool `json:"busy,omitempty"`
-	// KeyClosed means the key will never run: a caller needs a new one.
+	// KeyClosed means that the key will never run: a caller needs a new one.
 	KeyClosed bool `json:"keyClosed,omitempty"`
 	// Gone means that the agent itself could not be reached.
 	Gone bool `json:"-"`
-	// Agent is the agent's account of itself when it refused.
+	// Agent is the agent's state when it refused.
 	Agent *messenger.AgentState `json:"-"`
 }
 
@@ -152,12 +152,12 @@
 
 func (e *UnknownError) Error() string { return "unknown whether it ran: " + e.Reason }
 
-// CrossedError reports an answer to another attempt than the one asked.
-type CrossedError struct {
+// AttemptMismatchError reports a response to another attempt than the one sent.
+type AttemptMismatchError struct {
 	Want Attempt
 	Got  string
 }
 
-func (e *CrossedError) Error() string {
+func (e *AttemptMismatchError) Error() string {
 	return fmt.Sprintf("answer to %s arrived for %s/%d", e.Got, e.Want.RequestID, e.Want.Number)
 }
--- a/internal/forwarder/server.go
+++ b/internal/forwarder/server.go
@@ -19,26 +19,26 @@
 
 const headerReplayed = "Oriolecroft-Replayed"
 
-// maxGenerateOrder is the largest order with its prompt, in bytes.
+// maxGenerateOrder is the largest order including its prompt, in bytes.
 const maxGenerateOrder = 4 << 20
 
-// Runner is what an agent does with orders.
+// Runner executes an agent's orders.
 type Runner interface {
 	// Generate runs or resumes a stream: it calls start once, when the engine
-	// has taken the request, and emit for each event. An error before start is
+	// has accepted the request, and emit for each event. An error before start is
 	// *NotRunError or *UnknownError; afterwards the stream ends with a Failure.
 	Generate(ctx context.Context, o GenerateOrder, start func(engineStart string), emit func(Event) error) error
 	// Call runs one call; errors are *NotRunError and *UnknownError.
 	Call(ctx context.Context, o CallOrder, body []byte) (*Reply, error)
-	// Cancel ends a stream whose caller left.
+	// Cancel ends a stream whose caller disconnected.
 	Cancel(stream string)
-	// State is the agent's account of itself, short enough for each answer.
+	// State returns the agent's state, short enough for the header of each response.
 	State() messenger.AgentState
-	// Lookup tells what became of a key.
-	Lookup(key string) Fate
+	// Lookup returns the state of a key's call.
+	Lookup(key string) KeyState
 }
 
-// Handler serves a runner.
+// Handler returns an HTTP handler for a runner's orders.
 func Handler(r Runner) http.Handler {
 	m := http.NewServeMux()
 	h := &handler{runner: r}
@@ -56,7 +56,7 @@
 func (h *handler) generate(w http.ResponseWriter, r *http.Request) {
 	var o GenerateOrder
 	if err := json.NewDecoder(http.MaxBytesReader(w, r.Body, maxGenerateOrder)).Decode(&o); err != nil {
-		fail(w, Attempt{}, &NotRunError{Reason: "order can not be read: " + err.Error()})
+		writeError(w, Attempt{}, &NotRunError{Reason: "order can not be read: " + err.Error()})
 		return
 	}
 	ctx, cancel := withDeadline(r.Context(), o.DeadlineMS)
@@ -67,15 +67,15 @@
 		return
 	}
 	if !out.started {
-		h.fail(w, o.Attempt, err)
+		h.writeError(w, o.Attempt, err)
 		return
 	}
-	// The stream has begun, so the error goes into it; if that fails too, the
-	// missing end mark tells the entry.
+	// The stream has started, so the error is sent as its last event. If that fails
+	// too, the entry detects the missing last event.
 	_ = out.emit(Event{Failure: &Failure{Message: err.Error()}})
 }
 
-// eventWriter writes events as JSON, one at a time, as they come.
+// eventWriter writes each event as JSON and flushes it.
 type eventWriter struct {
 	writer  http.ResponseWriter
 	control *http.ResponseController
@@ -85,7 +85,7 @@
 
 func (e *eventWriter) start(engineStart string) {
 	e.started = true
-	echo(e.writer, e.attempt, outcomeRan)
+	setAttemptHeaders(e.writer, e.attempt, outcomeRan)
 	e.writer.Header().Set(headerEngine, engineStart)
 	e.writer.WriteHeader(http.StatusOK)
 }
@@ -100,23 +100,23 @@
 func (h *handler) call(w http.ResponseWriter, r *http.Request) {
 	var o CallOrder
 	if err := json.Unmarshal([]byte(r.Header.Get(headerOrder)), &o); err != nil {
-		fail(w, Attempt{}, &NotRunError{Reason: "order can not be read: " + err.Error()})
+		writeError(w, Attempt{}, &NotRunError{Reason: "order can not be read: " + err.Error()})
 		return
 	}
 	body, err := io.ReadAll(http.MaxBytesReader(w, r.Body, MaxBody))
 	if err != nil {
-		fail(w, o.Attempt, &NotRunError{Reason: "body can not be read: " + err.Error()})
+		writeError(w, o.Attempt, &NotRunError{Reason: "body can not be read: " + err.Error()})
 		return
 	}
 	ctx, cancel := withDeadline(r.Context(), o.DeadlineMS)
 	defer cancel()
 	reply, err := h.runner.Call(ctx, o, body)
 	if err != nil {
-		h.fail(w, o.Attempt, err)
+		h.writeError(w, o.Attempt, err)
 		return
 	}
-	h.tell(w)
-	write(w, o.Attempt, reply)
+	h.setAgentHeader(w)
+	writeReply(w, o.Attempt, reply)
 }
 
 func (h *handler) lookup(w http.ResponseWriter, r *http.Request) {
@@ -125,10 +125,10 @@
 		http.Error(w, err.Error(), http.StatusBadRequest)
 		return
 	}
-	answer := struct {
-		Fate Fate `json:"fate"`
+	response := struct {
+		Fate KeyState `json:"fate"`
 	}{h.runner.Lookup(string(key))}
-	_ = json.NewEncoder(w).Encode(answer)
+	_ = json.NewEncoder(w).Encode(response)
 }
 
 func (h *handler) cancel(w http.ResponseWriter, r *http.Request) {
@@ -140,50 +140,50 @@
 	h.runner.Cancel(string(stream))
 }
 
-// tell adds the agent's account of itself to an answer.
-func (h *handler) tell(w http.ResponseWriter) {
+// setAgentHeader adds the agent's state to a response.
+func (h *handler) setAgentHeader(w http.ResponseWriter) {
 	if data, err := json.Marshal(h.runner.State()); err == nil {
 		w.Header().Set(headerAgent, string(data))
 	}
 }
 
-// fail is an answer that is not a reply, with the agent's account of itself.
-func (h *handler) fail(w http.ResponseWriter, a Attempt, err error) {
-	h.tell(w)
-	fail(w, a, err)
+// writeError writes an error response with the agent's state.
+func (h *handler) writeError(w http.ResponseWriter, a Attempt, err error) {
+	h.setAgentHeader(w)
+	writeError(w, a, err)
 }
 
 func withDeadline(ctx context.Context, ms int64) (context.Context, context.CancelFunc) {
 	return context.WithTimeout(ctx, time.Duration(ms)*time.Millisecond)
 }
 
-func echo(w http.ResponseWriter, a Attempt, outcome string) {
+func setAttemptHeaders(w http.ResponseWriter, a Attempt, outcome string) {
 	w.Header().Set(headerRequest, a.RequestID)
 	w.Header().Set(headerAttempt, strconv.Itoa(a.Number))
 	w.Header().Set(headerOutcome, outcome)
 }
 
-// fail answers with what is known of the outcome: only a *NotRunError claims
+// writeError writes an error response with the known outcome: only a *NotRunError states
 // that the request never reached the upstream.
-func fail(w http.ResponseWriter, a Attempt, err error) {
+func writeError(w http.ResponseWriter, a Attempt, err error) {
 	var n *NotRunError
 	if errors.As(err, &n) {
-		echo(w, a, outcomeNotRun)
+		setAttemptHeaders(w, a, outcomeNotRun)
 		w.WriteHeader(http.StatusServiceUnavailable)
 		body := refusal{Reason: n.Reason, RetryAfterMS: n.RetryAfter.Milliseconds(), Busy: n.Busy, KeyClosed: n.KeyClosed}
 		_ = json.NewEncoder(w).Encode(body)
 		return
 	}
-	echo(w, a, outcomeUnknown)
+	setAttemptHeaders(w, a, outcomeUnknown)
 	w.WriteHeader(http.StatusBadGateway)
 	_ = json.NewEncoder(w).Encode(refusal{Reason: err.Error()})
 }
 
-func write(w http.ResponseWriter, a Attempt, r *Reply) {
+func writeReply(w http.ResponseWriter, a Attempt, r *Reply) {
 	for name, values := range serviceHeader(r.Header) {
 		w.Header()[name] = values
 	}
-	echo(w, a, outcomeRan)
+	setAttemptHeaders(w, a, outcomeRan)
 	if r.Replayed {
 		w.Header().Set(headerReplayed, "true")
 	}
@@ -192,17 +192,17 @@
 	_, _ = w.Write(r.Body)
 }
 
-// hopHeaders belong to one connection and are not passed on.
-var hopHeaders = []string{
+// hopByHopHeaders apply to one connection and are not forwarded.
+var hopByHopHeaders = []string{
 	"Connection", "Content-Length", "Date", "Keep-Alive", "Proxy-Connection",
 	"Te", "Trailer", "Transfer-Encoding", "Upgrade",
 }
 
-// serviceHeader keeps what the plain service itself said.
+// serviceHeader returns the headers of the plain service itself.
 func serviceHeader(h http.Header) http.Header {
 	kept := http.Header{}
 	for name, values := range h {
-		if slices.Contains(hopHeaders, name) || strings.HasPrefix(name, "Oriolecroft-") {
+		if slices.Contains(hopByHopHeaders, name) || strings.HasPrefix(name, "Oriolecroft-") {
 			continue
 		}
 		kept[name] = values
--- a/internal/forwarder/server_test.go
+++ b/internal/forwarder/server_test.go
@@ -15,7 +15,7 @@
 	"github.com/oriolecroft/oriolecroft/internal/messenger"
 )
 
-// runner answers everything in the same way.
+// runner gives the same result to every order.
 type runner struct {
 	reply  *forwarder.Reply
 	err    error
@@ -44,7 +44,7 @@
 
 func (*runner) State() messenger.AgentState { return messenger.AgentState{ID: "vm-1"} }
 
-func (*runner) Lookup(string) forwarder.Fate { return forwarder.FateRan }
+func (*runner) Lookup(string) forwarder.KeyState { return forwarder.KeyRan }
 
 func serve(t *testing.T, r *runner) netip.AddrPort {
 	s := httptest.NewServer(forwarder.Handler(r))
@@ -52,7 +52,7 @@
 	return netip.MustParseAddrPort(s.Listener.Addr().String())
 }
 
-func TestAnswersPassTheWire(t *testing.T) {
+func TestResponsesRoundTrip(t *testing.T) {
 	state := &messenger.AgentState{ID: "vm-1"}
 	reply := &forwarder.Reply{
 		Status: http.StatusTeapot, Body: []byte("slot"), Replayed: true,
@@ -66,18 +66,18 @@
 
 	refusal := &forwarder.NotRunError{Reason: "full", RetryAfter: 3 * time.Second, Busy: true, KeyClosed: true, Agent: state}
 	_, err = call(t, serve(t, &runner{err: refusal}))
-	must.Eq(t, refusal, as[*forwarder.NotRunError](t, err))
+	must.Eq(t, refusal, errorAs[*forwarder.NotRunError](t, err))
 	_, err = generate(t, serve(t, &runner{err: refusal}))
-	must.Eq(t, refusal, as[*forwarder.NotRunError](t, err))
+	must.Eq(t, refusal, errorAs[*forwarder.NotRunError](t, err))
 	_, err = call(t, serve(t, &runner{err: context.Canceled}))
-	is[*forwarder.UnknownError](t, err)
+	requireError[*forwarder.UnknownError](t, err)
 }
 
-// An engine is lost after the first token, when the status has been sent. The
-// stream itself must say so, or the entry would wait for the rest.
-func TestStreamEndsWithItsFailure(t *testing.T) {
-	at := serve(t, &runner{events: []forwarder.Event{{Token: "two"}}, err: context.Canceled})
-	s, err := generate(t, at)
+// An engine fails after the first token, when the status has been sent. Without a failure
+// event in the stream the entry would wait for the rest.
+func TestStreamReportsFailure(t *testing.T) {
+	addr := serve(t, &runner{events: []forwarder.Event{{Token: "two"}}, err: context.Canceled})
+	s, err := generate(t, addr)
 	must.NoError(t, err)
 	defer s.Close()
 	must.Eq(t, "engine-1", s.EngineStart)
@@ -89,8 +89,8 @@
 	must.Eq(t, "context canceled", e.Failure.Message)
 }
 
-// Orders that can't be read, or bodies over the bound, reach an agent. It never
-// passes them on, and says so.
+// Guards against forwarding unreadable orders or oversized bodies. The agent must answer
+// that they did not run.
 func TestUnreadableOrdersAreNotRun(t *testing.T) {
 	h := forwarder.Handler(&runner{reply: &forwarder.Reply{Status: http.StatusOK}})
 	for _, tt := range []struct{ path, order, body string }{
@@ -109,7 +109,7 @@
 	}
 }
 
-// Guards against a name that is cut to the longest one allowed, so that another stream is cancelled.
+// Guards against truncating a name to the longest one allowed, which could cancel another stream.
 func TestOverlongStreamNameCancelsNothing(t *testing.T) {
 	r := &runner{}
 	long := strings.Repeat("s", 1024)
--- a/internal/gossiper/exchanger.go
+++ b/internal/gossiper/exchanger.go
@@ -186,7 +186,7 @@
 	if err != nil {
 		return err
 	}
-	r := e.State.RecordFor(answer.State.Word)
+	r := e.State.RecordFor(answer.State.Freshness)
 	if r == nil {
 		return nil
 	}
@@ -213,7 +213,7 @@
 func (e *Exchanger) Answer(x messenger.Exchange) messenger.Exchange {
 	e.offer(x)
 	e.State.Hear(x.State)
-	return messenger.Exchange{State: e.account(), Record: e.State.RecordFor(x.State.Word)}
+	return messenger.Exchange{State: e.account(), Record: e.State.RecordFor(x.State.Freshness)}
 }
 
 func (e *Exchanger) offer(x messenger.Exchange) {
@@ -228,7 +228,7 @@
 func (e *Exchanger) account() messenger.EntryState {
 	self := e.Self()
 	self.StoreReachable = e.State.StoreReachable()
-	self.Word = e.State.Word()
+	self.Freshness = e.State.Word()
 	return self
 }
 
--- a/internal/gossiper/failure_test.go
+++ b/internal/gossiper/failure_test.go
@@ -58,18 +58,18 @@
 	word := s.Word()
 	c.SetTime(start.Add(s.ReachFor()))
 	word.AgeMS = s.ReachFor().Milliseconds()
-	s.HearAnswer(messenger.EntryState{ID: "b", StoreReachable: true, Word: word}, c.Now())
+	s.HearAnswer(messenger.EntryState{ID: "b", StoreReachable: true, Freshness: word}, c.Now())
 	c.SetTime(start.Add(gossiper.DefaultFreshFor - 100*time.Millisecond))
 	s.Fail()
 	s.Word() // goes through the votes, and forgets those that lapsed
 	word.AgeMS = c.Now().Sub(start).Milliseconds()
-	var v messenger.Silence
+	var v messenger.DisconnectedEntries
 	for _, name := range silent {
 		v.IDs = append(v.IDs, uint32(xxhash.Sum64String(name)))
 		v.AgesMS = append(v.AgesMS, 1500)
 	}
-	word.Silent = []messenger.Silence{v}
-	s.HearAnswer(messenger.EntryState{ID: "c", Word: word}, c.Now())
+	word.Disconnected = []messenger.DisconnectedEntries{v}
+	s.HearAnswer(messenger.EntryState{ID: "c", Freshness: word}, c.Now())
 	c.SetTime(start.Add(gossiper.DefaultFreshFor + 20*time.Millisecond))
 	return s.MayServe()
 }
@@ -267,10 +267,10 @@
 	must.NoError(t, s.MayServe())
 	asked := c.Now()
 	c.SetTime(start.Add(20 * time.Second))
-	word := messenger.Word{Revision: 1, Digest: signed(1, "c1").Digest(), AgeMS: 5}
-	word.Silent = silence("e1", "e2")
-	s.Hear(messenger.EntryState{ID: "e1", Word: word})
-	s.HearAnswer(messenger.EntryState{ID: "e1", Word: word}, asked)
+	word := messenger.Freshness{Revision: 1, Digest: signed(1, "c1").Digest(), AgeMS: 5}
+	word.Disconnected = silence("e1", "e2")
+	s.Hear(messenger.EntryState{ID: "e1", Freshness: word})
+	s.HearAnswer(messenger.EntryState{ID: "e1", Freshness: word}, asked)
 	var stale *gossiper.StaleError
 	must.True(t, errors.As(s.MayServe(), &stale))
 	must.Eq(t, 20*time.Second, stale.Age)
@@ -280,25 +280,25 @@
 }
 
 // silence is the word of some entries that the store failed them just now.
-func silence(ids ...string) []messenger.Silence {
-	var v messenger.Silence
+func silence(ids ...string) []messenger.DisconnectedEntries {
+	var v messenger.DisconnectedEntries
 	for _, id := range ids {
 		v.IDs = append(v.IDs, uint32(xxhash.Sum64String(id)))
 		v.AgesMS = append(v.AgesMS, 0)
 	}
-	return []messenger.Silence{v}
+	return []messenger.DisconnectedEntries{v}
 }
 
 // outageEntry is one of three entries, holds revision 2 and counts the store out.
-func outageEntry(t *testing.T) (*gossiper.State, *testclock.FakePassiveClock, messenger.Word) {
+func outageEntry(t *testing.T) (*gossiper.State, *testclock.FakePassiveClock, messenger.Freshness) {
 	c := testclock.NewFakePassiveClock(start)
 	s := &gossiper.State{Keyring: keyring(), Clock: c, Entries: 3, ID: "e0"}
 	_, err := s.Observe(signed(2, "c2"), c.Now())
 	must.NoError(t, err)
 	c.SetTime(start.Add(20 * time.Second))
 	s.Fail()
-	w := messenger.Word{Revision: 2, Digest: signed(2, "c2").Digest(), AgeMS: 20000, Silent: silence("e1")}
-	s.HearAnswer(messenger.EntryState{ID: "e1", Word: w}, c.Now())
+	w := messenger.Freshness{Revision: 2, Digest: signed(2, "c2").Digest(), AgeMS: 20000, Disconnected: silence("e1")}
+	s.HearAnswer(messenger.EntryState{ID: "e1", Freshness: w}, c.Now())
 	must.NoError(t, s.MayServe())
 	return s, c, w
 }
@@ -313,7 +313,7 @@
 	must.NoError(t, err)
 	hear := func() {
 		c.SetTime(c.Now().Add(time.Millisecond))
-		s.HearAnswer(messenger.EntryState{ID: "e2", StoreReachable: replaced.StoreReachable(), Word: replaced.Word()}, c.Now())
+		s.HearAnswer(messenger.EntryState{ID: "e2", StoreReachable: replaced.StoreReachable(), Freshness: replaced.Word()}, c.Now())
 	}
 	hear()
 	must.NoError(t, s.MayServe())
@@ -328,9 +328,9 @@
 // serving by it would be work sent to where it was taken away.
 func TestKnownHigherRevisionStopsService(t *testing.T) {
 	s, c, w := outageEntry(t)
-	s.Hear(messenger.EntryState{ID: "e2", Word: messenger.Word{Revision: 3, AgeMS: -1}})
+	s.Hear(messenger.EntryState{ID: "e2", Freshness: messenger.Freshness{Revision: 3, AgeMS: -1}})
 	must.Error(t, s.MayServe())
-	must.SliceEmpty(t, s.Word().Silent)
+	must.SliceEmpty(t, s.Word().Disconnected)
 	c.SetTime(c.Now().Add(time.Millisecond))
 	s.Confirm(2, w.Digest, c.Now())
 	must.Error(t, s.MayServe())
@@ -349,7 +349,7 @@
 	_, err = s.Offer(signed(1, "theirs"))
 	var fork *gossiper.ForkError
 	must.True(t, errors.As(err, &fork))
-	s.HearWord(messenger.Word{Revision: 1, Digest: fork.Found}, start)
+	s.HearWord(messenger.Freshness{Revision: 1, Digest: fork.Found}, start)
 	s.Confirm(0, "", start)
 	must.Eq(t, 2, alarms(s, gossiper.AlarmFork))
 	must.Eq(t, 1, alarms(s, gossiper.AlarmEmptyStore))
--- a/internal/gossiper/model_test.go
+++ b/internal/gossiper/model_test.go
@@ -231,8 +231,8 @@
 	if r := m.nodes[i].RecordFor(other.Word()); r != nil {
 		m.send(j, r, func(s *gossiper.State) { _, _ = s.Offer(r) })
 	}
-	other.Hear(messenger.EntryState{ID: m.name(i), Word: mine})
-	answer := messenger.EntryState{ID: m.name(j), Region: m.region(j), StoreReachable: other.StoreReachable(), Word: other.Word()}
+	other.Hear(messenger.EntryState{ID: m.name(i), Freshness: mine})
+	answer := messenger.EntryState{ID: m.name(j), Region: m.region(j), StoreReachable: other.StoreReachable(), Freshness: other.Word()}
 	r := other.RecordFor(mine)
 	m.send(i, r, func(s *gossiper.State) {
 		if r != nil {
--- a/internal/gossiper/outage.go
+++ b/internal/gossiper/outage.go
@@ -52,7 +52,7 @@
 }
 
 // hearSilence counts the votes that another entry passes on.
-func (s *State) hearSilence(v messenger.Silence, askedAt time.Time) {
+func (s *State) hearSilence(v messenger.DisconnectedEntries, askedAt time.Time) {
 	for i, id := range v.IDs[:min(len(v.IDs), len(v.AgesMS))] {
 		at := askedAt.Add(-time.Duration(v.AgesMS[i]) * time.Millisecond)
 		s.vote(id, peer{at: at, region: v.Region, reach: reachFailed})
@@ -134,15 +134,15 @@
 // silent lists the entries known to ask the store in vain, this one included,
 // for others to count. One that knows of a revision that it does not hold gives
 // no word: others that have not heard of that one would count it for less.
-func (s *State) silent(now time.Time) []messenger.Silence {
+func (s *State) silent(now time.Time) []messenger.DisconnectedEntries {
 	if s.Entries == 0 || !s.unreachable(now) || s.known > s.revision() {
 		return nil
 	}
-	by := map[string]*messenger.Silence{}
+	by := map[string]*messenger.DisconnectedEntries{}
 	add := func(id uint32, p peer) {
 		v := by[p.region]
 		if v == nil {
-			v = &messenger.Silence{Region: p.region}
+			v = &messenger.DisconnectedEntries{Region: p.region}
 			by[p.region] = v
 		}
 		v.IDs = append(v.IDs, id)
@@ -154,7 +154,7 @@
 			add(id, p)
 		}
 	}
-	var list []messenger.Silence
+	var list []messenger.DisconnectedEntries
 	for _, region := range slices.Sorted(maps.Keys(by)) {
 		list = append(list, *by[region])
 	}
--- a/internal/gossiper/propagation_test.go
+++ b/internal/gossiper/propagation_test.go
@@ -302,7 +302,7 @@
 	b.ReportMetric(float64(p.calls)/seconds, "storeCalls/s")
 	x := messenger.Exchange{State: p.names[0]}
 	x.State.Callers, x.State.Peers = netip.MustParseAddrPort("10.20.30.40:7001"), netip.MustParseAddrPort("10.20.30.40:7002")
-	x.State.Incarnation, x.State.Word = "8c1f7a52-6a8e-4b7e-9d55-0f6a3c0f8c11", p.entries[0].state.Word()
+	x.State.Incarnation, x.State.Freshness = "8c1f7a52-6a8e-4b7e-9d55-0f6a3c0f8c11", p.entries[0].state.Word()
 	data, err := json.Marshal(x)
 	must.NoError(b, err)
 	b.ReportMetric(float64(len(data)), "exchangeBytes")
--- a/internal/gossiper/state.go
+++ b/internal/gossiper/state.go
@@ -221,7 +221,7 @@
 func (s *State) Hear(e messenger.EntryState) {
 	s.mu.Lock()
 	defer s.mu.Unlock()
-	s.know(e.Word.Revision)
+	s.know(e.Freshness.Revision)
 }
 
 // HearAnswer takes another entry's word given in answer to a question sent at
@@ -229,21 +229,21 @@
 func (s *State) HearAnswer(e messenger.EntryState, askedAt time.Time) {
 	s.mu.Lock()
 	defer s.mu.Unlock()
-	s.hearWord(e.Word, askedAt)
+	s.hearWord(e.Freshness, askedAt)
 	if e.StoreReachable {
-		s.vote(voter(e.ID), peer{at: askedAt, reach: reachSucceeded, revision: e.Word.Revision, region: e.Region})
+		s.vote(voter(e.ID), peer{at: askedAt, reach: reachSucceeded, revision: e.Freshness.Revision, region: e.Region})
 	}
 }
 
 // HearWord is HearAnswer for what carries only a word, such as an entry's news
 // to an agent.
-func (s *State) HearWord(w messenger.Word, askedAt time.Time) {
+func (s *State) HearWord(w messenger.Freshness, askedAt time.Time) {
 	s.mu.Lock()
 	defer s.mu.Unlock()
 	s.hearWord(w, askedAt)
 }
 
-func (s *State) hearWord(w messenger.Word, askedAt time.Time) {
+func (s *State) hearWord(w messenger.Freshness, askedAt time.Time) {
 	s.know(w.Revision)
 	if w.Revision > 0 && w.Revision == s.revision() && w.Digest != s.digest {
 		_ = s.alarm(&ForkError{Revision: w.Revision, Held: s.digest, Found: w.Digest})
@@ -254,7 +254,7 @@
 	if w.Outage && w.Revision == s.revision() && w.Digest == s.digest {
 		s.outage = later(s.outage, askedAt.Add(-w.OutageAge()))
 	}
-	for _, v := range w.Silent {
+	for _, v := range w.Disconnected {
 		s.hearSilence(v, askedAt)
 	}
 }
@@ -293,25 +293,25 @@
 }
 
 // Word is what an entry tells another about its bundle.
-func (s *State) Word() messenger.Word {
+func (s *State) Word() messenger.Freshness {
 	s.mu.Lock()
 	defer s.mu.Unlock()
 	now := s.Clock.Now()
 	w := s.word(now)
-	w.Silent = s.silent(now)
+	w.Disconnected = s.silent(now)
 	return w
 }
 
 // AgentWord is what an entry tells an agent: the same without the votes, which
 // agents do not count.
-func (s *State) AgentWord() messenger.Word {
+func (s *State) AgentWord() messenger.Freshness {
 	s.mu.Lock()
 	defer s.mu.Unlock()
 	return s.word(s.Clock.Now())
 }
 
-func (s *State) word(now time.Time) messenger.Word {
-	w := messenger.Word{Revision: s.revision(), Digest: s.digest, AgeMS: -1}
+func (s *State) word(now time.Time) messenger.Freshness {
+	w := messenger.Freshness{Revision: s.revision(), Digest: s.digest, AgeMS: -1}
 	if s.bundle == nil {
 		return w
 	}
@@ -334,7 +334,7 @@
 
 // RecordFor gives the record that a process with the given word lacks; nil when
 // it has as much as this one.
-func (s *State) RecordFor(w messenger.Word) *bundler.Record {
+func (s *State) RecordFor(w messenger.Freshness) *bundler.Record {
 	s.mu.Lock()
 	defer s.mu.Unlock()
 	if w.Revision >= s.revision() {
--- a/internal/granter/granter.go
+++ b/internal/granter/granter.go
@@ -50,7 +50,7 @@
 }
 
 // Reserve answers a question for a place.
-func (g *Granter) Reserve(q messenger.Reservation, from *messenger.Link) messenger.Verdict {
+func (g *Granter) Reserve(q messenger.Reservation, from *messenger.Link) messenger.Decision {
 	if v, ok := g.anotherEngine(q); ok {
 		return v
 	}
@@ -58,7 +58,7 @@
 		g.Ledger.Limit(observer.Limit{Rate: q.Limit.PerSecond, Age: q.Limit.Age()})
 	}
 	v := g.Ledger.Reserve(scheduler.Job{
-		ID: q.Request, Prompt: q.Prompt, Answer: q.Answer, Expected: q.Expected, MaxAnswer: q.MaxAnswer, Spare: q.Spare, Patience: q.Patience(), Left: q.Left(), Pause: q.Pause(),
+		ID: q.Request, Prompt: q.Prompt, Answer: q.Answer, Expected: q.Expected, MaxAnswer: q.MaxAnswer, Spare: q.Spare, Patience: q.WaitLimit(), Left: q.TimeLeft(), Pause: q.Pause(),
 		Priority: q.Priority, Workspace: q.Workspace, Budget: q.Budget(), Asked: q.Asked, Refusals: q.Refusals,
 		Beyond: scheduler.Beyond(q.BeyondRamp),
 	}, from)
@@ -66,15 +66,15 @@
 	g.tables.note(q)
 	if v.Granted || g.logs() {
 		fields := []any{"request", q.RequestID(), "granted", v.Granted, "closed", v.Closed, "wait", v.Wait, "takes", v.Takes,
-			"patience", q.Patience(), "active", v.Active, "slots", v.Slots, "prompt", q.Prompt, "spare", q.Spare,
+			"patience", q.WaitLimit(), "active", v.Active, "slots", v.Slots, "prompt", q.Prompt, "spare", q.Spare,
 			"unreserved", v.Unreserved, "observed", v.Observed, "held", v.Ramp != nil && v.Ramp.Held, "unlogged", g.unlogged.Swap(0),
-			"endsLate", v.EndsLate, "left", q.Left(), "pace", v.Pace, "momentaryPace", v.Momentary.Factor}
+			"endsLate", v.EndsLate, "left", q.TimeLeft(), "pace", v.Pace, "momentaryPace", v.Momentary.Factor}
 		klog.InfoS("Place asked", append(fields, priorityFields(q, v)...)...)
 	}
-	return messenger.Verdict{
-		Granted: v.Granted, Closed: v.Closed, Version: g.Holds(q.Model), WaitMS: v.Wait.Milliseconds(),
-		TakesMS: v.Takes.Milliseconds(), FreeMS: v.Free.Milliseconds(), Active: v.Active, Slots: v.Slots, Kept: v.Kept,
-		BeginWithinMS: v.BeginWithin.Milliseconds(), EndsLate: v.EndsLate, Pace: pace(v.Pace), Momentary: g.momentary(v.Momentary), Ramp: rampOf(v.Ramp),
+	return messenger.Decision{
+		Granted: v.Granted, ClosedReason: v.Closed, Version: g.Holds(q.Model), WaitMS: v.Wait.Milliseconds(),
+		DurationMS: v.Takes.Milliseconds(), FreeInMS: v.Free.Milliseconds(), Active: v.Active, Slots: v.Slots, KeptFor: v.Kept,
+		StartWithinMS: v.BeginWithin.Milliseconds(), EndsLate: v.EndsLate, Pace: pace(v.Pace), Momentary: g.momentary(v.Momentary), Ramp: rampOf(v.Ramp),
 	}
 }
 
@@ -103,7 +103,7 @@
 	if r == nil {
 		return nil
 	}
-	return &messenger.Ramp{Limit: r.Limit, Held: r.Held, Well: r.Well}
+	return &messenger.Ramp{Limit: r.Limit, Limited: r.Held, Healthy: r.Well}
 }
 
 // AnotherEngine is why nothing is granted for an engine that isn't the one beside the agent.
@@ -112,13 +112,13 @@
 // anotherEngine refuses a reservation for a start of the engine that isn't the one known here. The engine
 // would reject the request, and the slot be free for the next one that it rejects. A later start than
 // the known one is mostly the engine's own, which this agent hasn't observed yet.
-func (g *Granter) anotherEngine(q messenger.Reservation) (messenger.Verdict, bool) {
+func (g *Granter) anotherEngine(q messenger.Reservation) (messenger.Decision, bool) {
 	if g.EngineStart == nil || q.StartedAt.IsZero() {
-		return messenger.Verdict{}, false
+		return messenger.Decision{}, false
 	}
 	startedAt, age := g.EngineStart()
 	if startedAt.IsZero() || startedAt.Equal(q.StartedAt) {
-		return messenger.Verdict{}, false
+		return messenger.Decision{}, false
 	}
 	if startedAt.Before(q.StartedAt) && g.Poll != nil {
 		g.Poll()
@@ -127,7 +127,7 @@
 		klog.InfoS("Slot refused: meant for another start of the engine", "request", q.RequestID(), "meant", q.StartedAt,
 			"startedAt", startedAt, "observed", age)
 	}
-	return messenger.Verdict{Closed: AnotherEngine, StartedAt: startedAt, ObservedMS: age.Milliseconds()}, true
+	return messenger.Decision{ClosedReason: AnotherEngine, StartedAt: startedAt, ObservedMS: age.Milliseconds()}, true
 }
 
 // logs tells whether one more refusal is logged now.
--- a/internal/granter/granter_test.go
+++ b/internal/granter/granter_test.go
@@ -30,7 +30,7 @@
 	l.Close("no weights")
 	g := &granter.Granter{Ledger: l, Holds: func(string) uint64 { return 0 }, Clock: c}
 	ask := func(id string) bool {
-		return g.Reserve(messenger.Reservation{Request: id, Prompt: 1, PatienceMS: 100, LeftMS: 1000}, nil).Granted
+		return g.Reserve(messenger.Reservation{Request: id, Prompt: 1, WaitLimitMS: 100, TimeLeftMS: 1000}, nil).Granted
 	}
 	for i := range 1000 {
 		must.False(t, ask(fmt.Sprint(i)))
@@ -59,9 +59,9 @@
 	l.Open(&matcher.Engine{Slots: 4, ReadPerSecond: 1000, Step: time.Millisecond, Chunk: 512, Stride: 4})
 	g := &granter.Granter{Ledger: l, Holds: func(string) uint64 { return 0 }, Clock: l.Clock}
 	for _, id := range []string{"r1", "r#1"} {
-		for _, name := range []string{messenger.Numbered(id, 0), messenger.Numbered(id, 1<<31)} {
+		for _, name := range []string{messenger.ReservationName(id, 0), messenger.ReservationName(id, 1<<31)} {
 			out.Reset()
-			must.True(t, g.Reserve(messenger.Reservation{Request: name, Prompt: 1, PatienceMS: 100, LeftMS: 1000}, nil).Granted)
+			must.True(t, g.Reserve(messenger.Reservation{Request: name, Prompt: 1, WaitLimitMS: 100, TimeLeftMS: 1000}, nil).Granted)
 			var line struct{ Request string }
 			must.NoError(t, json.Unmarshal(out.Bytes(), &line))
 			must.Eq(t, id, line.Request)
@@ -102,11 +102,11 @@
 		t.Run(name, func(t *testing.T) {
 			engine := &engineStart{startedAt: e.known, age: 70 * time.Millisecond}
 			g := engine.granter(clocktest.NewFakeClock(time.Unix(1000, 0)))
-			v := g.Reserve(messenger.Reservation{Request: "r", StartedAt: e.meant, Prompt: 1, PatienceMS: 100, LeftMS: 1000}, nil)
+			v := g.Reserve(messenger.Reservation{Request: "r", StartedAt: e.meant, Prompt: 1, WaitLimitMS: 100, TimeLeftMS: 1000}, nil)
 			must.Eq(t, e.granted, v.Granted)
 			must.Eq(t, e.polls, engine.polls)
 			if !e.granted {
-				must.Eq(t, granter.AnotherEngine, v.Closed)
+				must.Eq(t, granter.AnotherEngine, v.ClosedReason)
 				must.Eq(t, e.known, v.StartedAt)
 				must.Eq(t, engine.age, v.Observed())
 			}
--- a/internal/granter/pace_test.go
+++ b/internal/granter/pace_test.go
@@ -20,8 +20,8 @@
 	l := &scheduler.Ledger{Clock: c}
 	l.Open(&matcher.Engine{Slots: 12, Step: 9 * time.Millisecond, ReadPerSecond: 20700, Stride: 4, UsualAnswer: 80})
 	g := &granter.Granter{Ledger: l, Holds: func(string) uint64 { return 1 }, Clock: c}
-	ask := func() messenger.Verdict {
-		return g.Reserve(messenger.Reservation{Request: "r", Prompt: 800, Answer: 80, PatienceMS: 300, LeftMS: 6000}, nil)
+	ask := func() messenger.Decision {
+		return g.Reserve(messenger.Reservation{Request: "r", Prompt: 800, Answer: 80, WaitLimitMS: 300, TimeLeftMS: 6000}, nil)
 	}
 	usual := ask()
 	must.Nil(t, usual.Momentary)
@@ -30,7 +30,7 @@
 	c.Step(50 * time.Millisecond)
 	slow := ask()
 	must.Eq(t, &messenger.MomentaryPace{Pace: 250, AgeMS: 150}, slow.Momentary)
-	must.Greater(t, usual.TakesMS, slow.TakesMS)
+	must.Greater(t, usual.DurationMS, slow.DurationMS)
 	c.Step(scheduler.PaceSpan)
 	must.Nil(t, ask().Momentary)
 	l.Observe(1, 2.5)
--- a/internal/granter/priority_test.go
+++ b/internal/granter/priority_test.go
@@ -26,8 +26,8 @@
 	l := &scheduler.Ledger{Clock: clocktest.NewFakeClock(time.Unix(1000, 0))}
 	l.Open(&matcher.Engine{Slots: 1, ReadPerSecond: 1000, Step: time.Millisecond, Chunk: 512, Stride: 4, UsualAnswer: 100})
 	g := &granter.Granter{Ledger: l, Holds: func(string) uint64 { return 1 }, Clock: l.Clock, Metrics: metrics.NewRegistry()}
-	ask := func(id string, priority, asked, refusals int) messenger.Verdict {
-		return g.Reserve(messenger.Reservation{Request: id, Prompt: 1, Answer: 1, PatienceMS: 300, BudgetMS: 300, LeftMS: 1000,
+	ask := func(id string, priority, asked, refusals int) messenger.Decision {
+		return g.Reserve(messenger.Reservation{Request: id, Prompt: 1, Answer: 1, WaitLimitMS: 300, BudgetMS: 300, TimeLeftMS: 1000,
 			Priority: &priority, Workspace: "w", Asked: asked, Refusals: refusals}, nil)
 	}
 	must.True(t, ask("held", 2, 0, 0).Granted)
@@ -40,7 +40,7 @@
 	}
 	g.Progress(messenger.Progress{Ended: []string{"live"}}, nil)
 	out.Reset()
-	must.Eq(t, scheduler.KeptForUrgent, ask("batch", 2, 1, 0).Kept)
+	must.Eq(t, scheduler.KeptForUrgent, ask("batch", 2, 1, 0).KeptFor)
 	must.StrContains(t, out.String(), `"priority":2,"workspace":"w","asked":1,"refusals":0`)
 	must.StrContains(t, out.String(), `"kept":"kept for more urgent requests"`)
 	for _, name := range []string{"priority.2.granted", "priority.2.kept", "priority.0.queued"} {
--- a/internal/inspector/inspector.go
+++ b/internal/inspector/inspector.go
@@ -181,7 +181,7 @@
 		p.Missing = append(p.Missing, "entry at "+at)
 	}
 	for _, e := range d.Entries {
-		if e.State.Word.Revision >= b.Revision {
+		if e.State.Freshness.Revision >= b.Revision {
 			p.Entries++
 			continue
 		}
--- a/internal/inspector/inspector_test.go
+++ b/internal/inspector/inspector_test.go
@@ -35,7 +35,7 @@
 }
 
 func entryAt(id string, revision uint64) entry.Status {
-	return entry.Status{State: messenger.EntryState{ID: id, Word: messenger.Word{Revision: revision}}}
+	return entry.Status{State: messenger.EntryState{ID: id, Freshness: messenger.Freshness{Revision: revision}}}
 }
 
 // A roll is under way, and operators wait for its end before they touch a failure
--- a/internal/messenger/arrival.go
+++ b/internal/messenger/arrival.go
@@ -7,39 +7,39 @@
 )
 
 const (
-	// stallTimeout is how long nothing may arrive of an answer that has begun to: longer than
-	// it takes to send a lost packet again.
+	// stallTimeout bounds the gaps in a reply that has started to arrive. It is longer than the
+	// retransmission of a lost packet takes.
 	stallTimeout = 500 * time.Millisecond
-	// maxArrival bounds how long an answer may arrive: a table of 20,000 routes takes some
-	// seconds over a link between regions that is shared with others.
-	maxArrival = 5 * time.Second
+	// maxTransferTime bounds the transfer of a reply: a table of 20,000 routes takes some
+	// seconds over a shared link between regions.
+	maxTransferTime = 5 * time.Second
 )
 
-// callArriving makes a call with a large answer. The timeout bounds the time until the answer
-// begins to arrive. One that is arriving is not given up: the link would have carried it for
-// nothing, and it would be asked for again.
-func (c *Client) callArriving(asker context.Context, timeout time.Duration, method string, params, result any) error {
-	began := time.Now()
-	dialing, stop := context.WithTimeout(asker, timeout)
-	defer stop()
-	conn, err := c.connect(dialing)
+// callLargeReply makes a call with a large reply. The timeout bounds the time until the reply
+// starts to arrive. A reply that is arriving is not cancelled: the transfer would be wasted, and
+// the caller would request it again.
+func (c *Client) callLargeReply(parent context.Context, timeout time.Duration, method string, params, result any) error {
+	start := time.Now()
+	dialCtx, cancelDial := context.WithTimeout(parent, timeout)
+	defer cancelDial()
+	conn, err := c.connect(dialCtx)
 	if err != nil {
 		return &UnreachableError{Address: c.Address, Err: err}
 	}
-	ctx, cancel := context.WithCancelCause(asker)
+	ctx, cancel := context.WithCancelCause(parent)
 	defer cancel(nil)
-	go conn.cancelStalled(ctx, cancel, began, timeout)
-	err = c.callOn(asker, ctx, conn, method, params, result)
+	go conn.cancelStalled(ctx, cancel, start, timeout)
+	err = c.callOnConn(parent, ctx, conn, method, params, result)
 	if err != nil && errors.Is(context.Cause(ctx), context.DeadlineExceeded) {
 		return &UnreachableError{Address: c.Address, Err: context.DeadlineExceeded}
 	}
 	return err
 }
 
-// cancelStalled cancels a call whose answer has not begun to arrive within the timeout, or no
-// longer does.
-func (n *connection) cancelStalled(ctx context.Context, cancel context.CancelCauseFunc, began time.Time, timeout time.Duration) {
-	timer := time.NewTimer(timeout - time.Since(began))
+// cancelStalled cancels a call if its reply does not start to arrive within the timeout, or
+// stalls afterwards.
+func (n *connection) cancelStalled(ctx context.Context, cancel context.CancelCauseFunc, start time.Time, timeout time.Duration) {
+	timer := time.NewTimer(timeout - time.Since(start))
 	defer timer.Stop()
 	for {
 		select {
@@ -47,11 +47,11 @@
 			return
 		case <-timer.C:
 		}
-		idle, waited := n.raw.idle(), time.Since(began)
-		if idle >= waited || idle >= stallTimeout || waited >= timeout+maxArrival {
+		idleTime, elapsed := n.raw.idleTime(), time.Since(start)
+		if idleTime >= elapsed || idleTime >= stallTimeout || elapsed >= timeout+maxTransferTime {
 			cancel(context.DeadlineExceeded)
 			return
 		}
-		timer.Reset(stallTimeout - idle)
+		timer.Reset(stallTimeout - idleTime)
 	}
 }
--- a/internal/messenger/arrival_test.go
+++ b/internal/messenger/arrival_test.go
@@ -18,47 +18,47 @@
 )
 
 const (
-	// firstByte is the timeout until an answer begins, pieceGap the time between its pieces.
-	firstByte = 250 * time.Millisecond
-	pieceGap  = 200 * time.Millisecond
+	// replyTimeout is the timeout until a reply starts, pieceInterval the time between its pieces.
+	replyTimeout  = 250 * time.Millisecond
+	pieceInterval = 200 * time.Millisecond
 )
 
-// Guards against large answers that are given up while they arrive over a narrow link, and asked
-// for again.
-func TestArrivingAnswerIsNotGivenUp(t *testing.T) {
-	batch, took, err := askSlowPeer(t, 10, 10)
+// Guards against cancelling large replies while they arrive over a slow link, which makes the
+// caller request them again.
+func TestSlowReplyIsNotCancelled(t *testing.T) {
+	batch, elapsed, err := querySlowPeer(t, 10, 10)
 	must.NoError(t, err)
 	must.EqOp(t, 9, batch.At)
-	must.Greater(t, 4*firstByte, took)
+	must.Greater(t, 4*replyTimeout, elapsed)
 }
 
-// Guards against waiting for the rest of an answer from a peer that was cut off meanwhile.
-func TestStalledAnswerIsGivenUp(t *testing.T) {
+// Guards against waiting for the rest of a reply from a peer that was partitioned meanwhile.
+func TestStalledReplyIsCancelled(t *testing.T) {
 	for _, sent := range []int{0, 3} {
-		_, took, err := askSlowPeer(t, 10, sent)
+		_, elapsed, err := querySlowPeer(t, 10, sent)
 		must.True(t, errors.Is(err, context.DeadlineExceeded), must.Sprint(err))
-		must.LessEq(t, firstByte+time.Duration(sent)*pieceGap+time.Second, took)
+		must.LessEq(t, replyTimeout+time.Duration(sent)*pieceInterval+time.Second, elapsed)
 	}
 }
 
-// askSlowPeer asks a peer that sends so many of its answer's pieces, and gives how long the call took.
-func askSlowPeer(t *testing.T, pieces, sent int) (batch registrar.Batch, took time.Duration, err error) {
+// querySlowPeer queries a peer that sends only some pieces of its reply, and returns the duration of the call.
+func querySlowPeer(t *testing.T, pieces, sent int) (batch registrar.Batch, elapsed time.Duration, err error) {
 	t.Helper()
 	synctest.Test(t, func(t *testing.T) {
 		t.Cleanup(func() { time.Sleep(connectortest.Settle) })
 		var n connectortest.Network
 		l := n.Listen()
-		go sendSlowly(l, pieces, sent)
-		c := &messenger.Client{Address: netip.MustParseAddrPort(l.Addr().String()), Timeout: firstByte, Dial: n.Dial}
+		go writeSlowly(l, pieces, sent)
+		c := &messenger.Client{Address: netip.MustParseAddrPort(l.Addr().String()), Timeout: replyTimeout, Dial: n.Dial}
 		defer c.Close()
-		began := time.Now()
-		batch, err = c.Records(t.Context(), messenger.RecordsQuery{}, firstByte)
-		took = time.Since(began)
+		start := time.Now()
+		batch, err = c.Records(t.Context(), messenger.RecordsQuery{}, replyTimeout)
+		elapsed = time.Since(start)
 	})
-	return batch, took, err
+	return batch, elapsed, err
 }
 
-func sendSlowly(l net.Listener, pieces, sent int) {
+func writeSlowly(l net.Listener, pieces, sent int) {
 	conn, err := l.Accept()
 	if err != nil {
 		return
@@ -68,13 +68,13 @@
 	if err != nil {
 		return
 	}
-	answer := fmt.Appendf(nil, `{"jsonrpc":"2.0","id":%s,"result":{"after":0,"at":9,"age":1,"whole":true}}`, id)
-	size := len(answer)/pieces + 1
+	reply := fmt.Appendf(nil, `{"jsonrpc":"2.0","id":%s,"result":{"after":0,"at":9,"age":1,"whole":true}}`, id)
+	size := len(reply)/pieces + 1
 	for i := range sent {
-		if _, err := conn.Write(answer[min(len(answer), i*size):min(len(answer), (i+1)*size)]); err != nil {
+		if _, err := conn.Write(reply[min(len(reply), i*size):min(len(reply), (i+1)*size)]); err != nil {
 			return
 		}
-		time.Sleep(pieceGap)
+		time.Sleep(pieceInterval)
 	}
 	time.Sleep(connectortest.Settle / 2)
 }
--- a/internal/messenger/bound.go
+++ b/internal/messenger/bound.go
@@ -10,36 +10,36 @@
 )
 
 const (
-	// MaxMessage is the largest message read, in bytes: a bundle of a megabyte in
-	// base64, with what an entry knows of its agents.
+	// MaxMessage is the largest message read, in bytes: a bundle of one megabyte in
+	// base64, with an entry's state of its agents.
 	MaxMessage = 16 << 20
-	// writeTimeout bounds one write to a peer. A frozen peer (SIGSTOP, a stalled
-	// link) fills the socket and would otherwise block the writer for good; the
-	// connection is given up instead and made anew.
+	// writeTimeout bounds one write to a peer. A suspended peer (SIGSTOP, a stalled
+	// link) fills the socket buffer and would otherwise block the writer forever; the
+	// connection is closed and replaced instead.
 	writeTimeout = 3 * time.Second
 )
 
-// OversizedError reports a message over MaxMessage.
+// OversizedError reports a message larger than MaxMessage.
 type OversizedError struct {
 	Limit int
 }
 
 func (e *OversizedError) Error() string { return fmt.Sprintf("message of more than %d bytes", e.Limit) }
 
-// boundedConn sets a deadline before each write and bounds what is read for one
-// message. The decoder keeps a message in memory until its end: one without end
-// would take all the memory of an entry, and its requests with it.
+// boundedConn sets a deadline before each write and limits the bytes read for one
+// message. The decoder buffers a whole message: one without end would exhaust the
+// memory of an entry and abort its requests.
 type boundedConn struct {
 	net.Conn
-	left   int
-	opened time.Time
-	// received is how long after opened the last bytes came, in nanoseconds.
-	received atomic.Int64
+	remaining int
+	opened    time.Time
+	// lastRead is the time of the last read, in nanoseconds after opened.
+	lastRead atomic.Int64
 }
 
-// idle is for how long nothing has been received.
-func (c *boundedConn) idle() time.Duration {
-	return time.Since(c.opened) - time.Duration(c.received.Load())
+// idleTime returns the time since the last read.
+func (c *boundedConn) idleTime() time.Duration {
+	return time.Since(c.opened) - time.Duration(c.lastRead.Load())
 }
 
 func (c *boundedConn) Write(p []byte) (int, error) {
@@ -50,18 +50,18 @@
 }
 
 func (c *boundedConn) Read(p []byte) (int, error) {
-	if c.left <= 0 {
+	if c.remaining <= 0 {
 		return 0, &OversizedError{Limit: MaxMessage}
 	}
-	n, err := c.Conn.Read(p[:min(len(p), c.left)])
-	c.left -= n
+	n, err := c.Conn.Read(p[:min(len(p), c.remaining)])
+	c.remaining -= n
 	if n > 0 {
-		c.received.Store(int64(time.Since(c.opened)))
+		c.lastRead.Store(int64(time.Since(c.opened)))
 	}
 	return n, err
 }
 
-// boundedStream lets the connection give MaxMessage bytes for each message.
+// boundedStream allows the connection MaxMessage bytes for each message.
 type boundedStream struct {
 	jsonrpc2.ObjectStream
 	conn *boundedConn
@@ -72,8 +72,8 @@
 	return boundedStream{ObjectStream: jsonrpc2.NewPlainObjectStream(c), conn: c}
 }
 
-// ReadObject is called by one goroutine of the library only.
+// ReadObject implements jsonrpc2.ObjectStream. The library calls it from one goroutine only.
 func (s boundedStream) ReadObject(v any) error {
-	s.conn.left = MaxMessage
+	s.conn.remaining = MaxMessage
 	return s.ObjectStream.ReadObject(v)
 }
--- a/internal/messenger/cancelled_test.go
+++ b/internal/messenger/cancelled_test.go
@@ -13,44 +13,44 @@
 	"github.com/oriolecroft/oriolecroft/internal/messenger"
 )
 
-// A caller leaves just while its entry asks an agent for a place. The questions of all other
-// callers go over the same connection: were that closed, their answers would be lost, the agent
-// would count as silent for a while, and it would free the places of all that runs there for
-// this entry and grant them once more.
-func TestCallerThatLeavesClosesNobodysConnection(t *testing.T) {
+// Guards against closing a connection because one caller disconnects while its reservation is
+// pending. The calls of other callers share the connection: their replies would be lost, and the
+// agent would be treated as unresponsive for a while, free the slots of all of this entry's
+// requests and grant them a second time.
+func TestCancelledCallKeepsSharedConnection(t *testing.T) {
 	l, err := net.Listen("tcp", "127.0.0.1:0")
 	must.NoError(t, err)
-	asked, release := make(chan string, 2), make(chan struct{})
+	requests, release := make(chan string, 2), make(chan struct{})
 	var lost atomic.Bool
 	s := &messenger.Server{Listener: l, OnLost: func(*messenger.Link) { lost.Store(true) },
-		OnReserve: func(r messenger.Reservation, _ *messenger.Link) messenger.Verdict {
-			asked <- r.Request
+		OnReserve: func(r messenger.Reservation, _ *messenger.Link) messenger.Decision {
+			requests <- r.Request
 			<-release
-			return messenger.Verdict{Granted: true}
+			return messenger.Decision{Granted: true}
 		}}
 	go func() { _ = s.Serve(t.Context()) }()
-	c := &messenger.Client{Address: netip.MustParseAddrPort(l.Addr().String()), Timeout: patience}
+	c := &messenger.Client{Address: netip.MustParseAddrPort(l.Addr().String()), Timeout: testTimeout}
 	defer c.Close()
 
-	ctx, leave := context.WithCancel(t.Context())
-	left, stayed := make(chan error, 1), make(chan error, 1)
+	ctx, cancel := context.WithCancel(t.Context())
+	cancelled, other := make(chan error, 1), make(chan error, 1)
 	go func() {
 		_, err := c.Reserve(ctx, messenger.Reservation{Request: "leaves"})
-		left <- err
+		cancelled <- err
 	}()
-	must.Eq(t, "leaves", <-asked)
+	must.Eq(t, "leaves", <-requests)
 	go func() {
 		v, err := c.Reserve(t.Context(), messenger.Reservation{Request: "stays"})
 		if err == nil && !v.Granted {
 			err = context.Canceled
 		}
-		stayed <- err
+		other <- err
 	}()
-	// The second question is on its way by then, mostly; it waits behind the first.
+	// The second call has usually been sent by then; it waits behind the first.
 	time.Sleep(50 * time.Millisecond)
-	leave()
-	must.Error(t, <-left)
+	cancel()
+	must.Error(t, <-cancelled)
 	close(release)
-	must.NoError(t, <-stayed)
+	must.NoError(t, <-other)
 	must.False(t, lost.Load())
 }
--- a/internal/messenger/conn.go
+++ b/internal/messenger/conn.go
@@ -15,7 +15,7 @@
 	"github.com/oriolecroft/oriolecroft/internal/registrar"
 )
 
-// Methods of the protocol between our own processes.
+// Methods of the protocol between the system's processes.
 const (
 	methodReport   = "report"
 	methodExchange = "exchange"
@@ -23,7 +23,7 @@
 	methodEvidence = "evidence"
 )
 
-// UnreachableError reports that a peer could not be asked or did not answer.
+// UnreachableError reports that a call did not reach a peer or that no reply arrived.
 type UnreachableError struct {
 	Address netip.AddrPort
 	Err     error
@@ -35,43 +35,43 @@
 
 func (e *UnreachableError) Unwrap() error { return e.Err }
 
-// Client keeps one connection to an entry's peer address and makes it anew when
-// it breaks.
+// Client keeps one connection to an entry's peer address and reconnects when it
+// breaks.
 type Client struct {
 	Address netip.AddrPort
-	// Timeout bounds one call, connecting included.
+	// Timeout bounds one call, including the dial.
 	Timeout time.Duration
-	// Dial makes connections; nil means plain ones.
+	// Dial opens connections; nil means a plain net.Dialer.
 	Dial func(ctx context.Context, network, address string) (net.Conn, error)
-	// OnNews takes what the entry pushes by itself; nil drops it.
-	OnNews func(News)
+	// OnNews handles updates that the entry pushes; nil drops them.
+	OnNews func(Update)
 
 	mu   sync.Mutex
 	conn *connection
 }
 
-// Report tells the entry an agent's state and brings back what is new.
-func (c *Client) Report(ctx context.Context, r Report) (News, error) {
-	var n News
+// Report sends an agent's state to the entry and returns an update.
+func (c *Client) Report(ctx context.Context, r Report) (Update, error) {
+	var n Update
 	err := c.call(ctx, methodReport, r, &n)
 	return n, err
 }
 
-// Exchange swaps what two entries know.
+// Exchange sends the state of one entry to another and returns that entry's state.
 func (c *Client) Exchange(ctx context.Context, x Exchange) (Exchange, error) {
-	var answer Exchange
-	err := c.call(ctx, methodExchange, x, &answer)
-	return answer, err
+	var reply Exchange
+	err := c.call(ctx, methodExchange, x, &reply)
+	return reply, err
 }
 
-// Evidence tells another entry of crashes, and brings back what it knows if the update asks for that.
+// Evidence reports crashes to another entry, and returns that entry's crashes if the update requests them.
 func (c *Client) Evidence(ctx context.Context, u localizer.Update) (localizer.Update, error) {
-	var answer localizer.Update
-	err := c.call(ctx, methodEvidence, u, &answer)
-	return answer, err
+	var reply localizer.Update
+	err := c.call(ctx, methodEvidence, u, &reply)
+	return reply, err
 }
 
-// Connect makes the connection now instead of with the first call.
+// Connect opens the connection before the first call.
 func (c *Client) Connect(ctx context.Context) error {
 	if _, err := c.connect(ctx); err != nil {
 		return &UnreachableError{Address: c.Address, Err: err}
@@ -79,7 +79,7 @@
 	return nil
 }
 
-// Close gives up the connection.
+// Close closes the connection.
 func (c *Client) Close() {
 	c.mu.Lock()
 	defer c.mu.Unlock()
@@ -89,30 +89,30 @@
 	}
 }
 
-func (c *Client) call(asker context.Context, method string, params, result any) error {
-	ctx, cancel := context.WithTimeout(asker, c.Timeout)
+func (c *Client) call(parent context.Context, method string, params, result any) error {
+	ctx, cancel := context.WithTimeout(parent, c.Timeout)
 	defer cancel()
 	conn, err := c.connect(ctx)
 	if err != nil {
 		return &UnreachableError{Address: c.Address, Err: err}
 	}
-	return c.callOn(asker, ctx, conn, method, params, result)
+	return c.callOnConn(parent, ctx, conn, method, params, result)
 }
 
-// callOn makes a call on a connection. The asker's context is that of ctx without the call's own
+// callOnConn makes a call on a connection. The parent context is ctx without the call's own
 // timeout.
-func (c *Client) callOn(asker, ctx context.Context, conn *connection, method string, params, result any) error {
+func (c *Client) callOnConn(parent, ctx context.Context, conn *connection, method string, params, result any) error {
 	err := conn.Call(ctx, method, params, result)
 	if err == nil {
 		return nil
 	}
 	switch {
-	case errors.Is(asker.Err(), context.Canceled):
-		// An asker that has lost interest says nothing of the peer.
+	case errors.Is(parent.Err(), context.Canceled):
+		// A call that was cancelled by its caller is no evidence about the peer.
 	case ctx.Err() != nil:
-		// The peer may merely be slow. Closed now, the connection would take along all other
-		// calls over it.
-		conn.suspect()
+		// The peer may just be slow, and closing the connection would fail all other calls
+		// on it.
+		conn.markTimedOut()
 	default:
 		c.drop(conn)
 	}
@@ -122,7 +122,7 @@
 func (c *Client) connect(ctx context.Context) (*connection, error) {
 	c.mu.Lock()
 	defer c.mu.Unlock()
-	if c.conn != nil && !c.conn.silent() {
+	if c.conn != nil && !c.conn.unresponsive() {
 		return c.conn, nil
 	}
 	if c.conn != nil {
@@ -139,13 +139,13 @@
 	}
 	stream := newStream(raw)
 	c.conn = &connection{
-		Conn: jsonrpc2.NewConn(context.Background(), stream, jsonrpc2.HandlerWithError(c.handle), quiet),
+		Conn: jsonrpc2.NewConn(context.Background(), stream, jsonrpc2.HandlerWithError(c.handle), withoutLogging),
 		raw:  stream.conn,
 	}
 	return c.conn, nil
 }
 
-// drop forgets a connection that failed, unless another call has replaced it.
+// drop removes a connection that failed, unless another call has replaced it.
 func (c *Client) drop(conn *connection) {
 	conn.Close()
 	c.mu.Lock()
@@ -159,7 +159,7 @@
 	if r.Method != methodNews || r.Params == nil || c.OnNews == nil {
 		return nil, nil
 	}
-	var n News
+	var n Update
 	if err := decode(r, &n); err != nil {
 		return nil, err
 	}
@@ -167,29 +167,29 @@
 	return nil, nil
 }
 
-// Server answers agents and other entries.
+// Server handles calls of agents and other entries.
 type Server struct {
 	Listener net.Listener
-	// OnReport answers an agent; the link stays usable for pushes until the
-	// agent's connection ends.
-	OnReport func(Report, *Link) News
-	// OnExchange answers another entry.
+	// OnReport handles an agent's report; the link stays usable for pushes until
+	// the agent's connection ends.
+	OnReport func(Report, *Link) Update
+	// OnExchange handles the state of another entry.
 	OnExchange func(Exchange) Exchange
-	// OnRecords answers any process; it may hold the answer back for the wait asked
-	// for, without holding up other messages of the connection.
+	// OnRecords handles a query of any process. It may delay the reply by the query's
+	// wait without delaying other messages of the connection.
 	OnRecords func(context.Context, RecordsQuery) registrar.Batch
-	// OnEvidence answers another entry that tells or asks of crashes.
+	// OnEvidence handles another entry's reports of crashes and requests for them.
 	OnEvidence func(localizer.Update) localizer.Update
-	// OnReserve and OnProgress answer an entry at an agent; the link names the
-	// entry's connection. OnLost tells that a connection is over.
-	OnReserve  func(Reservation, *Link) Verdict
+	// OnReserve and OnProgress handle an entry's calls at an agent; the link identifies
+	// the entry's connection. OnLost is called when a connection ends.
+	OnReserve  func(Reservation, *Link) Decision
 	OnProgress func(Progress, *Link)
 	OnLost     func(*Link)
 
 	packer packer
 }
 
-// Serve accepts connections until the context ends.
+// Serve accepts connections until ctx is done.
 func (s *Server) Serve(ctx context.Context) error {
 	stop := context.AfterFunc(ctx, func() { s.Listener.Close() })
 	defer stop()
@@ -206,21 +206,21 @@
 }
 
 func (s *Server) accept(ctx context.Context, raw net.Conn) {
-	l := &Link{latest: make(chan News, 1)}
+	l := &Link{pending: make(chan Update, 1)}
 	h := func(ctx context.Context, _ *jsonrpc2.Conn, r *jsonrpc2.Request) (any, error) {
 		return s.handle(ctx, r, l)
 	}
-	conn := jsonrpc2.NewConn(ctx, newStream(raw), concurrentRecords{jsonrpc2.HandlerWithError(h)}, quiet)
+	conn := jsonrpc2.NewConn(ctx, newStream(raw), concurrentRecords{jsonrpc2.HandlerWithError(h)}, withoutLogging)
 	go func() {
-		l.run(ctx, conn)
+		l.sendUpdates(ctx, conn)
 		if s.OnLost != nil {
 			s.OnLost(l)
 		}
 	}()
 }
 
-// concurrentRecords answers questions for records beside the other messages of a
-// connection, which are handled in order: such an answer may be held back.
+// concurrentRecords handles record queries concurrently with the other messages of a
+// connection, which are handled in order, as replies to them may be delayed.
 type concurrentRecords struct{ jsonrpc2.Handler }
 
 // Handle implements jsonrpc2.Handler.
@@ -276,28 +276,28 @@
 	}
 }
 
-// Link is the way back to a connected agent.
+// Link sends updates to a connected agent.
 type Link struct {
-	latest chan News
+	pending chan Update
 }
 
-// Push sends news without waiting. Of several unsent ones only the last goes
-// out: each is complete, and a slow agent must not hold up the others.
-func (l *Link) Push(n News) {
+// Push queues an update without blocking. Only the latest of several unsent updates is
+// sent: each is complete, and a slow agent must not delay the others.
+func (l *Link) Push(n Update) {
 	for {
 		select {
-		case l.latest <- n:
+		case l.pending <- n:
 			return
 		default:
 		}
 		select {
-		case <-l.latest:
+		case <-l.pending:
 		default:
 		}
 	}
 }
 
-func (l *Link) run(ctx context.Context, conn *jsonrpc2.Conn) {
+func (l *Link) sendUpdates(ctx context.Context, conn *jsonrpc2.Conn) {
 	defer conn.Close()
 	for {
 		select {
@@ -305,7 +305,7 @@
 			return
 		case <-conn.DisconnectNotify():
 			return
-		case n := <-l.latest:
+		case n := <-l.pending:
 			if err := conn.Notify(ctx, methodNews, n); err != nil {
 				return
 			}
@@ -313,7 +313,7 @@
 	}
 }
 
-// decode unpacks a request's parameters.
+// decode unmarshals a request's parameters.
 func decode(r *jsonrpc2.Request, v any) error {
 	if r.Params == nil {
 		return &jsonrpc2.Error{Code: jsonrpc2.CodeInvalidParams, Message: "no parameters"}
@@ -324,15 +324,15 @@
 	return nil
 }
 
-// silent keeps the library from logging broken connections, which are ordinary
-// here and are reported by the calls that fail.
-type silent struct{}
+// discardLogger discards the library's log lines about broken connections, which are
+// common here and are reported by the calls that fail.
+type discardLogger struct{}
 
-func (silent) Printf(string, ...any) {}
+func (discardLogger) Printf(string, ...any) {}
 
-var quiet = jsonrpc2.SetLogger(silent{})
+var withoutLogging = jsonrpc2.SetLogger(discardLogger{})
 
-// IsUnreachable tells whether an error means that the peer gave no answer.
+// IsUnreachable reports whether err is or wraps an *UnreachableError.
 func IsUnreachable(err error) bool {
 	var u *UnreachableError
 	return errors.As(err, &u)
--- a/internal/messenger/conn_test.go
+++ b/internal/messenger/conn_test.go
@@ -17,21 +17,21 @@
 	"github.com/oriolecroft/oriolecroft/pkg/bundler"
 )
 
-const patience = 10 * time.Second
+const testTimeout = 10 * time.Second
 
-// serve starts an entry at an address; links carries the link of each report.
-func serve(t *testing.T, address string) (at netip.AddrPort, links chan *messenger.Link, stop func()) {
+// serve starts an entry on an address; links receives the link of each report.
+func serve(t *testing.T, address string) (addr netip.AddrPort, links chan *messenger.Link, stop func()) {
 	l, err := net.Listen("tcp", address)
 	must.NoError(t, err)
 	links = make(chan *messenger.Link, 100)
 	s := &messenger.Server{
 		Listener: l,
-		OnReport: func(r messenger.Report, k *messenger.Link) messenger.News {
-			links <- k
+		OnReport: func(r messenger.Report, link *messenger.Link) messenger.Update {
+			links <- link
 			if r.State == nil {
-				return messenger.News{Resend: true}
+				return messenger.Update{Resend: true}
 			}
-			return messenger.News{Assignment: r.State.ID}
+			return messenger.Update{Assignment: r.State.ID}
 		},
 		OnExchange: func(x messenger.Exchange) messenger.Exchange { return x },
 	}
@@ -46,15 +46,15 @@
 	return netip.MustParseAddrPort(l.Addr().String()), links, stop
 }
 
-func report(c *messenger.Client, id string) (messenger.News, error) {
+func report(c *messenger.Client, id string) (messenger.Update, error) {
 	return c.Report(context.Background(), messenger.Report{State: &messenger.AgentState{ID: id}})
 }
 
-// An entry is replaced, and its successor listens on the same address. The agent
-// must find its way back by itself, or the new entry would route nothing to it.
+// Guards against an agent that does not reconnect when its entry is replaced by another
+// on the same address. The new entry would route nothing to it.
 func TestClientReconnects(t *testing.T) {
-	at, _, stop := serve(t, "127.0.0.1:0")
-	c := &messenger.Client{Address: at, Timeout: patience}
+	addr, _, stop := serve(t, "127.0.0.1:0")
+	c := &messenger.Client{Address: addr, Timeout: testTimeout}
 	defer c.Close()
 	n, err := report(c, "vm-1")
 	must.NoError(t, err)
@@ -64,58 +64,58 @@
 		_, err = report(c, "vm-1")
 	}
 	must.True(t, messenger.IsUnreachable(err))
-	serve(t, at.String())
+	serve(t, addr.String())
 	_, err = report(c, "vm-1")
 	must.NoError(t, err)
 }
 
-// dial opens a bare connection whose every use has a deadline.
-func dial(t *testing.T, at netip.AddrPort) net.Conn {
-	c, err := net.DialTimeout("tcp", at.String(), patience)
+// dial opens a plain connection with a deadline for all reads and writes.
+func dial(t *testing.T, addr netip.AddrPort) net.Conn {
+	c, err := net.DialTimeout("tcp", addr.String(), testTimeout)
 	must.NoError(t, err)
-	must.NoError(t, c.SetDeadline(time.Now().Add(patience)))
+	must.NoError(t, c.SetDeadline(time.Now().Add(testTimeout)))
 	t.Cleanup(func() { c.Close() })
 	return c
 }
 
-// An agent's VM freezes with its connection open, while bundles roll one after
-// another. The other agents must hear of each at once, and the frozen one on
-// waking of the newest: the older would only be more time on the old bundle.
-func TestFrozenPeerGetsTheNewestOnly(t *testing.T) {
+// An agent's VM is suspended with its connection open, while bundles are rolled out
+// one after another. The other agents must receive each update without delay, and the suspended
+// one only the latest after it resumes: older ones would prolong its use of an old bundle.
+func TestSuspendedPeerReceivesOnlyLatestUpdate(t *testing.T) {
 	const pushes = 24
-	at, links, _ := serve(t, "127.0.0.1:0")
-	frozen := dial(t, at)
-	_, err := io.WriteString(frozen, `{"jsonrpc":"2.0","id":1,"method":"report","params":{}}`)
+	addr, links, _ := serve(t, "127.0.0.1:0")
+	suspended := dial(t, addr)
+	_, err := io.WriteString(suspended, `{"jsonrpc":"2.0","id":1,"method":"report","params":{}}`)
 	must.NoError(t, err)
-	heard := make(chan messenger.News, pushes)
-	c := &messenger.Client{Address: at, Timeout: patience, OnNews: func(n messenger.News) { heard <- n }}
+	updates := make(chan messenger.Update, pushes)
+	c := &messenger.Client{Address: addr, Timeout: testTimeout, OnNews: func(n messenger.Update) { updates <- n }}
 	defer c.Close()
-	slow := <-links
+	slowLink := <-links
 	_, err = report(c, "vm-2")
 	must.NoError(t, err)
-	quick := <-links
+	fastLink := <-links
 	record := &bundler.Record{Payload: make([]byte, 1<<20)}
 	for i := range pushes {
-		n := messenger.News{Word: messenger.Word{Revision: uint64(i + 1)}}
-		quick.Push(n)
+		n := messenger.Update{Freshness: messenger.Freshness{Revision: uint64(i + 1)}}
+		fastLink.Push(n)
 		n.Record = record
-		push(t, slow, n)
-		for got := (messenger.News{}); got.Word.Revision <= uint64(i); {
-			got = receive(t, heard)
+		push(t, slowLink, n)
+		for latest := (messenger.Update{}); latest.Freshness.Revision <= uint64(i); {
+			latest = receiveUpdate(t, updates)
 		}
 	}
-	d := json.NewDecoder(frozen)
-	got := 0
-	for last := uint64(0); last < pushes; got++ {
-		var m struct{ Params messenger.News }
+	d := json.NewDecoder(suspended)
+	received := 0
+	for last := uint64(0); last < pushes; received++ {
+		var m struct{ Params messenger.Update }
 		must.NoError(t, d.Decode(&m))
-		last = m.Params.Word.Revision
+		last = m.Params.Freshness.Revision
 	}
-	must.Less(t, pushes, got)
+	must.Less(t, pushes, received)
 }
 
-// push fails the test when Push waits for its agent.
-func push(t *testing.T, l *messenger.Link, n messenger.News) {
+// push fails the test when Push blocks on its agent.
+func push(t *testing.T, l *messenger.Link, n messenger.Update) {
 	t.Helper()
 	done := make(chan struct{})
 	go func() {
@@ -124,26 +124,26 @@
 	}()
 	select {
 	case <-done:
-	case <-time.After(patience):
-		t.Fatal("push waits for a frozen agent")
+	case <-time.After(testTimeout):
+		t.Fatal("Push blocks on a suspended agent")
 	}
 }
 
-func receive(t *testing.T, c <-chan messenger.News) messenger.News {
+func receiveUpdate(t *testing.T, c <-chan messenger.Update) messenger.Update {
 	t.Helper()
 	select {
 	case n := <-c:
 		return n
-	case <-time.After(patience):
-		t.Fatal("no news")
-		return messenger.News{}
+	case <-time.After(testTimeout):
+		t.Fatal("no update received")
+		return messenger.Update{}
 	}
 }
 
-// Something that is no agent connects to an entry, or an agent of another release
-// with other fields. The entry must go on serving all others.
-func TestServerOutlivesMalformedMessages(t *testing.T) {
-	at, _, _ := serve(t, "127.0.0.1:0")
+// Guards against an entry that fails for all agents when it receives data of a foreign
+// protocol, or of an agent of another release with other fields.
+func TestServerSurvivesMalformedMessages(t *testing.T) {
+	addr, _, _ := serve(t, "127.0.0.1:0")
 	for _, text := range []string{
 		"", "GET / HTTP/1.1\r\n\r\n", "[]", "null", "{}", `{"id":1}`, `{"jsonrpc":"2.0","id":1,"result":{}}`,
 		`{"jsonrpc":"2.0","id":1,"method":"report"}`,
@@ -154,7 +154,7 @@
 		`{"jsonrpc":"2.0","id":1,"method":"other","params":{}}`,
 		`{"jsonrpc":"2.0","id":1,"method":"report","params":` + strings.Repeat("[", 200),
 	} {
-		raw := dial(t, at)
+		raw := dial(t, addr)
 		_, err := io.WriteString(raw, text)
 		must.NoError(t, err)
 		must.NoError(t, raw.(*net.TCPConn).CloseWrite())
@@ -162,17 +162,17 @@
 		var n net.Error
 		must.False(t, errors.As(err, &n) && n.Timeout(), must.Sprint(text))
 	}
-	c := &messenger.Client{Address: at, Timeout: patience}
+	c := &messenger.Client{Address: addr, Timeout: testTimeout}
 	defer c.Close()
 	_, err := report(c, "vm-1")
 	must.NoError(t, err)
 }
 
-// A peer gone wrong sends one message without end. Kept in memory as it comes, it
-// would get the entry killed with all the requests that it carries.
-func TestEndlessMessageIsCut(t *testing.T) {
-	at, _, _ := serve(t, "127.0.0.1:0")
-	raw := dial(t, at)
+// Guards against buffering a message without end from a faulty peer, which would get the
+// entry killed for its memory use, with all its requests.
+func TestOversizedMessageIsRejected(t *testing.T) {
+	addr, _, _ := serve(t, "127.0.0.1:0")
+	raw := dial(t, addr)
 	_, err := io.WriteString(raw, `{"jsonrpc":"2.0","id":1,"method":"`)
 	piece := []byte(strings.Repeat("x", 1<<20))
 	for sent := 0; err == nil && sent < 4*messenger.MaxMessage; sent += len(piece) {
@@ -182,9 +182,9 @@
 	must.StrNotContains(t, err.Error(), "timeout")
 }
 
-// What an agent takes for an entry answers nonsense, or nothing. The agent must
-// hear of it in time and go on with its other entries.
-func TestClientOutlivesMalformedAnswers(t *testing.T) {
+// Guards against an agent that hangs on malformed or missing replies. It must detect
+// them within its timeout and continue with its other entries.
+func TestClientSurvivesMalformedReplies(t *testing.T) {
 	for name, text := range map[string]string{
 		"nothing":      "",
 		"HTTP":         "HTTP/1.1 400 Bad Request\r\n\r\n",
@@ -199,9 +199,9 @@
 			l, err := net.Listen("tcp", "127.0.0.1:0")
 			must.NoError(t, err)
 			defer l.Close()
-			go answer(l, text)
-			at := netip.MustParseAddrPort(l.Addr().String())
-			c := &messenger.Client{Address: at, Timeout: 200 * time.Millisecond}
+			go replyWith(l, text)
+			addr := netip.MustParseAddrPort(l.Addr().String())
+			c := &messenger.Client{Address: addr, Timeout: 200 * time.Millisecond}
 			defer c.Close()
 			_, err = report(c, "vm-1")
 			must.True(t, messenger.IsUnreachable(err), must.Sprint(err))
@@ -209,15 +209,15 @@
 	}
 }
 
-// answer writes a text on the first connection and leaves it open until the
-// client gives it up.
-func answer(l net.Listener, text string) {
+// replyWith writes a text on the first connection and keeps it open until the
+// client closes it.
+func replyWith(l net.Listener, text string) {
 	c, err := l.Accept()
 	if err != nil {
 		return
 	}
 	defer c.Close()
-	_ = c.SetDeadline(time.Now().Add(patience))
+	_ = c.SetDeadline(time.Now().Add(testTimeout))
 	_, _ = io.WriteString(c, text)
 	_, _ = io.Copy(io.Discard, c)
 }
--- a/internal/messenger/packer_test.go
+++ b/internal/messenger/packer_test.go
@@ -12,9 +12,9 @@
 	"github.com/oriolecroft/oriolecroft/internal/registrar"
 )
 
-// Guards against an answer with the records of the one before.
-func TestAnswersHoldTheirOwnRecords(t *testing.T) {
-	first, other := upstreams(100), upstreams(100)
+// Guards against a reply with the cached records of the previous one.
+func TestPackedRepliesHoldTheirOwnRecords(t *testing.T) {
+	first, other := upstreamRecords(100), upstreamRecords(100)
 	other.Records[3].Value = []byte("changed")
 	shorter := first
 	shorter.Records = first.Records[:50]
@@ -27,7 +27,7 @@
 	must.NoError(t, err)
 	s := &messenger.Server{Listener: l, OnRecords: func(context.Context, messenger.RecordsQuery) registrar.Batch { return <-batches }}
 	go func() { _ = s.Serve(t.Context()) }()
-	c := &messenger.Client{Address: netip.MustParseAddrPort(l.Addr().String()), Timeout: patience}
+	c := &messenger.Client{Address: netip.MustParseAddrPort(l.Addr().String()), Timeout: testTimeout}
 	defer c.Close()
 	for _, b := range sent {
 		got, err := c.Records(t.Context(), messenger.RecordsQuery{}, c.Timeout)
--- a/internal/messenger/records.go
+++ b/internal/messenger/records.go
@@ -13,83 +13,83 @@
 	"github.com/oriolecroft/oriolecroft/internal/registrar"
 )
 
-// methodRecords is how all processes hand each other records of the store.
+// methodRecords transfers records of the store between any two processes.
 const methodRecords = "records"
 
 const (
-	// packFrom is from how many records on a batch is compressed. Below, the types that go
-	// along with packed records outweigh the gain. A deployment has a record for each
-	// upstream, 0.5 kB on the wire; three thousand of them, asked for by all processes that
-	// start at once, fill the links of those who tell them for seconds, and the questions
-	// run into their timeouts.
-	packFrom = 16
-	// maxUnpacked bounds unpacked records, in bytes, so that a faulty peer can't fill the
-	// memory.
-	maxUnpacked = 4 * MaxMessage
+	// minPackedRecords is the smallest number of records that is compressed. In smaller batches, the
+	// type descriptions of the encoding outweigh the gain. A deployment has a record for each
+	// upstream, 0.5 kB on the wire. Uncompressed, three thousand of them, requested by all
+	// processes that start at once, saturate the links of the processes that serve them for
+	// seconds, and the requests time out.
+	minPackedRecords = 16
+	// maxUnpackedBytes bounds decompressed records, in bytes, so that a faulty peer can't exhaust
+	// the memory.
+	maxUnpackedBytes = 4 * MaxMessage
 )
 
-// RecordsQuery asks for what changed after a revision. The answer comes at once if
-// anything did, and else after WaitMS milliseconds.
+// RecordsQuery requests all changes after a revision. The reply is sent at once if there are
+// any, and otherwise after WaitMS milliseconds.
 type RecordsQuery struct {
 	After  uint64 `json:"after"`
 	WaitMS int64  `json:"waitMs"`
-	// Packed tells that the asker understands packed records. One of an older version would
-	// take such an answer for one without news, and never hear of what was in it.
+	// Packed states that the requester supports packed records. A requester of an older version
+	// would read such a reply as an empty one and miss the changes in it.
 	Packed bool `json:"packed,omitempty"`
-	// Stale allows the answer to be held back for the whole wait, however old it is then.
+	// Stale allows the reply to be delayed for the whole wait, however old it is then.
 	Stale bool `json:"stale,omitempty"`
-	// Ages asks for the ages of all weights' announcements: the asker found some in the store when it
-	// started. A peer of an older version answers with what is new only.
+	// Ages requests the ages of all weights' announcements: the requester found some in the store when it
+	// started. A peer of an older version replies with new ones only.
 	Ages bool `json:"ages,omitempty"`
-	// Region is that of an asker that understands a referral to another process, Peers where it
-	// answers others itself. A peer of an older version ignores both and answers in full.
+	// Region is set if the requester supports referrals to another process, and Peers if it also
+	// answers the queries of others. A peer of an older version ignores both and replies in full.
 	Region string         `json:"region,omitempty"`
 	Peers  netip.AddrPort `json:"peers,omitzero"`
-	// Unresponsive is a process to which the asker was referred and that didn't answer it.
+	// Unresponsive is a process that the requester was referred to without getting a reply.
 	Unresponsive netip.AddrPort `json:"unresponsive,omitzero"`
 }
 
-// Records asks another process for records. The timeout bounds the time until the answer begins
-// to arrive and must be longer than the query's wait; an answer that is arriving may take longer.
+// Records queries another process for records. The timeout bounds the time until the reply starts
+// to arrive and must be longer than the query's wait; the transfer may take longer.
 func (c *Client) Records(ctx context.Context, q RecordsQuery, timeout time.Duration) (registrar.Batch, error) {
 	q.Packed = true
 	var b packedBatch
-	if err := c.callArriving(ctx, timeout, methodRecords, q, &b); err != nil {
+	if err := c.callLargeReply(ctx, timeout, methodRecords, q, &b); err != nil {
 		return registrar.Batch{}, err
 	}
 	return b.unpack()
 }
 
-// maxRecordsWait bounds how long a peer may have an answer held back.
+// maxRecordsWait bounds how long a query may delay its reply.
 const maxRecordsWait = 5 * time.Second
 
-// Wait is WaitMS as a duration, within bounds.
+// Wait returns WaitMS as a duration, limited to maxRecordsWait.
 func (q RecordsQuery) Wait() time.Duration {
 	return min(max(0, time.Duration(q.WaitMS)*time.Millisecond), maxRecordsWait)
 }
 
-// packedBatch is a batch as it goes over a connection.
+// packedBatch is the wire format of a batch.
 type packedBatch struct {
 	registrar.Batch
-	// Packed holds the records, in gob, compressed, instead of Records.
+	// Packed holds the records in compressed gob, instead of Records.
 	Packed []byte `json:"packed,omitempty"`
 }
 
-// packer compresses answers and keeps the last one, as many ask for the same records.
+// packer compresses replies and caches the last one, as many processes request the same records.
 type packer struct {
 	mu      sync.Mutex
 	records []registrar.Record
 	packed  []byte
 }
 
-// pack gives a batch as the asker understands it.
+// pack returns a batch in a form that the requester supports.
 func (p *packer) pack(b registrar.Batch, q RecordsQuery) (packedBatch, error) {
-	if !q.Packed || len(b.Records) < packFrom {
+	if !q.Packed || len(b.Records) < minPackedRecords {
 		return packedBatch{Batch: b}, nil
 	}
 	p.mu.Lock()
 	defer p.mu.Unlock()
-	if !shared(p.records, b.Records) {
+	if !sameRecords(p.records, b.Records) {
 		packed, err := compress(b.Records)
 		if err != nil {
 			return packedBatch{}, err
@@ -100,12 +100,14 @@
 	return packedBatch{Batch: b, Packed: p.packed}, nil
 }
 
-// shared returns whether two batches have the same records in memory.
-func shared(a, b []registrar.Record) bool { return len(a) > 0 && len(a) == len(b) && &a[0] == &b[0] }
+// sameRecords reports whether two batches share their records in memory.
+func sameRecords(a, b []registrar.Record) bool {
+	return len(a) > 0 && len(a) == len(b) && &a[0] == &b[0]
+}
 
 func compress(records []registrar.Record) ([]byte, error) {
 	var packed bytes.Buffer
-	// The level is valid, and a buffer takes all.
+	// Neither the constant level nor a bytes.Buffer can cause an error.
 	w, _ := flate.NewWriter(&packed, flate.BestSpeed)
 	if err := gob.NewEncoder(w).Encode(records); err != nil {
 		return nil, err
@@ -118,7 +120,7 @@
 	if len(p.Packed) == 0 {
 		return p.Batch, nil
 	}
-	data, err := bodyreader.ReadAtMost(flate.NewReader(bytes.NewReader(p.Packed)), maxUnpacked)
+	data, err := bodyreader.ReadAtMost(flate.NewReader(bytes.NewReader(p.Packed)), maxUnpackedBytes)
 	if err != nil {
 		return registrar.Batch{}, &UnreadableError{Err: err}
 	}
--- a/internal/messenger/records_test.go
+++ b/internal/messenger/records_test.go
@@ -19,28 +19,28 @@
 	"github.com/oriolecroft/oriolecroft/internal/registrar"
 )
 
-// countedConn adds up the bytes that are read.
-type countedConn struct {
+// countingConn counts the bytes that are read.
+type countingConn struct {
 	net.Conn
 	read *atomic.Int64
 }
 
-func (c countedConn) Read(b []byte) (int, error) {
+func (c countingConn) Read(b []byte) (int, error) {
 	n, err := c.Conn.Read(b)
 	c.read.Add(int64(n))
 	return n, err
 }
 
-// counting dials connections whose bytes are counted.
-func counting(read *atomic.Int64) func(context.Context, string, string) (net.Conn, error) {
+// countingDialer returns a dialer of connections whose bytes are counted.
+func countingDialer(read *atomic.Int64) func(context.Context, string, string) (net.Conn, error) {
 	return func(ctx context.Context, network, address string) (net.Conn, error) {
 		conn, err := new(net.Dialer).DialContext(ctx, network, address)
-		return countedConn{conn, read}, err
+		return countingConn{conn, read}, err
 	}
 }
 
-// upstreams are the records of so many upstreams, as a platform writes them.
-func upstreams(n int) registrar.Batch {
+// upstreamRecords returns the records of n upstreams, as a platform writes them.
+func upstreamRecords(n int) registrar.Batch {
 	r := rand.New(rand.NewPCG(1, 2))
 	b := registrar.Batch{Whole: true, At: uint64(n) + 7, Age: 300 * time.Millisecond, Held: time.Millisecond}
 	for i := range n {
@@ -56,63 +56,63 @@
 	return b
 }
 
-// ask fetches a batch over a connection and counts its bytes.
-func ask(t *testing.T, b registrar.Batch) (got registrar.Batch, read int64) {
+// query fetches a batch over a connection and returns the number of bytes read.
+func query(t *testing.T, b registrar.Batch) (got registrar.Batch, bytesRead int64) {
 	l, err := net.Listen("tcp", "127.0.0.1:0")
 	must.NoError(t, err)
 	s := &messenger.Server{Listener: l, OnRecords: func(context.Context, messenger.RecordsQuery) registrar.Batch { return b }}
 	go func() { _ = s.Serve(t.Context()) }()
-	var counted atomic.Int64
-	c := &messenger.Client{Address: netip.MustParseAddrPort(l.Addr().String()), Timeout: patience,
-		Dial: counting(&counted)}
+	var bytesCounted atomic.Int64
+	c := &messenger.Client{Address: netip.MustParseAddrPort(l.Addr().String()), Timeout: testTimeout,
+		Dial: countingDialer(&bytesCounted)}
 	defer c.Close()
 	got, err = c.Records(t.Context(), messenger.RecordsQuery{}, c.Timeout)
 	must.NoError(t, err)
-	return got, counted.Load()
+	return got, bytesCounted.Load()
 }
 
-// A fleet of three thousand upstreams loses power. Hundreds of processes ask the few
-// that know its records at once, each within a quarter of a second; were the records sent
-// as they are, links of 100 Mbit/s would need 0.13 s for one of them, and callers would
-// be refused for many seconds until the last process has its turn.
-func TestRecordsOfManyUpstreamsAreSmall(t *testing.T) {
-	sent := upstreams(3000)
-	got, read := ask(t, sent)
+// Guards against large replies after a power loss of a fleet of three thousand upstreams.
+// Hundreds of processes query the few with records at once, each with a timeout of a quarter of
+// a second. Uncompressed, one reply would take 0.13 s on links of 100 Mbit/s, and callers would
+// be refused for many seconds until the last process gets its reply.
+func TestRecordsOfManyUpstreamsAreCompressed(t *testing.T) {
+	sent := upstreamRecords(3000)
+	got, bytesRead := query(t, sent)
 	must.Eq(t, sent, got)
-	must.Less(t, 300_000, read, must.Sprint("bytes, 100 for each upstream"))
+	must.Less(t, 300_000, bytesRead, must.Sprint("bytes, 100 for each upstream"))
 }
 
-// A few changes go as they are.
-func TestRecordsArriveWhole(t *testing.T) {
+// Covers batches on both sides of the threshold for compression.
+func TestRecordsRoundTrip(t *testing.T) {
 	for _, n := range []int{2, 15, 16, 17} {
-		sent := upstreams(n)
-		got, _ := ask(t, sent)
+		sent := upstreamRecords(n)
+		got, _ := query(t, sent)
 		must.Eq(t, sent, got)
 	}
 }
 
-// A peer of a newer version answers a question of an older one. That one doesn't know
-// packed records: it would take the answer for one without news and miss all changes.
-func TestWhoDoesNotAskForPackedRecordsGetsThemPlain(t *testing.T) {
+// Guards against packed replies to a query of an older version. It doesn't support
+// packed records: it would read the reply as an empty one and miss all changes.
+func TestPlainRecordsWithoutPackedQuery(t *testing.T) {
 	l, err := net.Listen("tcp", "127.0.0.1:0")
 	must.NoError(t, err)
-	s := &messenger.Server{Listener: l, OnRecords: func(context.Context, messenger.RecordsQuery) registrar.Batch { return upstreams(100) }}
+	s := &messenger.Server{Listener: l, OnRecords: func(context.Context, messenger.RecordsQuery) registrar.Batch { return upstreamRecords(100) }}
 	go func() { _ = s.Serve(t.Context()) }()
 	conn, err := net.Dial("tcp", l.Addr().String())
 	must.NoError(t, err)
 	defer conn.Close()
 	_, err = conn.Write([]byte(`{"jsonrpc":"2.0","id":1,"method":"records","params":{"after":0,"waitMs":0}}`))
 	must.NoError(t, err)
-	var answer struct {
+	var reply struct {
 		Result registrar.Batch `json:"result"`
 	}
-	must.NoError(t, json.NewDecoder(conn).Decode(&answer))
-	must.Len(t, 100, answer.Result.Records)
+	must.NoError(t, json.NewDecoder(conn).Decode(&reply))
+	must.Len(t, 100, reply.Result.Records)
 }
 
-// A peer's memory has gone bad, and its packed records are nonsense. Taken for a batch
-// without records, the revision would move past changes that nobody saw.
-func TestUnreadableRecordsAreNotTaken(t *testing.T) {
+// Guards against reading the corrupted records of a faulty peer as an empty batch: the
+// revision would advance past changes that were never read.
+func TestUnreadableRecordsReturnError(t *testing.T) {
 	l, err := net.Listen("tcp", "127.0.0.1:0")
 	must.NoError(t, err)
 	defer l.Close()
@@ -127,14 +127,14 @@
 		}
 		_, _ = io.Copy(io.Discard, conn)
 	}()
-	c := &messenger.Client{Address: netip.MustParseAddrPort(l.Addr().String()), Timeout: patience}
+	c := &messenger.Client{Address: netip.MustParseAddrPort(l.Addr().String()), Timeout: testTimeout}
 	defer c.Close()
 	_, err = c.Records(t.Context(), messenger.RecordsQuery{}, c.Timeout)
 	var unreadable *messenger.UnreadableError
 	must.True(t, errors.As(err, &unreadable), must.Sprint(err))
 }
 
-// readCallID reads a call and gives its id.
+// readCallID reads a call and returns its id.
 func readCallID(r io.Reader) (json.RawMessage, error) {
 	var call struct {
 		ID json.RawMessage `json:"id"`
@@ -143,21 +143,21 @@
 	return call.ID, err
 }
 
-// Records of 3,000 upstreams asked for over loopback, plain 991 kB.
+// Queries records of 3,000 upstreams over loopback; uncompressed, they take 991 kB.
 func BenchmarkRecordsOfManyUpstreams(b *testing.B) {
-	batch := upstreams(3000)
+	batch := upstreamRecords(3000)
 	l, err := net.Listen("tcp", "127.0.0.1:0")
 	must.NoError(b, err)
 	s := &messenger.Server{Listener: l, OnRecords: func(context.Context, messenger.RecordsQuery) registrar.Batch { return batch }}
 	go func() { _ = s.Serve(b.Context()) }()
-	var counted atomic.Int64
-	c := &messenger.Client{Address: netip.MustParseAddrPort(l.Addr().String()), Timeout: patience, Dial: counting(&counted)}
+	var bytesRead atomic.Int64
+	c := &messenger.Client{Address: netip.MustParseAddrPort(l.Addr().String()), Timeout: testTimeout, Dial: countingDialer(&bytesRead)}
 	defer c.Close()
-	asked := 0
+	queries := 0
 	for b.Loop() {
 		_, err := c.Records(b.Context(), messenger.RecordsQuery{}, c.Timeout)
 		must.NoError(b, err)
-		asked++
+		queries++
 	}
-	b.ReportMetric(float64(counted.Load())/float64(asked)/1000, "kB/answer")
+	b.ReportMetric(float64(bytesRead.Load())/float64(queries)/1000, "kB/answer")
 }
--- a/internal/messenger/timeout_test.go
+++ b/internal/messenger/timeout_test.go
@@ -16,12 +16,12 @@
 	"github.com/oriolecroft/oriolecroft/internal/registrar"
 )
 
-// shortTimeout is that of a call which its peer is too slow for.
+// shortTimeout is the timeout of calls that a slow peer does not answer in time.
 const shortTimeout = 40 * time.Millisecond
 
-// Guards against a timeout that closes the connection: the other calls over it fail, and an agent
-// takes the entry's requests for ended.
-func TestTimeoutLeavesOtherCallsAlone(t *testing.T) {
+// Guards against a timeout that closes the connection: the other calls on it would fail, and an
+// agent would treat the entry's requests as ended.
+func TestTimeoutKeepsOtherCalls(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		t.Cleanup(func() { time.Sleep(connectortest.Settle) })
 		var n connectortest.Network
@@ -48,18 +48,18 @@
 	})
 }
 
-// Guards against calls that go on over a connection which has gone silent for good.
-func TestSilentConnectionIsReplaced(t *testing.T) {
+// Guards against further calls on a connection that has become permanently unresponsive.
+func TestUnresponsiveConnectionIsReplaced(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		t.Cleanup(func() { time.Sleep(connectortest.Settle) })
 		var n connectortest.Network
 		var dials atomic.Int32
-		over := make(chan struct{})
-		defer close(over)
+		done := make(chan struct{})
+		defer close(done)
 		l := n.Listen()
 		s := &messenger.Server{Listener: l, OnRecords: func(context.Context, messenger.RecordsQuery) registrar.Batch {
 			if dials.Load() == 1 {
-				<-over
+				<-done
 			}
 			return registrar.Batch{At: 9}
 		}}
--- a/internal/propagator/propagator.go
+++ b/internal/propagator/propagator.go
@@ -208,7 +208,7 @@
 			p.acked = 0
 		}
 	}
-	p.clients.Keep(used)
+	p.clients.CloseUnused(used)
 	p.choosePullPeers()
 }
 
@@ -300,7 +300,7 @@
 
 // call sends the request of a result, which is completed by the reply.
 func (p *Propagator) call(ctx context.Context, r result) {
-	client := p.clients.To(r.to)
+	client := p.clients.Get(r.to)
 	go func() {
 		r.replied, r.err = client.Evidence(ctx, r.request)
 		select {
--- a/internal/receiver/receiver.go
+++ b/internal/receiver/receiver.go
@@ -146,7 +146,7 @@
 		return
 	}
 	answer(w, http.StatusOK, struct {
-		Fate forwarder.Fate `json:"fate"`
+		Fate forwarder.KeyState `json:"fate"`
 	}{fate})
 }
 
--- a/internal/receiver/stream_test.go
+++ b/internal/receiver/stream_test.go
@@ -42,7 +42,7 @@
 
 func (*fakeAgent) State() messenger.AgentState { return messenger.AgentState{} }
 
-func (*fakeAgent) Lookup(string) forwarder.Fate { return forwarder.FateUnknown }
+func (*fakeAgent) Lookup(string) forwarder.KeyState { return forwarder.KeyUnknown }
 
 func TestReplyIsServerSentEvents(t *testing.T) {
 	w := newWorld(t)
--- a/internal/relayer/ask.go
+++ b/internal/relayer/ask.go
@@ -29,7 +29,7 @@
 // ask asks the agent beside an engine for a place, for a request that is already counted
 // there. The verdict is nil when the agent did not answer; the place then is a share of what
 // the engine bears.
-func (p *Placer) ask(ctx context.Context, view *registrar.View, u *registrar.UpstreamView, j *Job, budget time.Duration) (*Place, *messenger.Verdict) {
+func (p *Placer) ask(ctx context.Context, view *registrar.View, u *registrar.UpstreamView, j *Job, budget time.Duration) (*Place, *messenger.Decision) {
 	if !p.Chooser.MayAsk(u.ID, j.metSilence) {
 		return p.unasked(view, u, j), nil
 	}
@@ -40,7 +40,7 @@
 	q := messenger.Reservation{
 		Request: j.ID, Model: j.Model, StartedAt: u.StartedAt, Prompt: prompt, Answer: p.sizeToReserve(j, answer), Expected: expected,
 		MaxAnswer: j.MaxAnswer, Spare: p.late(j) || j.mover.looking,
-		PatienceMS: budget.Milliseconds(), LeftMS: j.Deadline.Sub(p.Clock.Now()).Milliseconds(), Limit: p.statedLimit(u),
+		WaitLimitMS: budget.Milliseconds(), TimeLeftMS: j.Deadline.Sub(p.Clock.Now()).Milliseconds(), Limit: p.statedLimit(u),
 	}
 	if j.predicted {
 		q.PauseMS = j.Route.PauseObjective.Milliseconds()
@@ -71,14 +71,14 @@
 	}
 	p.Chooser.Heard(u.ID, v.Wait(), load(v))
 	p.notePace(u, &v)
-	p.Chooser.NoteRamp(u.ID, v.Ramp != nil, v.Closed == "")
+	p.Chooser.NoteRamp(u.ID, v.Ramp != nil, v.ClosedReason == "")
 	if !v.Granted {
 		return nil, &v
 	}
 	if p.staleGrant(j, &v) {
 		klog.InfoS("Grant on old weights not used", "upstream", u.ID, "request", j.ID, "version", v.Version, "revision", view.Revision)
 		agent.Tell(messenger.Progress{Ended: []string{j.ID}})
-		v.Granted, v.Closed = false, scheduler.OldWeights
+		v.Granted, v.ClosedReason = false, scheduler.OldWeights
 		return nil, &v
 	}
 	if j.Version != 0 && v.Version != j.Version {
@@ -88,7 +88,7 @@
 	place := &Place{
 		Upstream: u, Wait: v.Wait(), First: v.Wait() + p.Chooser.Slowed(u.ID, p.work(e, j).First), Ends: p.ends(&v), BeginBy: beginBy(asked, &v), Active: v.Active, Version: j.Version, Held: v.Version,
 	}
-	place.event = (v.Takes() - place.First) / time.Duration(max(1, answer/max(1, e.Stride)))
+	place.event = (v.Duration() - place.First) / time.Duration(max(1, answer/max(1, e.Stride)))
 	place.started = func() {
 		agent.Tell(messenger.Progress{Started: []string{j.ID}, Pace: place.statedPace(p.Chooser.Clock.Now())})
 	}
@@ -102,7 +102,7 @@
 // noteAnotherEngine takes an upstream out of use whose agent stands beside another start of the engine.
 // An agent that last looked at its engine before the record came may not have seen the start that
 // the record states.
-func (p *Placer) noteAnotherEngine(u *registrar.UpstreamView, asked time.Time, v *messenger.Verdict) {
+func (p *Placer) noteAnotherEngine(u *registrar.UpstreamView, asked time.Time, v *messenger.Decision) {
 	if v.StartedAt.After(u.StartedAt) || asked.Add(-v.Observed()).After(u.Learned) {
 		p.Registrar.Replaced(u.Upstream)
 	}
@@ -112,9 +112,9 @@
 // cut off grants by what it last learned. Without this look at what the entry knows, callers would get
 // replies from stale weights until the news reaches the agent. An entry that has started since the
 // announcement may not know when it was, and leaves it to an agent that states a time.
-func (p *Placer) staleGrant(j *Job, v *messenger.Verdict) bool {
+func (p *Placer) staleGrant(j *Job, v *messenger.Decision) bool {
 	bound := p.WeightsBound - scheduler.OldWeightsMargin
-	if v.BeginWithinMS > 0 {
+	if v.StartWithinMS > 0 {
 		return p.Registrar.SurelyOutdated(j.Model, v.Version, bound)
 	}
 	return p.Registrar.Outdated(j.Model, v.Version, bound)
@@ -122,23 +122,23 @@
 
 // beginBy is until when a granted request may begin, as its agent states; zero for any time. It counts from
 // before the question: the answer may have been on its way for long.
-func beginBy(asked time.Time, v *messenger.Verdict) time.Time {
-	if v.BeginWithinMS <= 0 {
+func beginBy(asked time.Time, v *messenger.Decision) time.Time {
+	if v.StartWithinMS <= 0 {
 		return time.Time{}
 	}
-	return asked.Add(time.Duration(v.BeginWithinMS) * time.Millisecond)
+	return asked.Add(time.Duration(v.StartWithinMS) * time.Millisecond)
 }
 
 // ends is when the reply to a granted request should end; zero when its agent doesn't tell.
-func (p *Placer) ends(v *messenger.Verdict) time.Time {
-	if v.TakesMS <= 0 {
+func (p *Placer) ends(v *messenger.Decision) time.Time {
+	if v.DurationMS <= 0 {
 		return time.Time{}
 	}
-	return p.Clock.Now().Add(v.Takes())
+	return p.Clock.Now().Add(v.Duration())
 }
 
 // load is the share of an engine's places that are taken; a closed one has none.
-func load(v messenger.Verdict) float64 {
+func load(v messenger.Decision) float64 {
 	if v.Slots == 0 {
 		return closedLoad
 	}
@@ -175,7 +175,7 @@
 
 // Agent is the road to the agent beside an engine, for one reservation.
 type Agent interface {
-	Reserve(ctx context.Context, r messenger.Reservation) (messenger.Verdict, error)
+	Reserve(ctx context.Context, r messenger.Reservation) (messenger.Decision, error)
 	// Tell sends progress without holding up the caller's reply. It may be lost; the engine's
 	// own count then shows what runs.
 	Tell(p messenger.Progress)
@@ -185,7 +185,7 @@
 	if p.Reach != nil {
 		return p.Reach(a)
 	}
-	return networkAgent{p.Agents.To(a), rand.Uint32()}
+	return networkAgent{p.Agents.Get(a), rand.Uint32()}
 }
 
 // networkAgent is an agent on its own VM. The number distinguishes this reservation from others for
@@ -197,8 +197,8 @@
 }
 
 // Reserve implements Agent.
-func (a networkAgent) Reserve(ctx context.Context, r messenger.Reservation) (messenger.Verdict, error) {
-	r.Request = messenger.Numbered(r.Request, a.number)
+func (a networkAgent) Reserve(ctx context.Context, r messenger.Reservation) (messenger.Decision, error) {
+	r.Request = messenger.ReservationName(r.Request, a.number)
 	return a.Client.Reserve(ctx, r)
 }
 
@@ -207,7 +207,7 @@
 	p.Started, p.Ended = a.numbered(p.Started), a.numbered(p.Ended)
 	p.Failed, p.Refused = a.numbered(p.Failed), a.numbered(p.Refused)
 	go func() {
-		if err := a.Client.Tell(context.Background(), p); err != nil {
+		if err := a.Client.SendProgress(context.Background(), p); err != nil {
 			klog.V(1).InfoS("Progress not told", "agent", a.Address, "err", err)
 		}
 	}()
@@ -216,7 +216,7 @@
 func (a networkAgent) numbered(requests []string) []string {
 	var names []string
 	for _, r := range requests {
-		names = append(names, messenger.Numbered(r, a.number))
+		names = append(names, messenger.ReservationName(r, a.number))
 	}
 	return names
 }
--- a/internal/relayer/balance_test.go
+++ b/internal/relayer/balance_test.go
@@ -23,23 +23,23 @@
 	granted map[string]bool
 }
 
-func (a *moody) Reserve(ctx context.Context, r messenger.Reservation) (messenger.Verdict, error) {
+func (a *moody) Reserve(ctx context.Context, r messenger.Reservation) (messenger.Decision, error) {
 	a.clock.Step(time.Duration(rapid.IntRange(0, 60).Draw(a.t, "took")) * time.Millisecond)
 	if rapid.IntRange(0, 9).Draw(a.t, "leaves") == 0 {
 		a.leave()
 	}
 	switch rapid.IntRange(0, 5).Draw(a.t, "answer") {
 	case 0:
-		return messenger.Verdict{}, errors.New("silent")
+		return messenger.Decision{}, errors.New("silent")
 	case 1:
-		return messenger.Verdict{Closed: "no weights"}, nil
+		return messenger.Decision{ClosedReason: "no weights"}, nil
 	case 2:
-		return messenger.Verdict{WaitMS: 50, Active: 1, Slots: 12}, nil
+		return messenger.Decision{WaitMS: 50, Active: 1, Slots: 12}, nil
 	case 3:
-		return messenger.Verdict{Active: 12, Slots: 12, FreeMS: 30}, nil
+		return messenger.Decision{Active: 12, Slots: 12, FreeInMS: 30}, nil
 	default:
 		a.granted[r.Request] = true
-		v := messenger.Verdict{Granted: true, Active: 1, Slots: 12, Version: rapid.Uint64Range(1, 2).Draw(a.t, "version")}
+		v := messenger.Decision{Granted: true, Active: 1, Slots: 12, Version: rapid.Uint64Range(1, 2).Draw(a.t, "version")}
 		return v, ctx.Err()
 	}
 }
--- a/internal/relayer/bench_test.go
+++ b/internal/relayer/bench_test.go
@@ -21,10 +21,10 @@
 // ledgerAgent is an agent reached without a network.
 type ledgerAgent struct{ ledger *scheduler.Ledger }
 
-func (a ledgerAgent) Reserve(_ context.Context, r messenger.Reservation) (messenger.Verdict, error) {
-	v := a.ledger.Reserve(scheduler.Job{ID: r.Request, Prompt: r.Prompt, Answer: r.Answer, Spare: r.Spare, Patience: r.Patience(), Left: r.Left()}, nil)
-	return messenger.Verdict{Granted: v.Granted, Closed: v.Closed, Version: 1, WaitMS: v.Wait.Milliseconds(),
-		FreeMS: v.Free.Milliseconds(), Active: v.Active, Slots: v.Slots}, nil
+func (a ledgerAgent) Reserve(_ context.Context, r messenger.Reservation) (messenger.Decision, error) {
+	v := a.ledger.Reserve(scheduler.Job{ID: r.Request, Prompt: r.Prompt, Answer: r.Answer, Spare: r.Spare, Patience: r.WaitLimit(), Left: r.TimeLeft()}, nil)
+	return messenger.Decision{Granted: v.Granted, ClosedReason: v.Closed, Version: 1, WaitMS: v.Wait.Milliseconds(),
+		FreeInMS: v.Free.Milliseconds(), Active: v.Active, Slots: v.Slots}, nil
 }
 
 func (a ledgerAgent) Tell(p messenger.Progress) {
--- a/internal/relayer/closing_test.go
+++ b/internal/relayer/closing_test.go
@@ -140,8 +140,8 @@
 	ended chan string
 }
 
-func (a *granting) Reserve(context.Context, messenger.Reservation) (messenger.Verdict, error) {
-	return messenger.Verdict{Granted: true, Version: 1, Slots: 12}, nil
+func (a *granting) Reserve(context.Context, messenger.Reservation) (messenger.Decision, error) {
+	return messenger.Decision{Granted: true, Version: 1, Slots: 12}, nil
 }
 
 func (a *granting) Tell(p messenger.Progress) {
@@ -240,12 +240,12 @@
 	asked int
 }
 
-func (a *full) Reserve(ctx context.Context, r messenger.Reservation) (messenger.Verdict, error) {
+func (a *full) Reserve(ctx context.Context, r messenger.Reservation) (messenger.Decision, error) {
 	if a.asked++; a.asked > 1 {
 		return a.granting.Reserve(ctx, r)
 	}
 	a.leave()
-	return messenger.Verdict{Active: 12, Slots: 12, FreeMS: 1}, nil
+	return messenger.Decision{Active: 12, Slots: 12, FreeInMS: 1}, nil
 }
 
 // Guards against requests that are sent although their caller left while the entry waited for a place.
--- a/internal/relayer/engine.go
+++ b/internal/relayer/engine.go
@@ -113,18 +113,18 @@
 			}
 			continue
 		}
-		if v.Closed != "" {
-			p.Chooser.Closed(u.ID, v.Closed, closedFor(v.Free()), v.Free())
-			opens = least(opens, v.Free())
+		if v.ClosedReason != "" {
+			p.Chooser.Closed(u.ID, v.ClosedReason, closedFor(v.FreeIn()), v.FreeIn())
+			opens = least(opens, v.FreeIn())
 			continue
 		}
-		free = least(free, v.Free())
+		free = least(free, v.FreeIn())
 		if isHeld(v) {
 			met.Ramping++
 			ramping = p.noteHeld(u, j, v, ramping)
 			continue
 		}
-		room := v.Wait() <= budget && v.Active < v.Slots && v.Kept == ""
+		room := v.Wait() <= budget && v.Active < v.Slots && v.KeptFor == ""
 		if !room {
 			j.noteRefusal(v)
 		}
@@ -148,7 +148,7 @@
 			return nil, p.refuse(j, late)
 		}
 		p.Chooser.End(w.upstream.ID)
-		if v != nil && v.Closed == "" && !v.EndsLate {
+		if v != nil && v.ClosedReason == "" && !v.EndsLate {
 			p.noteNoSlot(w.upstream.ID, j, v)
 		}
 	}
@@ -185,13 +185,13 @@
 }
 
 // note counts an agent's answer that is no grant; nil when there was none.
-func (m *Met) note(v *messenger.Verdict) {
+func (m *Met) note(v *messenger.Decision) {
 	switch {
 	case v == nil:
 		m.Silent++
-	case v.Closed != "":
+	case v.ClosedReason != "":
 		m.Closed++
-		m.WhyClosed = v.Closed
+		m.WhyClosed = v.ClosedReason
 	case v.EndsLate:
 		m.CallerLeaves++
 	default:
--- a/internal/relayer/engine_connections_test.go
+++ b/internal/relayer/engine_connections_test.go
@@ -69,8 +69,8 @@
 // serveWilling is an agent whose engine has ever the same few places taken.
 func serveWilling(t *testing.T, l net.Listener) {
 	s := &messenger.Server{Listener: l, OnLost: func(*messenger.Link) {}, OnProgress: func(messenger.Progress, *messenger.Link) {},
-		OnReserve: func(messenger.Reservation, *messenger.Link) messenger.Verdict {
-			return messenger.Verdict{Granted: true, Version: 1, Slots: 12, Active: 1}
+		OnReserve: func(messenger.Reservation, *messenger.Link) messenger.Decision {
+			return messenger.Decision{Granted: true, Version: 1, Slots: 12, Active: 1}
 		}}
 	ctx, stop := context.WithCancel(context.Background())
 	t.Cleanup(stop)
--- a/internal/relayer/given_up_test.go
+++ b/internal/relayer/given_up_test.go
@@ -65,7 +65,7 @@
 // granterAgent asks a granter without a network.
 type granterAgent struct{ *granter.Granter }
 
-func (a granterAgent) Reserve(_ context.Context, r messenger.Reservation) (messenger.Verdict, error) {
+func (a granterAgent) Reserve(_ context.Context, r messenger.Reservation) (messenger.Decision, error) {
 	return a.Granter.Reserve(r, nil), nil
 }
 
--- a/internal/relayer/late_progress_test.go
+++ b/internal/relayer/late_progress_test.go
@@ -65,13 +65,13 @@
 				ended <- link
 			}
 		},
-		OnReserve: func(r messenger.Reservation, link *messenger.Link) messenger.Verdict {
+		OnReserve: func(r messenger.Reservation, link *messenger.Link) messenger.Decision {
 			v := ledger.Reserve(scheduler.Job{ID: r.Request, Prompt: r.Prompt, Patience: time.Second, Left: 60 * time.Second}, link)
 			select {
 			case first <- link:
 			default:
 			}
-			return messenger.Verdict{Granted: v.Granted, Version: 1, Slots: v.Slots, Active: v.Active}
+			return messenger.Decision{Granted: v.Granted, Version: 1, Slots: v.Slots, Active: v.Active}
 		}}
 	go func() { _ = s.Serve(t.Context()) }()
 	link := newHeldLink(t, l.Addr())
--- a/internal/relayer/left_test.go
+++ b/internal/relayer/left_test.go
@@ -20,9 +20,9 @@
 	ended []string
 }
 
-func (a *leaving) Reserve(ctx context.Context, _ messenger.Reservation) (messenger.Verdict, error) {
+func (a *leaving) Reserve(ctx context.Context, _ messenger.Reservation) (messenger.Decision, error) {
 	a.leave()
-	return messenger.Verdict{}, ctx.Err()
+	return messenger.Decision{}, ctx.Err()
 }
 
 func (a *leaving) Tell(p messenger.Progress) { a.ended = append(a.ended, p.Ended...) }
--- a/internal/relayer/logs_test.go
+++ b/internal/relayer/logs_test.go
@@ -167,8 +167,8 @@
 	t.Helper()
 	u := w.upstreams[engine]
 	a := netip.AddrPortFrom(netip.MustParseAddrPort(u.listener.Addr().String()).Addr(), w.relayer.Placer.AgentPort)
-	v, err := w.relayer.Placer.Agents.To(a).Reserve(context.Background(), messenger.Reservation{
-		Request: "other", Prompt: 1, Answer: 1, PatienceMS: 1000, LeftMS: 60_000})
+	v, err := w.relayer.Placer.Agents.Get(a).Reserve(context.Background(), messenger.Reservation{
+		Request: "other", Prompt: 1, Answer: 1, WaitLimitMS: 1000, TimeLeftMS: 60_000})
 	must.NoError(t, err)
 	must.True(t, v.Granted)
 }
--- a/internal/relayer/move_test.go
+++ b/internal/relayer/move_test.go
@@ -128,8 +128,8 @@
 // slowAgent grants slots at an engine at which a stream takes a minute.
 type slowAgent struct{}
 
-func (slowAgent) Reserve(context.Context, messenger.Reservation) (messenger.Verdict, error) {
-	return messenger.Verdict{Granted: true, Version: 1, Slots: 12, TakesMS: time.Minute.Milliseconds()}, nil
+func (slowAgent) Reserve(context.Context, messenger.Reservation) (messenger.Decision, error) {
+	return messenger.Decision{Granted: true, Version: 1, Slots: 12, DurationMS: time.Minute.Milliseconds()}, nil
 }
 
 func (slowAgent) Tell(messenger.Progress) {}
--- a/internal/relayer/pace.go
+++ b/internal/relayer/pace.go
@@ -107,7 +107,7 @@
 }
 
 // notePace notes the pace of an engine that its agent stated.
-func (p *Placer) notePace(u *registrar.UpstreamView, v *messenger.Verdict) {
+func (p *Placer) notePace(u *registrar.UpstreamView, v *messenger.Decision) {
 	var m scheduler.Momentary
 	if v.Momentary != nil {
 		m = scheduler.Momentary{Factor: v.Momentary.Pace.Factor(), At: p.Chooser.Clock.Now().Add(-v.Momentary.Age())}
--- a/internal/relayer/place.go
+++ b/internal/relayer/place.go
@@ -339,5 +339,5 @@
 	for _, u := range view.Upstreams {
 		used[netip.AddrPortFrom(u.Address.Addr(), p.AgentPort)] = true
 	}
-	p.Agents.Keep(used)
+	p.Agents.CloseUnused(used)
 }
