--- a/internal/relayer/place_test.go
+++ b/internal/relayer/place_test.go
@@ -184,7 +184,7 @@
 func TestGrantOnOldWeightsIsNotUsed(t *testing.T) {
 	c := clocktest.NewFakeClock(time.Unix(1000, 0))
 	p, table := newPlacer(c, 0, 1)
-	a := grant(t, p, messenger.Verdict{Granted: true, Version: 1, Slots: 12})
+	a := grant(t, p, messenger.Decision{Granted: true, Version: 1, Slots: 12})
 	must.True(t, placed(p, c, table))
 	name(p.Registrar, 2)
 	c.Step(7200 * time.Millisecond)
@@ -207,7 +207,7 @@
 	name(seen.Registrar, 2)
 	p, _ := newPlacer(c, 0, 1)
 	p.Registrar = restarted(seen.Registrar)
-	grant(t, p, messenger.Verdict{Granted: true, Version: 1, Slots: 12, BeginWithinMS: 7000})
+	grant(t, p, messenger.Decision{Granted: true, Version: 1, Slots: 12, StartWithinMS: 7000})
 	must.True(t, placed(p, c, table))
 }
 
@@ -215,13 +215,13 @@
 type willingAgent struct{ asked, ended atomic.Int32 }
 
 // grant gives the engine of a placer a willingAgent.
-func grant(t *testing.T, p *relayer.Placer, v messenger.Verdict) *willingAgent {
+func grant(t *testing.T, p *relayer.Placer, v messenger.Decision) *willingAgent {
 	l, err := net.Listen("tcp", "127.0.0.1:0")
 	must.NoError(t, err)
 	a := &willingAgent{}
 	s := &messenger.Server{Listener: l, OnLost: func(*messenger.Link) {},
 		OnProgress: func(p messenger.Progress, _ *messenger.Link) { a.ended.Add(int32(len(p.Ended))) },
-		OnReserve: func(messenger.Reservation, *messenger.Link) messenger.Verdict {
+		OnReserve: func(messenger.Reservation, *messenger.Link) messenger.Decision {
 			a.asked.Add(1)
 			return v
 		}}
@@ -258,11 +258,11 @@
 				ledger.Ended(id)
 			}
 		},
-		OnReserve: func(r messenger.Reservation, link *messenger.Link) messenger.Verdict {
+		OnReserve: func(r messenger.Reservation, link *messenger.Link) messenger.Decision {
 			v := ledger.Reserve(scheduler.Job{ID: r.Request, Prompt: r.Prompt, Patience: time.Second, Left: 6 * time.Second}, link)
 			asked <- v.Granted
 			<-late
-			return messenger.Verdict{Granted: true, Version: 1, Slots: 12, Active: v.Active}
+			return messenger.Decision{Granted: true, Version: 1, Slots: 12, Active: v.Active}
 		}}
 	ctx, stop := context.WithCancel(context.Background())
 	defer stop()
--- a/internal/relayer/priority.go
+++ b/internal/relayer/priority.go
@@ -113,22 +113,22 @@
 
 // noteNoSlot keeps that an engine has no slot for a request: none at all, none to spare, or none that isn't
 // kept for others.
-func (p *Placer) noteNoSlot(id string, j *Job, v *messenger.Verdict) {
-	if j.standing == nil || p.Without.Has(ablator.FullBackoff) || p.late(j) && v.Kept == "" {
-		p.noteFull(id, j, v.Free())
+func (p *Placer) noteNoSlot(id string, j *Job, v *messenger.Decision) {
+	if j.standing == nil || p.Without.Has(ablator.FullBackoff) || p.late(j) && v.KeptFor == "" {
+		p.noteFull(id, j, v.FreeIn())
 		return
 	}
-	p.fullMarks.Full(id, j.standing.priority, min(v.Free(), fullPause), p.Clock.Now())
+	p.fullMarks.Full(id, j.standing.priority, min(v.FreeIn(), fullPause), p.Clock.Now())
 }
 
 // noteRefusal counts an engine that had no slot for a request within its whole budget.
-func (j *Job) noteRefusal(v *messenger.Verdict) {
+func (j *Job) noteRefusal(v *messenger.Decision) {
 	if j.standing != nil {
 		j.standing.refusals++
 	}
-	if v.Kept != "" {
+	if v.KeptFor != "" {
 		j.met.Kept++
-		j.met.WhyKept = v.Kept
+		j.met.WhyKept = v.KeptFor
 	}
 }
 
--- a/internal/relayer/priority_test.go
+++ b/internal/relayer/priority_test.go
@@ -21,11 +21,11 @@
 
 // scriptedAgent answers all reservations alike and keeps them.
 type scriptedAgent struct {
-	verdict func(messenger.Reservation) messenger.Verdict
+	verdict func(messenger.Reservation) messenger.Decision
 	asked   *[]messenger.Reservation
 }
 
-func (a scriptedAgent) Reserve(_ context.Context, r messenger.Reservation) (messenger.Verdict, error) {
+func (a scriptedAgent) Reserve(_ context.Context, r messenger.Reservation) (messenger.Decision, error) {
 	*a.asked = append(*a.asked, r)
 	return a.verdict(r), nil
 }
@@ -33,7 +33,7 @@
 func (scriptedAgent) Tell(messenger.Progress) {}
 
 // newPrioritized makes an entry with a live and a batch route before engines whose agents answer as scripted.
-func newPrioritized(engines int, verdict func(messenger.Reservation) messenger.Verdict) (d *decider, live, batch relayer.Job, asked *[]messenger.Reservation) {
+func newPrioritized(engines int, verdict func(messenger.Reservation) messenger.Decision) (d *decider, live, batch relayer.Job, asked *[]messenger.Reservation) {
 	d = newDecider(1, engines, 0)
 	asked = &[]messenger.Reservation{}
 	d.Placer.Reach = func(netip.AddrPort) relayer.Agent { return scriptedAgent{verdict, asked} }
@@ -68,8 +68,8 @@
 	}
 }
 
-func kept(r messenger.Reservation) messenger.Verdict {
-	return messenger.Verdict{Granted: *r.Priority == 0, Kept: scheduler.KeptForUrgent, Version: 1, FreeMS: 100, Active: 11, Slots: 12}
+func kept(r messenger.Reservation) messenger.Decision {
+	return messenger.Decision{Granted: *r.Priority == 0, KeptFor: scheduler.KeptForUrgent, Version: 1, FreeInMS: 100, Active: 11, Slots: 12}
 }
 
 // Guards against a refused caller, or an operator, who reads that all engines are full while slots are kept for
@@ -85,7 +85,7 @@
 	for i, r := range *asked {
 		must.Eq(t, i, r.Asked)
 		must.GreaterEq(t, refusals, r.Refusals)
-		must.GreaterEq(t, r.PatienceMS, r.BudgetMS)
+		must.GreaterEq(t, r.WaitLimitMS, r.BudgetMS)
 		refusals = r.Refusals
 	}
 	must.Positive(t, refusals)
@@ -95,8 +95,8 @@
 // Guards against requests that state a priority where all have the same: agents would decide otherwise than
 // before.
 func TestPriorityIsStatedOnlyWhereThereIsMoreThanOne(t *testing.T) {
-	granted := func(messenger.Reservation) messenger.Verdict {
-		return messenger.Verdict{Granted: true, Version: 1, Slots: 12}
+	granted := func(messenger.Reservation) messenger.Decision {
+		return messenger.Decision{Granted: true, Version: 1, Slots: 12}
 	}
 	d, live, batch, asked := newPrioritized(1, granted)
 	batch.Workspace = &matcher.Workspace{Name: "w"}
--- a/internal/relayer/ramp.go
+++ b/internal/relayer/ramp.go
@@ -61,7 +61,7 @@
 }
 
 // isHeld tells whether the slow start of an engine alone kept a request out.
-func isHeld(v *messenger.Verdict) bool { return v.Ramp != nil && v.Ramp.Held }
+func isHeld(v *messenger.Decision) bool { return v.Ramp != nil && v.Ramp.Limited }
 
 // beyondRamps is why a request need not keep to the slow starts of engines, if most of them have just
 // started.
@@ -74,9 +74,9 @@
 
 // noteHeld adds an engine whose slow start kept a request out to those that are asked again if the others
 // are full. One that hasn't answered well so far isn't, and isn't asked by others for a moment either.
-func (p *Placer) noteHeld(u *registrar.UpstreamView, j *Job, v *messenger.Verdict, held []*registrar.UpstreamView) []*registrar.UpstreamView {
-	if !v.Ramp.Well {
-		p.noteFull(u.ID, j, v.Free())
+func (p *Placer) noteHeld(u *registrar.UpstreamView, j *Job, v *messenger.Decision, held []*registrar.UpstreamView) []*registrar.UpstreamView {
+	if !v.Ramp.Healthy {
+		p.noteFull(u.ID, j, v.FreeIn())
 		return held
 	}
 	return append(held, u)
--- a/internal/relayer/reason_test.go
+++ b/internal/relayer/reason_test.go
@@ -20,10 +20,10 @@
 	asked *int
 }
 
-func (a silentAgent) Reserve(context.Context, messenger.Reservation) (messenger.Verdict, error) {
+func (a silentAgent) Reserve(context.Context, messenger.Reservation) (messenger.Decision, error) {
 	*a.asked++
 	a.clock.Step(relayer.AskTimeout)
-	return messenger.Verdict{}, context.DeadlineExceeded
+	return messenger.Decision{}, context.DeadlineExceeded
 }
 
 func (silentAgent) Tell(messenger.Progress) {}
--- a/internal/relayer/replaced_test.go
+++ b/internal/relayer/replaced_test.go
@@ -88,7 +88,7 @@
 	asked *int
 }
 
-func (a countedAgent) Reserve(ctx context.Context, r messenger.Reservation) (messenger.Verdict, error) {
+func (a countedAgent) Reserve(ctx context.Context, r messenger.Reservation) (messenger.Decision, error) {
 	*a.asked++
 	return a.granterAgent.Reserve(ctx, r)
 }
--- a/internal/relayer/shutdown.go
+++ b/internal/relayer/shutdown.go
@@ -79,7 +79,7 @@
 
 // askInTime is ask for a place at which the reply can end before this entry does; late tells that it
 // can't at the one that was granted.
-func (p *Placer) askInTime(ctx context.Context, view *registrar.View, u *registrar.UpstreamView, j *Job, budget time.Duration) (place *Place, v *messenger.Verdict, late *ShutdownError) {
+func (p *Placer) askInTime(ctx context.Context, view *registrar.View, u *registrar.UpstreamView, j *Job, budget time.Duration) (place *Place, v *messenger.Decision, late *ShutdownError) {
 	place, v = p.ask(ctx, view, u, j, budget)
 	if place == nil {
 		return nil, v, nil
--- a/internal/relayer/upstream_rest_test.go
+++ b/internal/relayer/upstream_rest_test.go
@@ -159,7 +159,7 @@
 	l, err := net.Listen("tcp", ip+":0")
 	must.NoError(t, err)
 	server := &messenger.Server{Listener: l, OnProgress: g.Progress, OnLost: g.Lost,
-		OnReserve: func(q messenger.Reservation, from *messenger.Link) messenger.Verdict {
+		OnReserve: func(q messenger.Reservation, from *messenger.Link) messenger.Decision {
 			time.Sleep(delay())
 			return g.Reserve(q, from)
 		}}
--- a/internal/relayer/wait_test.go
+++ b/internal/relayer/wait_test.go
@@ -35,7 +35,7 @@
 	time.AfterFunc(d, func() { e.ledger.Open(engineTable().Services["engines"].Engine) })
 }
 
-func (e *loadingEngine) Reserve(ctx context.Context, r messenger.Reservation) (messenger.Verdict, error) {
+func (e *loadingEngine) Reserve(ctx context.Context, r messenger.Reservation) (messenger.Decision, error) {
 	e.asked++
 	return e.ledgerAgent.Reserve(ctx, r)
 }
--- a/internal/simulator/world.go
+++ b/internal/simulator/world.go
@@ -225,16 +225,16 @@
 }
 
 // Reserve implements relayer.Agent.
-func (r *road) Reserve(_ context.Context, q messenger.Reservation) (messenger.Verdict, error) {
+func (r *road) Reserve(_ context.Context, q messenger.Reservation) (messenger.Decision, error) {
 	way := r.way(r.domain, r.host.domain)
 	r.time.Sleep(way)
 	if r.host.silent {
 		r.time.Sleep(relayer.AskTimeout - way)
-		return messenger.Verdict{}, context.DeadlineExceeded
+		return messenger.Decision{}, context.DeadlineExceeded
 	}
 	if r.host.agentDown {
 		r.time.Sleep(way)
-		return messenger.Verdict{}, syscall.ECONNREFUSED
+		return messenger.Decision{}, syscall.ECONNREFUSED
 	}
 	v := r.host.granter.Reserve(q, nil)
 	r.time.Sleep(way)
--- a/internal/syncer/start.go
+++ b/internal/syncer/start.go
@@ -137,7 +137,7 @@
 // dial connects to a seed in the background.
 func (d *seedDials) dial(ctx context.Context, a netip.AddrPort) {
 	d.pending[a] = true
-	client, began := d.syncer.clients.To(a), d.syncer.Clock.Now()
+	client, began := d.syncer.clients.Get(a), d.syncer.Clock.Now()
 	go func() {
 		ctx, cancel := context.WithTimeout(ctx, seedTimeout)
 		defer cancel()
--- a/internal/syncer/syncer.go
+++ b/internal/syncer/syncer.go
@@ -228,7 +228,7 @@
 	for _, a := range candidates {
 		used[a] = true
 	}
-	s.clients.Keep(used)
+	s.clients.CloseUnused(used)
 	maps.DeleteFunc(s.peers, func(a netip.AddrPort, _ peer) bool { return !used[a] })
 }
 
@@ -351,7 +351,7 @@
 // records asks a peer for records. The ages in the answer count up to its return.
 func (s *Syncer) records(ctx context.Context, a netip.AddrPort, q messenger.RecordsQuery, timeout time.Duration) (registrar.Batch, error) {
 	asked := s.Clock.Now()
-	b, err := s.clients.To(a).Records(ctx, q, timeout)
+	b, err := s.clients.Get(a).Records(ctx, q, timeout)
 	b.AsOf = s.Registrar.Clock.Now()
 	took := s.Clock.Since(asked)
 	b.Source = registrar.Source{Name: a.String(), Took: took, Wait: q.Wait(), Held: b.Held}
--- a/proofs/bundle_test.go
+++ b/proofs/bundle_test.go
@@ -213,7 +213,7 @@
 	throughout(t, span, "no process reverts", func() bool {
 		for _, e := range d.entries {
 			s, err := inspector.Inspector{}.Ask(t.Context(), e.operators)
-			if err == nil && !r.note(e.id, s.State.Word.Revision) {
+			if err == nil && !r.note(e.id, s.State.Freshness.Revision) {
 				return false
 			}
 		}
--- a/proofs/deployment_test.go
+++ b/proofs/deployment_test.go
@@ -490,7 +490,7 @@
 	if err != nil {
 		return 0
 	}
-	return s.State.Word.Revision
+	return s.State.Freshness.Revision
 }
 
 // running is how many callers' requests an entry carries.
--- a/proofs/drain_test.go
+++ b/proofs/drain_test.go
@@ -117,7 +117,7 @@
 func (d *deployment) closed(domain string) bool {
 	for _, e := range d.entries {
 		s, err := inspector.Inspector{}.Ask(d.t.Context(), e.operators)
-		if err != nil || e.domain == domain && s.Fresh && s.State.Word.Revision < d.bundle.Revision {
+		if err != nil || e.domain == domain && s.Fresh && s.State.Freshness.Revision < d.bundle.Revision {
 			return false
 		}
 	}
