--- a/internal/forwarder/client_test.go
+++ b/internal/forwarder/client_test.go
@@ -77,7 +77,7 @@
 	_ = errorAs[E](t, err)
 }
 
-// Guards against giving up a booking whose agent's VM no longer exists and refuses connections.
+// Guards against giving up a booking whose agent's VM is gone and refuses connections.
 // Nothing was sent, so the booking may be retried on another agent.
 func TestFailedDialIsNotRun(t *testing.T) {
 	l, err := net.Listen("tcp", "127.0.0.1:0")
--- a/internal/messenger/messages.go
+++ b/internal/messenger/messages.go
@@ -98,7 +98,7 @@
 	Revision uint64 `json:"revision"`
 	Digest   string `json:"digest,omitempty"`
 	// AgeMS is the time in milliseconds since the store last confirmed Revision as the
-	// newest, as far as the sender can tell; -1 for never. An age requires no
+	// newest, as known to the sender; -1 for never. An age requires no
 	// synchronized clocks between VMs.
 	AgeMS int64 `json:"ageMs"`
 	// Outage states that, OutageAgeMS milliseconds ago, more than half of the
