--- a/internal/agent/bookings_test.go
+++ b/internal/agent/bookings_test.go
@@ -34,7 +34,7 @@
 	return env.client.Call(ctx, addressOf(env.Listener), o, []byte("{}"))
 }
 
-func (env *testEnv) lookup(key string) forwarder.Fate {
+func (env *testEnv) lookup(key string) forwarder.KeyState {
 	env.t.Helper()
 	ctx, cancel := context.WithTimeout(env.t.Context(), waitTimeout)
 	defer cancel()
@@ -63,7 +63,7 @@
 		must.True(t, errors.As(err, &u), must.Sprint(err))
 		env.postUpstream("/admin/faults", `{}`)
 	}
-	must.Eq(t, forwarder.FateUnknown, env.lookup(k))
+	must.Eq(t, forwarder.KeyUnknown, env.lookup(k))
 	must.Eq(t, 1, env.upstreamCount("runs"))
 }
 
@@ -79,13 +79,13 @@
 		wg.Go(func() { replies[i], errs[i] = env.book(k) })
 	}
 	env.waitUntil(func() bool { return env.runningCount() == 1 && env.clock.HasWaiters() })
-	must.Eq(t, forwarder.FateRunning, env.lookup(k))
+	must.Eq(t, forwarder.KeyRunning, env.lookup(k))
 	env.clock.Step(tokenTime)
 	wg.Wait()
 	must.NoError(t, errors.Join(errs[:]...))
 	must.Eq(t, replies[0].Body, replies[1].Body)
 	must.True(t, replies[0].Replayed != replies[1].Replayed)
-	must.Eq(t, forwarder.FateRan, env.lookup(k))
+	must.Eq(t, forwarder.KeyRan, env.lookup(k))
 	must.Eq(t, 1, env.upstreamCount("runs"))
 }
 
@@ -102,7 +102,7 @@
 	env.waitUntil(func() bool { return env.State.StatusUpdate().Revision == 3 && len(env.Gate.Holds()) == 0 })
 	_, err = env.book(k)
 	mustBeClosed(t, err)
-	must.Eq(t, forwarder.FateNotRun, env.lookup(k))
+	must.Eq(t, forwarder.KeyNotRun, env.lookup(k))
 	must.Eq(t, 0, env.upstreamCount("runs"))
 }
 
@@ -111,7 +111,7 @@
 func TestLookupClosesUnseenKey(t *testing.T) {
 	env := startService(t, &imitator.Service{})
 	k := newKey("late")
-	must.Eq(t, forwarder.FateNotRun, env.lookup(k))
+	must.Eq(t, forwarder.KeyNotRun, env.lookup(k))
 	_, err := env.book(k)
 	mustBeClosed(t, err)
 	must.Eq(t, 0, env.upstreamCount("runs"))
--- a/internal/agent/calls.go
+++ b/internal/agent/calls.go
@@ -46,7 +46,7 @@
 }
 
 // replyFromDecision returns the answer for a key whose call must not run.
-func replyFromDecision(v deduplicator.Verdict) (*forwarder.Reply, error) {
+func replyFromDecision(v deduplicator.Outcome) (*forwarder.Reply, error) {
 	switch v := v.(type) {
 	case deduplicator.Replay:
 		return &forwarder.Reply{Status: v.Reply.Status, Header: v.Reply.Header, Body: v.Reply.Body, Replayed: true}, nil
@@ -139,19 +139,19 @@
 
 // Lookup returns the fate of a key. It closes a key that has not been seen: after
 // "not run" the caller may book again, so a late duplicate must not run.
-func (r *runner) Lookup(key string) forwarder.Fate {
+func (r *runner) Lookup(key string) forwarder.KeyState {
 	k, err := deduplicator.ParseKey(key)
 	if err != nil {
-		return forwarder.FateUnknown
+		return forwarder.KeyUnknown
 	}
 	switch r.agent.Ledger.Close(k).(type) {
 	case deduplicator.Replay:
-		return forwarder.FateRan
+		return forwarder.KeyRan
 	case deduplicator.Running, deduplicator.Run:
-		return forwarder.FateRunning
+		return forwarder.KeyRunning
 	case deduplicator.Refused:
-		return forwarder.FateNotRun
+		return forwarder.KeyNotRun
 	default:
-		return forwarder.FateUnknown
+		return forwarder.KeyUnknown
 	}
 }
--- a/internal/agent/dead_service_test.go
+++ b/internal/agent/dead_service_test.go
@@ -60,12 +60,12 @@
 			if tt.whole {
 				must.NoError(t, err)
 				must.Eq(t, "a part", string(reply.Body))
-				must.Eq(t, forwarder.FateRan, env.lookup(k))
+				must.Eq(t, forwarder.KeyRan, env.lookup(k))
 				return
 			}
 			var u *forwarder.UnknownError
 			must.True(t, errors.As(err, &u), must.Sprint(err))
-			must.Eq(t, forwarder.FateUnknown, env.lookup(k))
+			must.Eq(t, forwarder.KeyUnknown, env.lookup(k))
 		})
 	}
 }
--- a/internal/agent/env_test.go
+++ b/internal/agent/env_test.go
@@ -196,16 +196,16 @@
 }
 
 // answerReport is the entry's answer.
-func (env *testEnv) answerReport(r messenger.Report, _ *messenger.Link) messenger.News {
+func (env *testEnv) answerReport(r messenger.Report, _ *messenger.Link) messenger.Update {
 	env.mu.Lock()
 	defer env.mu.Unlock()
 	if r.State != nil {
 		env.state = *r.State
 	} else {
-		env.state.Sequence, env.state.Running = r.Beat.Sequence, r.Beat.Running
+		env.state.Sequence, env.state.Running = r.Heartbeat.Sequence, r.Heartbeat.Running
 	}
-	n := messenger.News{
-		Word:       messenger.Word{Revision: env.bundle.Revision, Digest: env.record.Digest()},
+	n := messenger.Update{
+		Freshness:  messenger.Freshness{Revision: env.bundle.Revision, Digest: env.record.Digest()},
 		Entries:    []messenger.EntryRef{{ID: "entry-1", Region: "r", Peers: env.entryAddress}},
 		Assignment: "rota",
 		Switch:     !env.denySwitch,
--- a/internal/agent/link.go
+++ b/internal/agent/link.go
@@ -107,7 +107,7 @@
 		_, r.Record = l.agent.State.Current()
 	}
 	if k.lastReported != nil && equalExceptBeat(*k.lastReported, s) {
-		r.Beat = &messenger.Beat{ID: s.ID, Incarnation: s.Incarnation, Sequence: s.Sequence, Running: s.Running}
+		r.Heartbeat = &messenger.Heartbeat{ID: s.ID, Incarnation: s.Incarnation, Sequence: s.Sequence, Running: s.Running}
 		return r
 	}
 	k.lastReported = &s
@@ -134,10 +134,10 @@
 		k.lastReported = nil
 	}
 	w := l.agent.State.StatusUpdate()
-	k.entryBehind = n.Word.Revision < w.Revision
+	k.entryBehind = n.Freshness.Revision < w.Revision
 	l.applyNews(n)
 	l.applyAssignment(n, k.client.Address)
 	// The answer is as fresh as the request: while it was in flight, or this process
 	// suspended, a newer bundle may have come into force.
-	l.agent.State.ReceiveUpdate(n.Word, sentAt)
+	l.agent.State.ReceiveUpdate(n.Freshness, sentAt)
 }
--- a/internal/agent/links.go
+++ b/internal/agent/links.go
@@ -133,13 +133,13 @@
 
 // handlePush applies unrequested news from an entry. It can carry a higher bundle but
 // confirms no freshness: how long it lay in a socket is unknown.
-func (l *links) handlePush(n messenger.News) {
+func (l *links) handlePush(n messenger.Update) {
 	l.applyNews(n)
 	l.agent.updateHolds(context.Background())
 	l.reportNow()
 }
 
-func (l *links) applyNews(n messenger.News) {
+func (l *links) applyNews(n messenger.Update) {
 	a := l.agent
 	if n.Record != nil {
 		if _, err := a.State.Offer(n.Record); err != nil {
@@ -158,7 +158,7 @@
 // applyAssignment applies the model and the permit that an entry gave. Only one entry
 // counts for each: if every entry handed out its own permits, a quarter of the
 // replicas for each of nine entries would switch at the same time.
-func (l *links) applyAssignment(n messenger.News, from netip.AddrPort) {
+func (l *links) applyAssignment(n messenger.Update, from netip.AddrPort) {
 	a := l.agent
 	if n.Assignment == "" {
 		return
@@ -167,7 +167,7 @@
 		a.switcher.assign(n.Assignment)
 	}
 	if l.homeEntry(modelKey(n.Assignment)) == from {
-		a.switcher.permit(n.Assignment, n.Word.Revision, n.Switch)
+		a.switcher.permit(n.Assignment, n.Freshness.Revision, n.Switch)
 	}
 }
 
--- a/internal/entry/agents.go
+++ b/internal/entry/agents.go
@@ -55,15 +55,15 @@
 		a.states[d.state.ID] = d
 		return d.state, true
 	}
-	if r.Beat == nil {
+	if r.Heartbeat == nil {
 		return messenger.AgentState{}, false
 	}
-	d, ok := a.states[r.Beat.ID]
-	if !ok || d.link != l || d.state.Incarnation != r.Beat.Incarnation {
+	d, ok := a.states[r.Heartbeat.ID]
+	if !ok || d.link != l || d.state.Incarnation != r.Heartbeat.Incarnation {
 		return messenger.AgentState{}, false
 	}
-	d.state.Sequence, d.state.Running, d.lastReport = r.Beat.Sequence, r.Beat.Running, now
-	a.states[r.Beat.ID] = d
+	d.state.Sequence, d.state.Running, d.lastReport = r.Heartbeat.Sequence, r.Heartbeat.Running, now
+	a.states[r.Heartbeat.ID] = d
 	return d.state, true
 }
 
@@ -111,9 +111,9 @@
 				continue
 			}
 			w.Agents++
-			w.Bytes += h.Held()
+			w.Bytes += h.HeldBytes()
 			w.AllBytes += h.Bytes
-			if h.Whole() {
+			if h.Complete() {
 				w.Whole++
 			}
 		}
@@ -125,11 +125,11 @@
 // the filter. The others get it from another entry, or from this one in the reply to
 // their next report; if every entry pushed, each agent would receive a long record
 // as many times as there are entries.
-func (a *agents) pushUpdate(n messenger.News, filter func(messenger.AgentState) bool) {
+func (a *agents) pushUpdate(n messenger.Update, filter func(messenger.AgentState) bool) {
 	a.mu.Lock()
 	defer a.mu.Unlock()
 	for _, d := range a.states {
-		if d.state.Revision < n.Word.Revision && filter(d.state) {
+		if d.state.Revision < n.Freshness.Revision && filter(d.state) {
 			d.link.Push(n)
 		}
 	}
--- a/internal/entry/entry.go
+++ b/internal/entry/entry.go
@@ -146,7 +146,7 @@
 		return
 	}
 	klog.InfoS("Bundle in force", "entry", e.ID, "revision", b.Revision, "change", b.ChangeID, "digest", r.Digest())
-	e.agents.pushUpdate(messenger.News{Word: e.State.StatusUpdate(), Record: r}, e.notifyFilter())
+	e.agents.pushUpdate(messenger.Update{Freshness: e.State.StatusUpdate(), Record: r}, e.notifyFilter())
 	e.members.wakeLinks()
 }
 
--- a/internal/entry/exchange.go
+++ b/internal/entry/exchange.go
@@ -8,7 +8,7 @@
 )
 
 // handleReport records an agent's report and returns the updates that it lacks.
-func (e *Entry) handleReport(r messenger.Report, l *messenger.Link) messenger.News {
+func (e *Entry) handleReport(r messenger.Report, l *messenger.Link) messenger.Update {
 	if r.Record != nil {
 		if _, err := e.State.Offer(r.Record); err != nil {
 			klog.ErrorS(err, "Bundle from agent refused", "entry", e.ID)
@@ -16,7 +16,7 @@
 	}
 	s, ok := e.agents.recordReport(r, l, e.Clock.Now())
 	if !ok {
-		return messenger.News{Word: e.State.StatusUpdate(), Resend: true}
+		return messenger.Update{Freshness: e.State.StatusUpdate(), Resend: true}
 	}
 	e.updateRouter(s)
 	e.Tracker.Report(s)
@@ -35,10 +35,10 @@
 }
 
 // updateFor returns the update for an agent.
-func (e *Entry) updateFor(s messenger.AgentState) messenger.News {
-	n := messenger.News{
-		Word:    e.State.StatusUpdate(),
-		Leaving: e.agents.isDraining(s.ID),
+func (e *Entry) updateFor(s messenger.AgentState) messenger.Update {
+	n := messenger.Update{
+		Freshness: e.State.StatusUpdate(),
+		Leaving:   e.agents.isDraining(s.ID),
 	}
 	b, r := e.State.Current()
 	if b == nil {
@@ -64,7 +64,7 @@
 func holdsWhole(s messenger.AgentState, m bundler.Model) bool {
 	whole := map[string]bool{}
 	for _, h := range s.Holdings {
-		whole[h.Manifest] = h.Whole()
+		whole[h.Manifest] = h.Complete()
 	}
 	for _, a := range m.Adapters {
 		if !whole[a.Manifest] {
@@ -78,7 +78,7 @@
 func incompleteManifests(s messenger.AgentState) []string {
 	var ms []string
 	for _, h := range s.Holdings {
-		if h.Chunks == 0 || !h.Whole() {
+		if h.Chunks == 0 || !h.Complete() {
 			ms = append(ms, h.Manifest)
 		}
 	}
@@ -93,7 +93,7 @@
 	}
 	e.applyExchange(x)
 	e.State.ReceiveUnsolicited(x.State)
-	return e.members.exchangeFor(max(1, x.State.Word.Revision))
+	return e.members.exchangeFor(max(1, x.State.Freshness.Revision))
 }
 
 // applyExchange merges what another entry sent, except for its confirmation of freshness.
@@ -104,7 +104,7 @@
 			klog.ErrorS(err, "Bundle from peer refused", "entry", e.ID, "peer", x.State.ID)
 		}
 	}
-	e.Limiter.SetPeerDemand(x.State.ID, x.Asked)
+	e.Limiter.SetPeerDemand(x.State.ID, x.RequestRates)
 	e.Router.ReceiveDemand(x.State.ID, x.Demand)
 	e.Tracker.Introduce(x.OriginFetchers)
 }
--- a/internal/entry/members.go
+++ b/internal/entry/members.go
@@ -156,7 +156,7 @@
 func (m *members) exchangeFor(theirRevision uint64) messenger.Exchange {
 	x := messenger.Exchange{
 		State:          m.selfState(),
-		Asked:          m.entry.Limiter.Demand(),
+		RequestRates:   m.entry.Limiter.Demand(),
 		Demand:         m.entry.Router.Demand(),
 		OriginFetchers: m.entry.Tracker.OriginFetchers(),
 	}
@@ -181,7 +181,7 @@
 		Leaving:        m.draining || m.listedDraining[e.ID],
 		Refusing:       e.State.MayServe() != nil,
 		StoreReachable: e.State.StoreReachable(),
-		Word:           e.State.StatusUpdate(),
+		Freshness:      e.State.StatusUpdate(),
 	}
 }
 
--- a/internal/gossiper/exchanger.go
+++ b/internal/gossiper/exchanger.go
@@ -185,7 +185,7 @@
 	if err != nil {
 		return err
 	}
-	r := e.State.RecordFor(answer.State.Word)
+	r := e.State.RecordFor(answer.State.Freshness)
 	if r == nil {
 		return nil
 	}
@@ -212,7 +212,7 @@
 func (e *Exchanger) Answer(x messenger.Exchange) messenger.Exchange {
 	e.offerRecord(x)
 	e.State.ReceiveUnsolicited(x.State)
-	return messenger.Exchange{State: e.ownState(), Record: e.State.RecordFor(x.State.Word)}
+	return messenger.Exchange{State: e.ownState(), Record: e.State.RecordFor(x.State.Freshness)}
 }
 
 func (e *Exchanger) offerRecord(x messenger.Exchange) {
@@ -227,7 +227,7 @@
 func (e *Exchanger) ownState() messenger.EntryState {
 	self := e.Self()
 	self.StoreReachable = e.State.StoreReachable()
-	self.Word = e.State.StatusUpdate()
+	self.Freshness = e.State.StatusUpdate()
 	return self
 }
 
--- a/internal/gossiper/failure_test.go
+++ b/internal/gossiper/failure_test.go
@@ -57,18 +57,18 @@
 	update := s.StatusUpdate()
 	c.SetTime(start.Add(s.ReachableFor()))
 	update.AgeMS = s.ReachableFor().Milliseconds()
-	s.ReceiveAnswer(messenger.EntryState{ID: "b", StoreReachable: true, Word: update}, c.Now())
+	s.ReceiveAnswer(messenger.EntryState{ID: "b", StoreReachable: true, Freshness: update}, c.Now())
 	c.SetTime(start.Add(gossiper.DefaultFreshFor - 100*time.Millisecond))
 	s.MarkStoreFailed()
 	s.StatusUpdate() // counts the reports and deletes the expired ones
 	update.AgeMS = c.Now().Sub(start).Milliseconds()
-	var v messenger.Silence
+	var v messenger.DisconnectedEntries
 	for _, name := range failed {
 		v.IDs = append(v.IDs, uint32(xxhash.Sum64String(name)))
 		v.AgesMS = append(v.AgesMS, 1500)
 	}
-	update.Silent = []messenger.Silence{v}
-	s.ReceiveAnswer(messenger.EntryState{ID: "c", Word: update}, c.Now())
+	update.Disconnected = []messenger.DisconnectedEntries{v}
+	s.ReceiveAnswer(messenger.EntryState{ID: "c", Freshness: update}, c.Now())
 	c.SetTime(start.Add(gossiper.DefaultFreshFor + 20*time.Millisecond))
 	return s.MayServe()
 }
@@ -265,10 +265,10 @@
 	must.NoError(t, s.MayServe())
 	asked := c.Now()
 	c.SetTime(start.Add(20 * time.Second))
-	update := messenger.Word{Revision: 1, Digest: signed(1, "c1").Digest(), AgeMS: 5}
-	update.Silent = failureReports("e1", "e2")
-	s.ReceiveUnsolicited(messenger.EntryState{ID: "e1", Word: update})
-	s.ReceiveAnswer(messenger.EntryState{ID: "e1", Word: update}, asked)
+	update := messenger.Freshness{Revision: 1, Digest: signed(1, "c1").Digest(), AgeMS: 5}
+	update.Disconnected = failureReports("e1", "e2")
+	s.ReceiveUnsolicited(messenger.EntryState{ID: "e1", Freshness: update})
+	s.ReceiveAnswer(messenger.EntryState{ID: "e1", Freshness: update}, asked)
 	var stale *gossiper.StaleError
 	must.True(t, errors.As(s.MayServe(), &stale))
 	must.Eq(t, 20*time.Second, stale.Age)
@@ -278,25 +278,25 @@
 }
 
 // failureReports returns store failures of the given entries with age zero.
-func failureReports(ids ...string) []messenger.Silence {
-	var v messenger.Silence
+func failureReports(ids ...string) []messenger.DisconnectedEntries {
+	var v messenger.DisconnectedEntries
 	for _, id := range ids {
 		v.IDs = append(v.IDs, uint32(xxhash.Sum64String(id)))
 		v.AgesMS = append(v.AgesMS, 0)
 	}
-	return []messenger.Silence{v}
+	return []messenger.DisconnectedEntries{v}
 }
 
 // entryDuringOutage is one of three, holds revision 2 and detects an outage.
-func entryDuringOutage(t *testing.T) (*gossiper.State, *testclock.FakePassiveClock, messenger.Word) {
+func entryDuringOutage(t *testing.T) (*gossiper.State, *testclock.FakePassiveClock, messenger.Freshness) {
 	c := testclock.NewFakePassiveClock(start)
 	s := &gossiper.State{Keyring: keyring(), Clock: c, Entries: 3, ID: "e0"}
 	_, err := s.Observe(signed(2, "c2"), c.Now())
 	must.NoError(t, err)
 	c.SetTime(start.Add(20 * time.Second))
 	s.MarkStoreFailed()
-	update := messenger.Word{Revision: 2, Digest: signed(2, "c2").Digest(), AgeMS: 20000, Silent: failureReports("e1")}
-	s.ReceiveAnswer(messenger.EntryState{ID: "e1", Word: update}, c.Now())
+	update := messenger.Freshness{Revision: 2, Digest: signed(2, "c2").Digest(), AgeMS: 20000, Disconnected: failureReports("e1")}
+	s.ReceiveAnswer(messenger.EntryState{ID: "e1", Freshness: update}, c.Now())
 	must.NoError(t, s.MayServe())
 	return s, c, update
 }
@@ -311,7 +311,7 @@
 	must.NoError(t, err)
 	exchange := func() {
 		c.SetTime(c.Now().Add(time.Millisecond))
-		s.ReceiveAnswer(messenger.EntryState{ID: "e2", StoreReachable: replaced.StoreReachable(), Word: replaced.StatusUpdate()}, c.Now())
+		s.ReceiveAnswer(messenger.EntryState{ID: "e2", StoreReachable: replaced.StoreReachable(), Freshness: replaced.StatusUpdate()}, c.Now())
 	}
 	exchange()
 	must.NoError(t, s.MayServe())
@@ -326,9 +326,9 @@
 // newest, and serving by it could send work into a drained failure domain.
 func TestKnownHigherRevisionStopsService(t *testing.T) {
 	s, c, update := entryDuringOutage(t)
-	s.ReceiveUnsolicited(messenger.EntryState{ID: "e2", Word: messenger.Word{Revision: 3, AgeMS: -1}})
+	s.ReceiveUnsolicited(messenger.EntryState{ID: "e2", Freshness: messenger.Freshness{Revision: 3, AgeMS: -1}})
 	must.Error(t, s.MayServe())
-	must.SliceEmpty(t, s.StatusUpdate().Silent)
+	must.SliceEmpty(t, s.StatusUpdate().Disconnected)
 	c.SetTime(c.Now().Add(time.Millisecond))
 	s.Confirm(2, update.Digest, c.Now())
 	must.Error(t, s.MayServe())
@@ -347,7 +347,7 @@
 	_, err = s.Offer(signed(1, "theirs"))
 	var fork *gossiper.ForkError
 	must.True(t, errors.As(err, &fork))
-	s.ReceiveUpdate(messenger.Word{Revision: 1, Digest: fork.Found}, start)
+	s.ReceiveUpdate(messenger.Freshness{Revision: 1, Digest: fork.Found}, start)
 	s.Confirm(0, "", start)
 	must.Eq(t, 2, alarms(s, gossiper.AlarmFork))
 	must.Eq(t, 1, alarms(s, gossiper.AlarmEmptyStore))
--- a/internal/gossiper/outage.go
+++ b/internal/gossiper/outage.go
@@ -52,7 +52,7 @@
 }
 
 // addFailures adds the store failures that another entry forwards.
-func (s *State) addFailures(v messenger.Silence, askedAt time.Time) {
+func (s *State) addFailures(v messenger.DisconnectedEntries, askedAt time.Time) {
 	for i, id := range v.IDs[:min(len(v.IDs), len(v.AgesMS))] {
 		failedAt := askedAt.Add(-time.Duration(v.AgesMS[i]) * time.Millisecond)
 		s.addReport(id, storeReport{asOf: failedAt, region: v.Region, result: storeFailed})
@@ -134,15 +134,15 @@
 // included, for other entries to count. It is empty if a higher revision than
 // the held one is known: entries that don't know it would count the reports for
 // a lower one.
-func (s *State) failedEntries(now time.Time) []messenger.Silence {
+func (s *State) failedEntries(now time.Time) []messenger.DisconnectedEntries {
 	if s.Entries == 0 || !s.unreachable(now) || s.knownRevision > s.revision() {
 		return nil
 	}
-	byRegion := map[string]*messenger.Silence{}
+	byRegion := map[string]*messenger.DisconnectedEntries{}
 	add := func(id uint32, p storeReport) {
 		v := byRegion[p.region]
 		if v == nil {
-			v = &messenger.Silence{Region: p.region}
+			v = &messenger.DisconnectedEntries{Region: p.region}
 			byRegion[p.region] = v
 		}
 		v.IDs = append(v.IDs, id)
@@ -154,7 +154,7 @@
 			add(id, p)
 		}
 	}
-	var list []messenger.Silence
+	var list []messenger.DisconnectedEntries
 	for _, region := range slices.Sorted(maps.Keys(byRegion)) {
 		list = append(list, *byRegion[region])
 	}
--- a/internal/gossiper/state.go
+++ b/internal/gossiper/state.go
@@ -221,7 +221,7 @@
 func (s *State) ReceiveUnsolicited(e messenger.EntryState) {
 	s.mu.Lock()
 	defer s.mu.Unlock()
-	s.learnRevision(e.Word.Revision)
+	s.learnRevision(e.Freshness.Revision)
 }
 
 // ReceiveAnswer processes another entry's answer to a call sent at askedAt. All
@@ -229,21 +229,21 @@
 func (s *State) ReceiveAnswer(e messenger.EntryState, askedAt time.Time) {
 	s.mu.Lock()
 	defer s.mu.Unlock()
-	s.applyUpdate(e.Word, askedAt)
+	s.applyUpdate(e.Freshness, askedAt)
 	if e.StoreReachable {
-		s.addReport(entryHash(e.ID), storeReport{asOf: askedAt, result: storeReached, revision: e.Word.Revision, region: e.Region})
+		s.addReport(entryHash(e.ID), storeReport{asOf: askedAt, result: storeReached, revision: e.Freshness.Revision, region: e.Region})
 	}
 }
 
 // ReceiveUpdate is like ReceiveAnswer for a message that carries only a bundle
 // update, such as an entry's message to an agent.
-func (s *State) ReceiveUpdate(w messenger.Word, askedAt time.Time) {
+func (s *State) ReceiveUpdate(w messenger.Freshness, askedAt time.Time) {
 	s.mu.Lock()
 	defer s.mu.Unlock()
 	s.applyUpdate(w, askedAt)
 }
 
-func (s *State) applyUpdate(w messenger.Word, askedAt time.Time) {
+func (s *State) applyUpdate(w messenger.Freshness, askedAt time.Time) {
 	s.learnRevision(w.Revision)
 	if w.Revision > 0 && w.Revision == s.revision() && w.Digest != s.digest {
 		_ = s.raiseAlarm(&ForkError{Revision: w.Revision, Held: s.digest, Found: w.Digest})
@@ -254,7 +254,7 @@
 	if w.Outage && w.Revision == s.revision() && w.Digest == s.digest {
 		s.outageConfirmed = later(s.outageConfirmed, askedAt.Add(-w.OutageAge()))
 	}
-	for _, v := range w.Silent {
+	for _, v := range w.Disconnected {
 		s.addFailures(v, askedAt)
 	}
 }
@@ -293,25 +293,25 @@
 }
 
 // StatusUpdate returns the bundle state that is sent to other processes.
-func (s *State) StatusUpdate() messenger.Word {
+func (s *State) StatusUpdate() messenger.Freshness {
 	s.mu.Lock()
 	defer s.mu.Unlock()
 	now := s.Clock.Now()
 	w := s.update(now)
-	w.Silent = s.failedEntries(now)
+	w.Disconnected = s.failedEntries(now)
 	return w
 }
 
 // AgentUpdate returns StatusUpdate without the store reports, which agents do
 // not count.
-func (s *State) AgentUpdate() messenger.Word {
+func (s *State) AgentUpdate() messenger.Freshness {
 	s.mu.Lock()
 	defer s.mu.Unlock()
 	return s.update(s.Clock.Now())
 }
 
-func (s *State) update(now time.Time) messenger.Word {
-	w := messenger.Word{Revision: s.revision(), Digest: s.digest, AgeMS: -1}
+func (s *State) update(now time.Time) messenger.Freshness {
+	w := messenger.Freshness{Revision: s.revision(), Digest: s.digest, AgeMS: -1}
 	if s.bundle == nil {
 		return w
 	}
@@ -334,7 +334,7 @@
 
 // RecordFor returns the record that a process with the given update lacks; nil
 // if it is up to date.
-func (s *State) RecordFor(w messenger.Word) *bundler.Record {
+func (s *State) RecordFor(w messenger.Freshness) *bundler.Record {
 	s.mu.Lock()
 	defer s.mu.Unlock()
 	if w.Revision >= s.revision() {
--- a/internal/granter/granter.go
+++ b/internal/granter/granter.go
@@ -49,7 +49,7 @@
 }
 
 // Reserve answers a reservation.
-func (g *Granter) Reserve(q messenger.Reservation, from *messenger.Link) messenger.Verdict {
+func (g *Granter) Reserve(q messenger.Reservation, from *messenger.Link) messenger.Decision {
 	if v, ok := g.refuseOtherStart(q); ok {
 		return v
 	}
@@ -57,7 +57,7 @@
 		g.Ledger.SetStatedLimit(observer.Limit{Rate: q.Limit.PerSecond, Age: q.Limit.Age()})
 	}
 	v := g.Ledger.Reserve(scheduler.Job{
-		ID: q.Request, Prompt: q.Prompt, Answer: q.Answer, Expected: q.Expected, MaxAnswer: q.MaxAnswer, Spare: q.Spare, Patience: q.Patience(), Left: q.Left(), Pause: q.Pause(),
+		ID: q.Request, Prompt: q.Prompt, Answer: q.Answer, Expected: q.Expected, MaxAnswer: q.MaxAnswer, Spare: q.Spare, Patience: q.WaitLimit(), Left: q.TimeLeft(), Pause: q.Pause(),
 		Priority: q.Priority, Workspace: q.Workspace, Budget: q.Budget(), Asked: q.Asked, Refusals: q.Refusals,
 		Beyond: scheduler.RampBypass(q.BeyondRamp),
 	}, from)
@@ -65,15 +65,15 @@
 	g.tableVersions.record(q)
 	if v.Granted || g.allowLogLine() {
 		fields := []any{"request", q.RequestID(), "granted", v.Granted, "closed", v.Closed, "wait", v.Wait, "takes", v.Takes,
-			"patience", q.Patience(), "active", v.Active, "slots", v.Slots, "prompt", q.Prompt, "spare", q.Spare,
+			"patience", q.WaitLimit(), "active", v.Active, "slots", v.Slots, "prompt", q.Prompt, "spare", q.Spare,
 			"unreserved", v.Unreserved, "observed", v.Observed, "held", v.Ramp != nil && v.Ramp.Held, "unlogged", g.unlogged.Swap(0),
-			"endsLate", v.EndsLate, "left", q.Left(), "pace", v.Pace, "momentaryPace", v.Momentary.Factor}
+			"endsLate", v.EndsLate, "left", q.TimeLeft(), "pace", v.Pace, "momentaryPace", v.Momentary.Factor}
 		klog.InfoS("Place asked", append(fields, priorityFields(q, v)...)...)
 	}
-	return messenger.Verdict{
-		Granted: v.Granted, Closed: v.Closed, Version: g.Holds(q.Model), WaitMS: v.Wait.Milliseconds(),
-		TakesMS: v.Takes.Milliseconds(), FreeMS: v.Free.Milliseconds(), Active: v.Active, Slots: v.Slots, Kept: v.Kept,
-		BeginWithinMS: v.BeginWithin.Milliseconds(), EndsLate: v.EndsLate, Pace: wirePace(v.Pace), Momentary: g.wireMomentary(v.Momentary), Ramp: wireRamp(v.Ramp),
+	return messenger.Decision{
+		Granted: v.Granted, ClosedReason: v.Closed, Version: g.Holds(q.Model), WaitMS: v.Wait.Milliseconds(),
+		DurationMS: v.Takes.Milliseconds(), FreeInMS: v.Free.Milliseconds(), Active: v.Active, Slots: v.Slots, KeptFor: v.Kept,
+		StartWithinMS: v.BeginWithin.Milliseconds(), EndsLate: v.EndsLate, Pace: wirePace(v.Pace), Momentary: g.wireMomentary(v.Momentary), Ramp: wireRamp(v.Ramp),
 	}
 }
 
@@ -102,7 +102,7 @@
 	if r == nil {
 		return nil
 	}
-	return &messenger.Ramp{Limit: r.Limit, Held: r.Held, Well: r.Well}
+	return &messenger.Ramp{Limit: r.Limit, Limited: r.Held, Healthy: r.Well}
 }
 
 // AnotherEngine is why nothing is granted for an engine other than the one beside the agent.
@@ -111,13 +111,13 @@
 // refuseOtherStart refuses a reservation for a start of the engine other than the known one. The engine would
 // reject the request, and free the slot for the next one to be rejected. A later start than the known one is
 // mostly the engine's own, which this agent hasn't observed yet.
-func (g *Granter) refuseOtherStart(q messenger.Reservation) (messenger.Verdict, bool) {
+func (g *Granter) refuseOtherStart(q messenger.Reservation) (messenger.Decision, bool) {
 	if g.EngineStart == nil || q.StartedAt.IsZero() {
-		return messenger.Verdict{}, false
+		return messenger.Decision{}, false
 	}
 	startedAt, age := g.EngineStart()
 	if startedAt.IsZero() || startedAt.Equal(q.StartedAt) {
-		return messenger.Verdict{}, false
+		return messenger.Decision{}, false
 	}
 	if startedAt.Before(q.StartedAt) && g.Poll != nil {
 		g.Poll()
@@ -126,7 +126,7 @@
 		klog.InfoS("Slot refused: meant for another start of the engine", "request", q.RequestID(), "meant", q.StartedAt,
 			"startedAt", startedAt, "observed", age)
 	}
-	return messenger.Verdict{Closed: AnotherEngine, StartedAt: startedAt, ObservedMS: age.Milliseconds()}, true
+	return messenger.Decision{ClosedReason: AnotherEngine, StartedAt: startedAt, ObservedMS: age.Milliseconds()}, true
 }
 
 // allowLogLine reports whether one more refusal may be logged.
--- a/internal/propagator/propagator.go
+++ b/internal/propagator/propagator.go
@@ -208,7 +208,7 @@
 			p.acked = 0
 		}
 	}
-	p.clients.Keep(used)
+	p.clients.CloseUnused(used)
 	p.updatePullPeers()
 }
 
@@ -300,7 +300,7 @@
 
 // call sends the request of a result and completes the result with the reply.
 func (p *Propagator) call(ctx context.Context, r result) {
-	client := p.clients.To(r.address)
+	client := p.clients.Get(r.address)
 	go func() {
 		r.reply, r.err = client.Evidence(ctx, r.request)
 		select {
--- a/internal/relayer/ask.go
+++ b/internal/relayer/ask.go
@@ -27,7 +27,7 @@
 
 // reserve asks the agent beside an engine for a slot, for a request that is already counted there.
 // The verdict is nil if the agent didn't respond; the request then may get a slot without a grant.
-func (p *Placer) reserve(ctx context.Context, view *registrar.View, u *registrar.UpstreamView, j *Job, budget time.Duration) (*Placement, *messenger.Verdict) {
+func (p *Placer) reserve(ctx context.Context, view *registrar.View, u *registrar.UpstreamView, j *Job, budget time.Duration) (*Placement, *messenger.Decision) {
 	if !p.Chooser.MayAsk(u.ID, j.agentUnresponsive) {
 		return p.placeUngranted(view, u, j), nil
 	}
@@ -38,7 +38,7 @@
 	q := messenger.Reservation{
 		Request: j.ID, Model: j.Model, StartedAt: u.StartedAt, Prompt: prompt, Answer: p.tokensToReserve(j, answer), Expected: expected,
 		MaxAnswer: j.MaxAnswer, Spare: p.missesObjective(j) || j.mover.placing,
-		PatienceMS: budget.Milliseconds(), LeftMS: j.Deadline.Sub(p.Clock.Now()).Milliseconds(), Limit: p.statedLimit(u),
+		WaitLimitMS: budget.Milliseconds(), TimeLeftMS: j.Deadline.Sub(p.Clock.Now()).Milliseconds(), Limit: p.statedLimit(u),
 	}
 	if j.predicted {
 		q.PauseMS = j.Route.PauseObjective.Milliseconds()
@@ -69,14 +69,14 @@
 	}
 	p.Chooser.RecordLoad(u.ID, v.Wait(), engineLoad(v))
 	p.recordAgentPace(u, &v)
-	p.Chooser.RecordRamp(u.ID, v.Ramp != nil, v.Closed == "")
+	p.Chooser.RecordRamp(u.ID, v.Ramp != nil, v.ClosedReason == "")
 	if !v.Granted {
 		return nil, &v
 	}
 	if p.isStaleGrant(j, &v) {
 		klog.InfoS("Ignored grant on expired weights", "upstream", u.ID, "request", j.ID, "version", v.Version, "revision", view.Revision)
 		agent.SendProgress(messenger.Progress{Ended: []string{j.ID}})
-		v.Granted, v.Closed = false, scheduler.OldWeights
+		v.Granted, v.ClosedReason = false, scheduler.OldWeights
 		return nil, &v
 	}
 	if j.Version != 0 && v.Version != j.Version {
@@ -86,7 +86,7 @@
 	place := &Placement{
 		Upstream: u, Wait: v.Wait(), First: v.Wait() + p.Chooser.Slowed(u.ID, p.workFor(e, j).First), Ends: p.predictedEnd(&v), BeginBy: startDeadline(askedAt, &v), Active: v.Active, Version: j.Version, Held: v.Version,
 	}
-	place.eventInterval = (v.Takes() - place.First) / time.Duration(max(1, answer/max(1, e.Stride)))
+	place.eventInterval = (v.Duration() - place.First) / time.Duration(max(1, answer/max(1, e.Stride)))
 	place.onStarted = func() {
 		agent.SendProgress(messenger.Progress{Started: []string{j.ID}, Pace: place.paceMessage(p.Chooser.Clock.Now())})
 	}
@@ -100,7 +100,7 @@
 // handleReplacedEngine marks an upstream as replaced if its agent reports another start of the
 // engine. An agent that last checked its engine before the record arrived may not have seen the
 // start in the record yet.
-func (p *Placer) handleReplacedEngine(u *registrar.UpstreamView, askedAt time.Time, v *messenger.Verdict) {
+func (p *Placer) handleReplacedEngine(u *registrar.UpstreamView, askedAt time.Time, v *messenger.Decision) {
 	if v.StartedAt.After(u.StartedAt) || askedAt.Add(-v.Observed()).After(u.Learned) {
 		p.Registrar.MarkReplaced(u.Upstream)
 	}
@@ -110,9 +110,9 @@
 // partitioned grants by its last update, so the entry checks its own state, or callers would get
 // replies from stale weights. An entry that started after the announcement may not have its time
 // and relies on an agent that states a time limit.
-func (p *Placer) isStaleGrant(j *Job, v *messenger.Verdict) bool {
+func (p *Placer) isStaleGrant(j *Job, v *messenger.Decision) bool {
 	bound := p.WeightsBound - scheduler.OldWeightsMargin
-	if v.BeginWithinMS > 0 {
+	if v.StartWithinMS > 0 {
 		return p.Registrar.KnownOutdated(j.Model, v.Version, bound)
 	}
 	return p.Registrar.Outdated(j.Model, v.Version, bound)
@@ -120,24 +120,24 @@
 
 // startDeadline is the latest start of a granted request as stated by its agent; zero for any time.
 // It counts from before the reservation was sent, as the reply may have been delayed.
-func startDeadline(askedAt time.Time, v *messenger.Verdict) time.Time {
-	if v.BeginWithinMS <= 0 {
+func startDeadline(askedAt time.Time, v *messenger.Decision) time.Time {
+	if v.StartWithinMS <= 0 {
 		return time.Time{}
 	}
-	return askedAt.Add(time.Duration(v.BeginWithinMS) * time.Millisecond)
+	return askedAt.Add(time.Duration(v.StartWithinMS) * time.Millisecond)
 }
 
 // predictedEnd is when the reply to a granted request should end; zero if its agent doesn't state
 // it.
-func (p *Placer) predictedEnd(v *messenger.Verdict) time.Time {
-	if v.TakesMS <= 0 {
+func (p *Placer) predictedEnd(v *messenger.Decision) time.Time {
+	if v.DurationMS <= 0 {
 		return time.Time{}
 	}
-	return p.Clock.Now().Add(v.Takes())
+	return p.Clock.Now().Add(v.Duration())
 }
 
 // engineLoad is the share of an engine's slots in use; a closed engine has none.
-func engineLoad(v messenger.Verdict) float64 {
+func engineLoad(v messenger.Decision) float64 {
 	if v.Slots == 0 {
 		return closedLoad
 	}
@@ -174,7 +174,7 @@
 
 // Agent is a connection to the agent beside an engine, for one reservation.
 type Agent interface {
-	Reserve(ctx context.Context, r messenger.Reservation) (messenger.Verdict, error)
+	Reserve(ctx context.Context, r messenger.Reservation) (messenger.Decision, error)
 	// SendProgress sends progress without delaying the caller's reply. If it is lost, the engine's
 	// own count corrects the agent's.
 	SendProgress(p messenger.Progress)
@@ -184,7 +184,7 @@
 	if p.Reach != nil {
 		return p.Reach(a)
 	}
-	return networkAgent{p.Agents.To(a), rand.Uint32()}
+	return networkAgent{p.Agents.Get(a), rand.Uint32()}
 }
 
 // networkAgent is an agent on its own VM. The number distinguishes this reservation from others for
@@ -196,8 +196,8 @@
 }
 
 // Reserve implements Agent.
-func (a networkAgent) Reserve(ctx context.Context, r messenger.Reservation) (messenger.Verdict, error) {
-	r.Request = messenger.Numbered(r.Request, a.number)
+func (a networkAgent) Reserve(ctx context.Context, r messenger.Reservation) (messenger.Decision, error) {
+	r.Request = messenger.ReservationName(r.Request, a.number)
 	return a.Client.Reserve(ctx, r)
 }
 
@@ -215,7 +215,7 @@
 func (a networkAgent) numbered(requests []string) []string {
 	var names []string
 	for _, r := range requests {
-		names = append(names, messenger.Numbered(r, a.number))
+		names = append(names, messenger.ReservationName(r, a.number))
 	}
 	return names
 }
--- a/internal/relayer/engine.go
+++ b/internal/relayer/engine.go
@@ -112,18 +112,18 @@
 			}
 			continue
 		}
-		if v.Closed != "" {
-			p.Chooser.RecordClosed(u.ID, v.Closed, closedSkip(v.Free()), v.Free())
-			opensIn = minNonZero(opensIn, v.Free())
+		if v.ClosedReason != "" {
+			p.Chooser.RecordClosed(u.ID, v.ClosedReason, closedSkip(v.FreeIn()), v.FreeIn())
+			opensIn = minNonZero(opensIn, v.FreeIn())
 			continue
 		}
-		freeIn = minNonZero(freeIn, v.Free())
+		freeIn = minNonZero(freeIn, v.FreeIn())
 		if isHeldByRamp(v) {
 			refusals.Ramping++
 			ramping = p.addHeldByRamp(u, j, v, ramping)
 			continue
 		}
-		hasSlot := v.Wait() <= budget && v.Active < v.Slots && v.Kept == ""
+		hasSlot := v.Wait() <= budget && v.Active < v.Slots && v.KeptFor == ""
 		if !hasSlot {
 			j.countRefusal(v)
 		}
@@ -147,7 +147,7 @@
 			return nil, p.shutdownRefusal(j, late)
 		}
 		p.Chooser.End(w.upstream.ID)
-		if v != nil && v.Closed == "" && !v.EndsLate {
+		if v != nil && v.ClosedReason == "" && !v.EndsLate {
 			p.markNoSlot(w.upstream.ID, j, v)
 		}
 	}
@@ -183,13 +183,13 @@
 }
 
 // countAnswer counts an agent's answer that is no grant; nil if there was none.
-func (m *RefusalSummary) countAnswer(v *messenger.Verdict) {
+func (m *RefusalSummary) countAnswer(v *messenger.Decision) {
 	switch {
 	case v == nil:
 		m.Silent++
-	case v.Closed != "":
+	case v.ClosedReason != "":
 		m.Closed++
-		m.WhyClosed = v.Closed
+		m.WhyClosed = v.ClosedReason
 	case v.EndsLate:
 		m.CallerLeaves++
 	default:
--- a/internal/relayer/left_test.go
+++ b/internal/relayer/left_test.go
@@ -20,9 +20,9 @@
 	ended []string
 }
 
-func (a *leavingAgent) Reserve(ctx context.Context, _ messenger.Reservation) (messenger.Verdict, error) {
+func (a *leavingAgent) Reserve(ctx context.Context, _ messenger.Reservation) (messenger.Decision, error) {
 	a.leave()
-	return messenger.Verdict{}, ctx.Err()
+	return messenger.Decision{}, ctx.Err()
 }
 
 func (a *leavingAgent) SendProgress(p messenger.Progress) { a.ended = append(a.ended, p.Ended...) }
--- a/internal/relayer/pace.go
+++ b/internal/relayer/pace.go
@@ -111,7 +111,7 @@
 }
 
 // recordAgentPace records the pace of an engine as stated by its agent.
-func (p *Placer) recordAgentPace(u *registrar.UpstreamView, v *messenger.Verdict) {
+func (p *Placer) recordAgentPace(u *registrar.UpstreamView, v *messenger.Decision) {
 	var m scheduler.MomentaryPace
 	if v.Momentary != nil {
 		m = scheduler.MomentaryPace{Factor: v.Momentary.Pace.Factor(), At: p.Chooser.Clock.Now().Add(-v.Momentary.Age())}
--- a/internal/relayer/place_test.go
+++ b/internal/relayer/place_test.go
@@ -182,7 +182,7 @@
 func TestGrantOnOldWeightsIsNotUsed(t *testing.T) {
 	c := clocktest.NewFakeClock(time.Unix(1000, 0))
 	p, table := newPlacer(c, 0, 1)
-	a := serveVerdict(t, p, messenger.Verdict{Granted: true, Version: 1, Slots: 12})
+	a := serveVerdict(t, p, messenger.Decision{Granted: true, Version: 1, Slots: 12})
 	must.True(t, placed(p, c, table))
 	announce(p.Registrar, 2)
 	c.Step(7200 * time.Millisecond)
@@ -205,7 +205,7 @@
 	announce(seen.Registrar, 2)
 	p, _ := newPlacer(c, 0, 1)
 	p.Registrar = restartedRegistrar(seen.Registrar)
-	serveVerdict(t, p, messenger.Verdict{Granted: true, Version: 1, Slots: 12, BeginWithinMS: 7000})
+	serveVerdict(t, p, messenger.Decision{Granted: true, Version: 1, Slots: 12, StartWithinMS: 7000})
 	must.True(t, placed(p, c, table))
 }
 
@@ -213,13 +213,13 @@
 type grantingAgent struct{ asked, ended atomic.Int32 }
 
 // serveVerdict gives the engine of a placer a grantingAgent.
-func serveVerdict(t *testing.T, p *relayer.Placer, v messenger.Verdict) *grantingAgent {
+func serveVerdict(t *testing.T, p *relayer.Placer, v messenger.Decision) *grantingAgent {
 	l, err := net.Listen("tcp", "127.0.0.1:0")
 	must.NoError(t, err)
 	a := &grantingAgent{}
 	s := &messenger.Server{Listener: l, OnLost: func(*messenger.Link) {},
 		OnProgress: func(p messenger.Progress, _ *messenger.Link) { a.ended.Add(int32(len(p.Ended))) },
-		OnReserve: func(messenger.Reservation, *messenger.Link) messenger.Verdict {
+		OnReserve: func(messenger.Reservation, *messenger.Link) messenger.Decision {
 			a.asked.Add(1)
 			return v
 		}}
@@ -255,11 +255,11 @@
 				ledger.Ended(id)
 			}
 		},
-		OnReserve: func(r messenger.Reservation, link *messenger.Link) messenger.Verdict {
+		OnReserve: func(r messenger.Reservation, link *messenger.Link) messenger.Decision {
 			v := ledger.Reserve(scheduler.Job{ID: r.Request, Prompt: r.Prompt, Patience: time.Second, Left: 6 * time.Second}, link)
 			asked <- v.Granted
 			<-late
-			return messenger.Verdict{Granted: true, Version: 1, Slots: 12, Active: v.Active}
+			return messenger.Decision{Granted: true, Version: 1, Slots: 12, Active: v.Active}
 		}}
 	ctx, stop := context.WithCancel(context.Background())
 	defer stop()
--- a/internal/relayer/priority.go
+++ b/internal/relayer/priority.go
@@ -114,22 +114,22 @@
 
 // markNoSlot marks an engine as full for a request: it had no slot at all, none to spare, or only
 // slots kept for others.
-func (p *Placer) markNoSlot(id string, j *Job, v *messenger.Verdict) {
-	if j.priority == nil || p.Without.Has(ablator.FullBackoff) || p.missesObjective(j) && v.Kept == "" {
-		p.markFull(id, j, v.Free())
+func (p *Placer) markNoSlot(id string, j *Job, v *messenger.Decision) {
+	if j.priority == nil || p.Without.Has(ablator.FullBackoff) || p.missesObjective(j) && v.KeptFor == "" {
+		p.markFull(id, j, v.FreeIn())
 		return
 	}
-	p.fullMarks.MarkFull(id, j.priority.level, min(v.Free(), fullSkipTime), p.Clock.Now())
+	p.fullMarks.MarkFull(id, j.priority.level, min(v.FreeIn(), fullSkipTime), p.Clock.Now())
 }
 
 // countRefusal counts an engine that had no slot for a request within its whole budget.
-func (j *Job) countRefusal(v *messenger.Verdict) {
+func (j *Job) countRefusal(v *messenger.Decision) {
 	if j.priority != nil {
 		j.priority.refusals++
 	}
-	if v.Kept != "" {
+	if v.KeptFor != "" {
 		j.refusals.Kept++
-		j.refusals.WhyKept = v.Kept
+		j.refusals.WhyKept = v.KeptFor
 	}
 }
 
--- a/internal/relayer/priority_test.go
+++ b/internal/relayer/priority_test.go
@@ -21,11 +21,11 @@
 
 // scriptedAgent answers all reservations with a function and records them.
 type scriptedAgent struct {
-	verdict func(messenger.Reservation) messenger.Verdict
+	verdict func(messenger.Reservation) messenger.Decision
 	asked   *[]messenger.Reservation
 }
 
-func (a scriptedAgent) Reserve(_ context.Context, r messenger.Reservation) (messenger.Verdict, error) {
+func (a scriptedAgent) Reserve(_ context.Context, r messenger.Reservation) (messenger.Decision, error) {
 	*a.asked = append(*a.asked, r)
 	return a.verdict(r), nil
 }
@@ -34,7 +34,7 @@
 
 // newPrioritized makes an entry with a live and a batch route, and engines whose agents answer as
 // scripted.
-func newPrioritized(engines int, verdict func(messenger.Reservation) messenger.Verdict) (d *decider, live, batch relayer.Job, asked *[]messenger.Reservation) {
+func newPrioritized(engines int, verdict func(messenger.Reservation) messenger.Decision) (d *decider, live, batch relayer.Job, asked *[]messenger.Reservation) {
 	d = newDecider(1, engines, 0)
 	asked = &[]messenger.Reservation{}
 	d.Placer.Reach = func(netip.AddrPort) relayer.Agent { return scriptedAgent{verdict, asked} }
@@ -69,8 +69,8 @@
 	}
 }
 
-func keepsForUrgent(r messenger.Reservation) messenger.Verdict {
-	return messenger.Verdict{Granted: *r.Priority == 0, Kept: scheduler.KeptForUrgent, Version: 1, FreeMS: 100, Active: 11, Slots: 12}
+func keepsForUrgent(r messenger.Reservation) messenger.Decision {
+	return messenger.Decision{Granted: *r.Priority == 0, KeptFor: scheduler.KeptForUrgent, Version: 1, FreeInMS: 100, Active: 11, Slots: 12}
 }
 
 // Guards against refusals that state that all engines are full while slots are kept for others, and
@@ -86,7 +86,7 @@
 	for i, r := range *asked {
 		must.Eq(t, i, r.Asked)
 		must.GreaterEq(t, refusals, r.Refusals)
-		must.GreaterEq(t, r.PatienceMS, r.BudgetMS)
+		must.GreaterEq(t, r.WaitLimitMS, r.BudgetMS)
 		refusals = r.Refusals
 	}
 	must.Positive(t, refusals)
@@ -96,8 +96,8 @@
 // Guards against requests that state a priority where all have the same, so that agents decide by
 // priority.
 func TestPriorityIsStatedOnlyWhereThereIsMoreThanOne(t *testing.T) {
-	granted := func(messenger.Reservation) messenger.Verdict {
-		return messenger.Verdict{Granted: true, Version: 1, Slots: 12}
+	granted := func(messenger.Reservation) messenger.Decision {
+		return messenger.Decision{Granted: true, Version: 1, Slots: 12}
 	}
 	d, live, batch, asked := newPrioritized(1, granted)
 	batch.Workspace = &matcher.Workspace{Name: "w"}
--- a/internal/relayer/ramp.go
+++ b/internal/relayer/ramp.go
@@ -62,7 +62,7 @@
 }
 
 // isHeldByRamp reports whether only the slow start of an engine refused a request.
-func isHeldByRamp(v *messenger.Verdict) bool { return v.Ramp != nil && v.Ramp.Held }
+func isHeldByRamp(v *messenger.Decision) bool { return v.Ramp != nil && v.Ramp.Limited }
 
 // rampOverrideFor returns why a request may exceed the slow starts of engines: most of them have
 // just started.
@@ -76,9 +76,9 @@
 // addHeldByRamp adds an engine that refused a request only for its slow start to those asked again
 // if the others are full. One without good answers so far isn't added, and is marked as full for a
 // moment.
-func (p *Placer) addHeldByRamp(u *registrar.UpstreamView, j *Job, v *messenger.Verdict, held []*registrar.UpstreamView) []*registrar.UpstreamView {
-	if !v.Ramp.Well {
-		p.markFull(u.ID, j, v.Free())
+func (p *Placer) addHeldByRamp(u *registrar.UpstreamView, j *Job, v *messenger.Decision, held []*registrar.UpstreamView) []*registrar.UpstreamView {
+	if !v.Ramp.Healthy {
+		p.markFull(u.ID, j, v.FreeIn())
 		return held
 	}
 	return append(held, u)
--- a/internal/relayer/reason_test.go
+++ b/internal/relayer/reason_test.go
@@ -20,10 +20,10 @@
 	asked *int
 }
 
-func (a unresponsiveAgent) Reserve(context.Context, messenger.Reservation) (messenger.Verdict, error) {
+func (a unresponsiveAgent) Reserve(context.Context, messenger.Reservation) (messenger.Decision, error) {
 	*a.asked++
 	a.clock.Step(relayer.ReserveTimeout)
-	return messenger.Verdict{}, context.DeadlineExceeded
+	return messenger.Decision{}, context.DeadlineExceeded
 }
 
 func (unresponsiveAgent) SendProgress(messenger.Progress) {}
--- a/internal/relayer/replaced_test.go
+++ b/internal/relayer/replaced_test.go
@@ -88,7 +88,7 @@
 	reserveCalls *int
 }
 
-func (a countingAgent) Reserve(ctx context.Context, r messenger.Reservation) (messenger.Verdict, error) {
+func (a countingAgent) Reserve(ctx context.Context, r messenger.Reservation) (messenger.Decision, error) {
 	*a.reserveCalls++
 	return a.granterAgent.Reserve(ctx, r)
 }
--- a/internal/relayer/shutdown.go
+++ b/internal/relayer/shutdown.go
@@ -79,7 +79,7 @@
 
 // askInTime asks for a place at which the reply can end before this entry does; late reports that it can't at the
 // granted one.
-func (p *Placer) askInTime(ctx context.Context, view *registrar.View, u *registrar.UpstreamView, j *Job, budget time.Duration) (place *Placement, v *messenger.Verdict, late *ShutdownError) {
+func (p *Placer) askInTime(ctx context.Context, view *registrar.View, u *registrar.UpstreamView, j *Job, budget time.Duration) (place *Placement, v *messenger.Decision, late *ShutdownError) {
 	place, v = p.reserve(ctx, view, u, j, budget)
 	if place == nil {
 		return nil, v, nil
