--- a/cmd/oriolecroft/daemon.go
+++ b/cmd/oriolecroft/daemon.go
@@ -14,9 +14,9 @@
 	"github.com/oriolecroft/oriolecroft/internal/configurer"
 )
 
-// gcPercent is the growth of a daemon's heap between two collections. With Go's
-// default of 100, a heap of a few megabytes, which is all that control needs,
-// would be collected several times a second to little effect.
+// gcPercent is the growth of a daemon's heap between two collections, in percent.
+// With Go's default of 100, a heap of a few megabytes, which is all that control
+// needs, would be collected several times a second to little effect.
 const gcPercent = 400
 
 // daemonCommand makes the subcommand of a daemon; envErr reports faults in its
--- a/cmd/oriolecroft/platform.go
+++ b/cmd/oriolecroft/platform.go
@@ -96,7 +96,7 @@
 	metrics    metrics.Registry
 	supervisor *suture.Supervisor
 	log        *logger.Writer
-	// clock is the standard library's, for deadlines and all else that it times. It does
+	// clock is for times that the standard library uses too, such as deadlines. It does
 	// not advance while the VM is suspended.
 	clock clock.WithTicker
 	// ageClock measures the age of information and counts the time for which the VM is
