--- a/internal/agent/relay.go
+++ b/internal/agent/relay.go
@@ -59,7 +59,7 @@
 			return admitter.Cut, err
 		}
 		if s.order.Version != "" && e.Version != s.order.Version {
-			return admitter.Cut, &driver.MixedError{Want: s.order.Version, Got: e.Version}
+			return admitter.Cut, &driver.InconsistentError{Want: s.order.Version, Got: e.Version}
 		}
 		if err := s.runner.agent.digests.check(h, s.order.Adapter, e); err != nil {
 			s.runner.agent.switcher.distrust(err)
--- a/internal/driver/driver.go
+++ b/internal/driver/driver.go
@@ -1,7 +1,7 @@
-// Package driver speaks to the upstream on the agent's own VM: a model engine or
-// a plain service. It is the only package that knows their wires, which
-// docs/PEERS.md lists. Its errors keep apart what certainly never reached the
-// upstream from what may have run there.
+// Package driver is the client of the upstream on the agent's own VM: a model
+// engine or a plain service. Only this package implements their protocols, which
+// docs/PEERS.md lists. Its errors distinguish requests that certainly never
+// reached the upstream from requests that may have run there.
 package driver
 
 import (
@@ -18,14 +18,14 @@
 	"github.com/oriolecroft/oriolecroft/internal/connector"
 )
 
-// Upstream is what an agent stands before: *Engine or *Service.
+// Upstream is the back end of an agent: *Engine or *Service.
 type Upstream interface{ upstream() }
 
 func (*Engine) upstream()  {}
 func (*Service) upstream() {}
 
-// Health is what both kinds of upstream say of themselves. The weights are empty
-// for a plain service.
+// Health is the state that both kinds of upstream report. Model, Version, Manifest
+// and Adapters are empty for a plain service.
 type Health struct {
 	StartID                  string
 	Uptime                   time.Duration
@@ -35,7 +35,7 @@
 	Adapters                 []AdapterState
 }
 
-// Check asks either kind of upstream for its health.
+// Check requests the health of either kind of upstream.
 func Check(ctx context.Context, u Upstream) (Health, error) {
 	switch u := u.(type) {
 	case *Engine:
@@ -48,19 +48,18 @@
 	return Health{}, fmt.Errorf("driver: no upstream of type %T", u)
 }
 
-// Bounds of the wires.
+// Limits on calls and replies.
 const (
 	defaultTimeout = 2 * time.Second
 	maxStateBytes  = 1 << 20
 	maxErrorBytes  = 4 << 10
 )
 
-// newClient makes a client that sends each request once, on a connection of its
-// own. With kept connections net/http sends a request again by itself when a
-// reused one breaks and the request looks repeatable; with redirects it sends
-// the body again to wherever the upstream points. Either would run a booking
-// twice with nothing in our logs; the customer would find it. A dial over the
-// loopback costs some tens of microseconds.
+// newClient returns a client that sends each request once, on a connection of its
+// own. With keep-alives, net/http resends a request that looks repeatable when a
+// reused connection breaks; with redirects, it sends the body again to the address
+// that the upstream names. Either would run a booking twice, with nothing in the
+// logs. A dial over the loopback costs some tens of microseconds.
 func newClient() *http.Client {
 	t := connector.NewTransport(connector.DialContext)
 	t.DisableKeepAlives = true
@@ -74,8 +73,8 @@
 
 var sharedClient = newClient()
 
-// send performs one request. The error is *NotSentError when no connection was
-// ever had for it and *UnknownError otherwise.
+// send performs one request. The error is *NotSentError if no connection was
+// established for it and *UnknownError otherwise.
 func send(c *http.Client, r *http.Request) (*http.Response, error) {
 	var connected atomic.Bool
 	trace := &httptrace.ClientTrace{
@@ -91,15 +90,15 @@
 	return nil, &UnknownError{Err: err}
 }
 
-// OnConnect makes f be called once a request made with the context has its
-// connection. A restart of the upstream from then on breaks that connection.
+// OnConnect returns a context that calls f once a request made with it has its
+// connection. A restart of the upstream after that breaks the connection.
 func OnConnect(ctx context.Context, f func()) context.Context {
 	return httptrace.WithClientTrace(ctx, &httptrace.ClientTrace{
 		GotConn: func(httptrace.GotConnInfo) { f() },
 	})
 }
 
-// url is the address of a path on the upstream.
+// url returns the URL of a path on the upstream.
 func url(a netip.AddrPort, path string) string { return "http://" + a.String() + path }
 
 // decode reads a JSON reply of bounded size.
@@ -114,15 +113,15 @@
 	return nil
 }
 
-// refused makes the error of a reply that is not 2xx.
-func refused(resp *http.Response) error {
+// refusalError returns the error for a reply that is not 2xx.
+func refusalError(resp *http.Response) error {
 	var body struct {
 		Error string `json:"error"`
 		Fence uint64 `json:"fence"`
 	}
 	data, err := ReadReply(resp, maxErrorBytes)
 	if err != nil {
-		// The status alone says that the request is refused.
+		// The status alone shows that the request was refused.
 		return &RefusedError{Status: resp.StatusCode, Text: err.Error()}
 	}
 	if err := json.Unmarshal(data, &body); err != nil {
@@ -131,8 +130,8 @@
 	return &RefusedError{Status: resp.StatusCode, Text: body.Error, Fence: body.Fence}
 }
 
-// NotSent tells whether err proves that the upstream never had the request: no
-// connection was made, or the upstream itself said it would not run it.
+// NotSent reports whether err proves that the upstream does not run the request: no
+// connection was made, or the upstream refused it.
 func NotSent(err error) bool {
 	var n *NotSentError
 	var r *RefusedError
--- a/internal/driver/driver_test.go
+++ b/internal/driver/driver_test.go
@@ -42,8 +42,8 @@
 	c.Close()
 }
 
-// vacant is an address at which nothing listens.
-func vacant(t *testing.T) netip.AddrPort {
+// unusedAddress returns an address without a listener.
+func unusedAddress(t *testing.T) netip.AddrPort {
 	t.Helper()
 	l, err := net.Listen("tcp", "127.0.0.1:0")
 	must.NoError(t, err)
@@ -51,24 +51,24 @@
 	return netip.MustParseAddrPort(l.Addr().String())
 }
 
-// as gives the error of type E in err's chain.
-func as[E error](t *testing.T, err error) E {
+// requireErrorAs returns the error of type E in err's chain.
+func requireErrorAs[E error](t *testing.T, err error) E {
 	t.Helper()
 	var e E
 	must.True(t, errors.As(err, &e), must.Sprintf("%T: %v", err, err))
 	return e
 }
 
-// is checks that an error of type E is in err's chain.
-func is[E error](t *testing.T, err error) {
+// checkErrorAs checks that an error of type E is in err's chain.
+func checkErrorAs[E error](t *testing.T, err error) {
 	t.Helper()
-	_ = as[E](t, err)
+	_ = requireErrorAs[E](t, err)
 }
 
-// A booking service dies after it has booked and before it answers. net/http
-// takes a request with an idempotency key and without a body for repeatable and
-// sends it again by itself when a kept connection breaks; two casuals then turn
-// up for one slot, and our logs show one call.
+// Guards against calls that net/http resends: a service crashes between booking and
+// answering, which breaks a reused connection, and net/http considers a request with
+// an idempotency key and no body repeatable. The slot is booked twice while the logs
+// show one call.
 func TestCallIsSentOnce(t *testing.T) {
 	address, count := serve(t, func(w http.ResponseWriter, r *http.Request) {
 		if r.URL.Path == "/book" {
@@ -85,7 +85,7 @@
 		count.Store(0)
 		resp, err := s.Call(t.Context(), http.MethodPost, "/book", http.Header{name: {"7"}}, nil)
 		closeReply(resp)
-		is[*driver.UnknownError](t, err)
+		checkErrorAs[*driver.UnknownError](t, err)
 		test.Eq(t, 1, count.Load())
 	}
 }
@@ -96,9 +96,8 @@
 	}
 }
 
-// A service moves a path and answers with a redirect that asks for the same
-// request again. Followed blindly, the booking would be sent to an address that
-// no gate counts and no operator has named.
+// Guards against following a service's redirect (307), which would send the booking
+// to an address that no gate counts and no operator has configured.
 func TestCallFollowsNoRedirect(t *testing.T) {
 	address, count := serve(t, func(w http.ResponseWriter, r *http.Request) {
 		http.Redirect(w, r, "/elsewhere", http.StatusTemporaryRedirect)
@@ -111,7 +110,7 @@
 	test.Eq(t, 1, count.Load())
 }
 
-func TestCallPassesTheRequestOn(t *testing.T) {
+func TestCallForwardsTheRequest(t *testing.T) {
 	address, _ := serve(t, func(w http.ResponseWriter, r *http.Request) {
 		body, _ := io.ReadAll(r.Body)
 		fmt.Fprint(w, r.Header.Get("Booking"), r.Header.Get("Idempotency-Key"), r.Close, r.ContentLength, string(body))
@@ -129,13 +128,13 @@
 	test.True(t, connected)
 }
 
-// A dial that fails is the only failure after which the caller may be told "not
-// run". Said of anything else, a lead would book the slot a second time.
-func TestErrorsTellWhatMayHaveRun(t *testing.T) {
-	s := driver.Service{Address: vacant(t)}
+// Guards against reporting "not run" for a call that may have run: the caller would
+// book the slot a second time. Only a failed dial proves that nothing ran.
+func TestErrorsDistinguishNotSentFromUnknown(t *testing.T) {
+	s := driver.Service{Address: unusedAddress(t)}
 	resp, err := s.Call(t.Context(), http.MethodPost, "/book", nil, strings.NewReader("x"))
 	closeReply(resp)
-	is[*driver.NotSentError](t, err)
+	checkErrorAs[*driver.NotSentError](t, err)
 	test.True(t, driver.NotSent(err))
 
 	ctx, cancel := context.WithCancel(t.Context())
@@ -146,13 +145,13 @@
 	s = driver.Service{Address: address}
 	resp, err = s.Call(ctx, http.MethodPost, "/book", nil, nil)
 	closeReply(resp)
-	is[*driver.UnknownError](t, err)
+	checkErrorAs[*driver.UnknownError](t, err)
 	test.False(t, driver.NotSent(err))
 }
 
-// A service's process dies while it writes its reply. The part that came must
-// not pass for the whole: a resident would read half of the permit's conditions.
-func TestReadReplyKnowsTheEnd(t *testing.T) {
+// Guards against a truncated reply that counts as whole because the service crashed
+// while it wrote the reply.
+func TestReadReplyDetectsTruncation(t *testing.T) {
 	replies := map[string]bool{
 		"HTTP/1.1 200 OK\r\nContent-Length: 4\r\n\r\nslot":                            true,
 		"HTTP/1.1 200 OK\r\nContent-Length: 9\r\n\r\nslot":                            false,
@@ -171,12 +170,12 @@
 			test.Eq(t, "slot", string(data))
 			continue
 		}
-		is[*driver.CutError](t, err)
+		checkErrorAs[*driver.CutError](t, err)
 	}
 }
 
-// Guards against an upstream whose replies have heads without end.
-func TestEndlessHeadIsNoReply(t *testing.T) {
+// Guards against an upstream that sends endless reply headers.
+func TestEndlessHeadIsAnError(t *testing.T) {
 	bodyreadertest.EndlessHeads(t, func(a netip.AddrPort) error {
 		_, err := (&driver.Engine{Address: a}).State(t.Context())
 		return err
--- a/internal/driver/engine.go
+++ b/internal/driver/engine.go
@@ -15,14 +15,14 @@
 // Engine is a model engine. Set the fields before the first call.
 type Engine struct {
 	Address netip.AddrPort
-	// Client sends the requests; nil means one that uses each connection once.
+	// Client sends the requests; nil means a client that uses each connection once.
 	Client *http.Client
-	// Timeout bounds the short orders: state, role and cancel. 0 means 2 s. Loads
-	// and streams are bounded by their context alone.
+	// Timeout limits the short requests: state, role and cancel. 0 means 2 s. Loads
+	// and streams are limited by their context alone.
 	Timeout time.Duration
 }
 
-// EngineState is what an engine says of itself.
+// EngineState is the state that an engine reports.
 type EngineState struct {
 	StartID  string         `json:"startId"`
 	UptimeMS int64          `json:"uptimeMs"`
@@ -33,7 +33,7 @@
 	Adapters []AdapterState `json:"adapters"`
 	Role     Role           `json:"role"`
 	Fence    uint64         `json:"fence"`
-	// Running and Queued lag behind.
+	// Running and Queued may be out of date.
 	Running         int     `json:"running"`
 	Queued          int     `json:"queued"`
 	TokensPerSecond float64 `json:"tokensPerSecond"`
@@ -49,14 +49,14 @@
 	}
 }
 
-// AdapterState is an adapter that an engine holds.
+// AdapterState is an adapter that an engine has loaded.
 type AdapterState struct {
 	Name     string `json:"name"`
 	Version  string `json:"version"`
 	Manifest string `json:"manifest"`
 }
 
-// Role is which part of the work an engine takes.
+// Role is the part of the work that an engine does.
 type Role string
 
 // The roles of an engine.
@@ -66,16 +66,16 @@
 	RoleBoth    Role = "both"
 )
 
-// LoadOrder tells an engine which weights to hold.
+// LoadOrder states which weights an engine has to load.
 type LoadOrder struct {
-	// Fence rises with each order. Not all engines heed it: ask for the state
-	// after a load, whatever the answer to the order was.
+	// Fence rises with each order. Not all engines check it, so read the state
+	// after a load, whatever the reply to the order was.
 	Fence    uint64 `json:"fence"`
 	Model    string `json:"model"`
 	Version  string `json:"version"`
 	Manifest string `json:"manifest"`
 	Size     int64  `json:"size"`
-	// WeightsURL gives all bytes in order.
+	// WeightsURL serves all bytes in order.
 	WeightsURL string         `json:"weightsUrl"`
 	Adapters   []AdapterOrder `json:"adapters,omitempty"`
 }
@@ -88,40 +88,40 @@
 	WeightsURL string `json:"weightsUrl"`
 }
 
-// State asks for the engine's state.
+// State requests the engine's state.
 func (e *Engine) State(ctx context.Context) (EngineState, error) {
-	ctx, cancel := e.short(ctx)
+	ctx, cancel := e.withTimeout(ctx)
 	defer cancel()
 	var s EngineState
-	err := e.order(ctx, http.MethodGet, "/state", nil, &s)
+	err := e.requestJSON(ctx, http.MethodGet, "/state", nil, &s)
 	return s, err
 }
 
-// Load orders weights and returns once the engine says that it holds them. An
-// order behind the engine's fence gives *FencedError. After any other error the
-// order may still take effect later.
+// Load orders weights and returns once the engine reports them as loaded. An order
+// whose fence is older than the engine's returns *FencedError. After any other error
+// the order may still take effect later.
 func (e *Engine) Load(ctx context.Context, o LoadOrder) (EngineState, error) {
 	var s EngineState
-	err := e.order(ctx, http.MethodPost, "/load", o, &s)
-	return s, fenced(err, o.Fence)
+	err := e.requestJSON(ctx, http.MethodPost, "/load", o, &s)
+	return s, asFencedError(err, o.Fence)
 }
 
-// SetRole orders the part of the work that the engine takes.
+// SetRole sets the part of the work that the engine does.
 func (e *Engine) SetRole(ctx context.Context, fence uint64, r Role) error {
-	ctx, cancel := e.short(ctx)
+	ctx, cancel := e.withTimeout(ctx)
 	defer cancel()
-	order := struct {
+	body := struct {
 		Fence uint64 `json:"fence"`
 		Role  Role   `json:"role"`
 	}{fence, r}
-	return fenced(e.order(ctx, http.MethodPost, "/role", order, nil), fence)
+	return asFencedError(e.requestJSON(ctx, http.MethodPost, "/role", body, nil), fence)
 }
 
-// Cancel ends a stream in the engine.
+// Cancel ends a stream on the engine.
 func (e *Engine) Cancel(ctx context.Context, id string) error {
-	ctx, cancel := e.short(ctx)
+	ctx, cancel := e.withTimeout(ctx)
 	defer cancel()
-	return e.order(ctx, http.MethodDelete, "/generate/"+neturl.PathEscape(id), nil, nil)
+	return e.requestJSON(ctx, http.MethodDelete, "/generate/"+neturl.PathEscape(id), nil, nil)
 }
 
 // GenerateRequest asks for a stream of tokens.
@@ -133,8 +133,8 @@
 	Adapter   string `json:"adapter,omitempty"`
 }
 
-// Generate starts a stream. The caller closes it. Errors are *NotSentError and
-// *RefusedError when the request certainly has not run, else *UnknownError.
+// Generate starts a stream. The caller has to close it. Errors are *NotSentError and
+// *RefusedError if the request certainly has not run, else *UnknownError.
 func (e *Engine) Generate(ctx context.Context, g GenerateRequest) (*Stream, error) {
 	resp, err := e.do(ctx, http.MethodPost, "/generate", g) //nolint:bodyclose // Stream.Close does
 	if err != nil {
@@ -143,7 +143,7 @@
 	return newStream(resp, 0), nil
 }
 
-// Resume opens a stream that the engine still has, again from event number from.
+// Resume reopens a stream that the engine still has, beginning with event number from.
 func (e *Engine) Resume(ctx context.Context, id string, from int) (*Stream, error) {
 	path := fmt.Sprintf("/generate/%s?from=%d", neturl.PathEscape(id), from)
 	resp, err := e.do(ctx, http.MethodGet, path, nil) //nolint:bodyclose // Stream.Close does
@@ -153,8 +153,8 @@
 	return newStream(resp, from), nil
 }
 
-// order performs a request whose reply is one JSON value.
-func (e *Engine) order(ctx context.Context, method, path string, body, reply any) error {
+// requestJSON performs a request whose reply is one JSON value.
+func (e *Engine) requestJSON(ctx context.Context, method, path string, body, reply any) error {
 	resp, err := e.do(ctx, method, path, body)
 	if err != nil {
 		return err
@@ -186,7 +186,7 @@
 	}
 	if resp.StatusCode/100 != 2 {
 		defer resp.Body.Close()
-		return nil, refused(resp)
+		return nil, refusalError(resp)
 	}
 	return resp, nil
 }
@@ -198,15 +198,15 @@
 	return sharedClient
 }
 
-func (e *Engine) short(ctx context.Context) (context.Context, context.CancelFunc) {
+func (e *Engine) withTimeout(ctx context.Context) (context.Context, context.CancelFunc) {
 	if e.Timeout <= 0 {
 		return context.WithTimeout(ctx, defaultTimeout)
 	}
 	return context.WithTimeout(ctx, e.Timeout)
 }
 
-// fenced makes a *FencedError of a refusal for the fence's sake.
-func fenced(err error, sent uint64) error {
+// asFencedError turns a refusal caused by an old fence into a *FencedError.
+func asFencedError(err error, sent uint64) error {
 	var r *RefusedError
 	if errors.As(err, &r) && r.Status == http.StatusConflict {
 		return &FencedError{Sent: sent, Fence: r.Fence}
--- a/internal/driver/engine_test.go
+++ b/internal/driver/engine_test.go
@@ -27,8 +27,8 @@
 	return b.String()
 }
 
-// read takes a stream to its end and gives the tokens.
-func read(t *testing.T, text string) ([]string, error) {
+// readTokens reads a stream to its end and returns the tokens.
+func readTokens(t *testing.T, text string) ([]string, error) {
 	t.Helper()
 	address, _ := serve(t, func(w http.ResponseWriter, _ *http.Request) { _, _ = io.WriteString(w, text) })
 	e := driver.Engine{Address: address}
@@ -50,21 +50,21 @@
 	}
 }
 
-func TestStreamGivesAllTokens(t *testing.T) {
+func TestStreamReturnsAllTokens(t *testing.T) {
 	digest := bundler.Digest([]byte("two pickers"))
-	tokens, err := read(t, ": comment\r\n"+events([]string{"two", "pickers"}, "sha256:a", digest))
+	tokens, err := readTokens(t, ": comment\r\n"+events([]string{"two", "pickers"}, "sha256:a", digest))
 	must.NoError(t, err)
 	test.Eq(t, []string{"two", "pickers"}, tokens)
 }
 
-// An engine is killed in the middle of a reply, or goes on after a restart with
-// other weights. The caller must hear that the roster draft is not whole: one
-// that ends early or is made of two models looks just like a good one.
-func TestStreamIsWholeOrAnError(t *testing.T) {
+// Guards against a stream that counts as whole though the engine was killed during the
+// reply or continued it with other weights after a restart: a text that ends early or
+// comes from two models looks like a complete one.
+func TestIncompleteStreamIsAnError(t *testing.T) {
 	good := events([]string{"two", "pickers"}, "sha256:a", bundler.Digest([]byte("two pickers")))
 	cut := good[:strings.Index(good, "data: {\"done\"")]
-	_, err := read(t, cut)
-	test.Eq(t, 2, as[*driver.CutError](t, err).Events)
+	_, err := readTokens(t, cut)
+	test.Eq(t, 2, requireErrorAs[*driver.CutError](t, err).Events)
 	mixed := map[string]string{
 		"other weights":   strings.Replace(good, "sha256:a", "sha256:b", 1),
 		"other version":   strings.Replace(good, "v1", "v2", 1),
@@ -74,43 +74,43 @@
 	}
 	for name, text := range mixed {
 		t.Run(name, func(t *testing.T) {
-			_, err := read(t, text)
-			is[*driver.MixedError](t, err)
+			_, err := readTokens(t, text)
+			checkErrorAs[*driver.InconsistentError](t, err)
 		})
 	}
 }
 
-// An upstream gone wrong sends one line without end. Read as it comes it would
-// fill the memory of the agent, and with it go the weights it serves to others.
-func TestStreamBoundsALine(t *testing.T) {
-	_, err := read(t, "data: "+strings.Repeat("x", driver.MaxEventBytes))
-	is[*driver.ProtocolError](t, err)
+// Guards against a faulty upstream that sends one endless line, which would fill the
+// memory of the agent and evict the weights that it serves to other agents.
+func TestStreamLimitsEventSize(t *testing.T) {
+	_, err := readTokens(t, "data: "+strings.Repeat("x", driver.MaxEventBytes))
+	checkErrorAs[*driver.ProtocolError](t, err)
 }
 
-func TestEngineRefuses(t *testing.T) {
+func TestRefusalIsReported(t *testing.T) {
 	address, _ := serve(t, func(w http.ResponseWriter, r *http.Request) {
 		w.WriteHeader(http.StatusServiceUnavailable)
 		fmt.Fprint(w, `{"error":"nothing loaded"}`)
 	})
 	e := driver.Engine{Address: address}
 	_, err := e.Generate(t.Context(), driver.GenerateRequest{})
-	test.Eq(t, "nothing loaded", as[*driver.RefusedError](t, err).Text)
+	test.Eq(t, "nothing loaded", requireErrorAs[*driver.RefusedError](t, err).Text)
 	test.True(t, driver.NotSent(err))
 }
 
-// Two agents' orders for one engine cross: the older arrives last. An engine
-// that heeds fences says so, and the agent must not take it for a fault.
-func TestLoadIsFenced(t *testing.T) {
+// Guards against treating a fence refusal as a fault: orders of two agents for one
+// engine overtake each other, and an engine that checks fences refuses the older one.
+func TestStaleLoadReturnsFencedError(t *testing.T) {
 	address, _ := serve(t, func(w http.ResponseWriter, _ *http.Request) {
 		w.WriteHeader(http.StatusConflict)
 		fmt.Fprint(w, `{"error":"old fence","fence":9}`)
 	})
 	e := driver.Engine{Address: address}
 	_, err := e.Load(t.Context(), driver.LoadOrder{Fence: 4})
-	test.Eq(t, driver.FencedError{Sent: 4, Fence: 9}, *as[*driver.FencedError](t, err))
+	test.Eq(t, driver.FencedError{Sent: 4, Fence: 9}, *requireErrorAs[*driver.FencedError](t, err))
 }
 
-func TestCheckBothKinds(t *testing.T) {
+func TestCheckEngineAndService(t *testing.T) {
 	address, _ := serve(t, func(w http.ResponseWriter, _ *http.Request) {
 		_ = json.NewEncoder(w).Encode(driver.EngineState{StartID: "s", UptimeMS: 1500, Cold: true, Version: "v1"})
 	})
--- a/internal/driver/errors.go
+++ b/internal/driver/errors.go
@@ -2,8 +2,8 @@
 
 import "fmt"
 
-// NotSentError reports a request for which no connection was had: it certainly
-// never reached the upstream.
+// NotSentError reports a request for which no connection was established: it
+// certainly never reached the upstream.
 type NotSentError struct{ Err error }
 
 func (e *NotSentError) Error() string { return fmt.Sprintf("not sent to the upstream: %v", e.Err) }
@@ -11,7 +11,7 @@
 // Unwrap gives the cause.
 func (e *NotSentError) Unwrap() error { return e.Err }
 
-// UnknownError reports a request that may have run, though no reply came.
+// UnknownError reports a request without a reply that may have run.
 type UnknownError struct{ Err error }
 
 func (e *UnknownError) Error() string { return fmt.Sprintf("upstream gave no reply: %v", e.Err) }
@@ -19,11 +19,11 @@
 // Unwrap gives the cause.
 func (e *UnknownError) Unwrap() error { return e.Err }
 
-// RefusedError reports an engine that answered that it does not run the request.
+// RefusedError reports an engine that refused to run the request.
 type RefusedError struct {
 	Status int
 	Text   string
-	// Fence is the engine's, when the refusal is about fencing.
+	// Fence is the engine's fence if the refusal is about fencing.
 	Fence uint64
 }
 
@@ -38,9 +38,9 @@
 	return fmt.Sprintf("order with fence %d is behind the engine's %d", e.Sent, e.Fence)
 }
 
-// CutError reports a reply that began and has no end.
+// CutError reports a reply that started but was not received to its end.
 type CutError struct {
-	// Events is how many events of a stream came before.
+	// Events is the number of events of a stream received before that.
 	Events int
 	Err    error
 }
@@ -52,22 +52,22 @@
 // Unwrap gives the cause.
 func (e *CutError) Unwrap() error { return e.Err }
 
-// RestartedError reports another start of an upstream than the one that was called.
+// RestartedError reports that an upstream has restarted since it was called.
 type RestartedError struct{ Was, Is string }
 
 func (e *RestartedError) Error() string {
 	return fmt.Sprintf("start %s in the place of %s", e.Is, e.Was)
 }
 
-// MixedError reports a stream whose tokens are not all from the same weights, or
-// whose end does not match its tokens.
-type MixedError struct{ Want, Got string }
+// InconsistentError reports a stream whose tokens do not all come from the same weights,
+// or whose last event does not match its tokens.
+type InconsistentError struct{ Want, Got string }
 
-func (e *MixedError) Error() string {
+func (e *InconsistentError) Error() string {
 	return fmt.Sprintf("stream is not of one piece: want %s, got %s", e.Want, e.Got)
 }
 
-// ProtocolError reports an upstream that does not speak its wire.
+// ProtocolError reports an upstream that violates its protocol.
 type ProtocolError struct {
 	Problem string
 	Err     error
--- a/internal/driver/framing_test.go
+++ b/internal/driver/framing_test.go
@@ -17,12 +17,12 @@
 	"github.com/oriolecroft/oriolecroft/pkg/bundler"
 )
 
-// replyLimit is above all replies of these tests, in bytes.
+// replyLimit exceeds all replies of these tests, in bytes.
 const replyLimit = 1 << 20
 
-func call(t *testing.T, at netip.AddrPort, body string) ([]byte, error) {
+func call(t *testing.T, address netip.AddrPort, body string) ([]byte, error) {
 	t.Helper()
-	s := driver.Service{Address: at}
+	s := driver.Service{Address: address}
 	resp, err := s.Call(t.Context(), http.MethodPost, "/book", nil, strings.NewReader(body))
 	if err != nil {
 		closeReply(resp)
@@ -32,8 +32,7 @@
 	return driver.ReadReply(resp, replyLimit)
 }
 
-// Guards against plain replies without a length that are refused though whole, or taken as whole though
-// reset.
+// Guards against whole replies without a length that are refused, and against reset ones that count as whole.
 func TestReplyWithoutLength(t *testing.T) {
 	for name, size := range map[string]int{"empty": 0, "short": 700, "long": 900 << 10} {
 		t.Run(name, func(t *testing.T) {
@@ -48,9 +47,8 @@
 	}
 }
 
-// Guards against a reset that only the sending of a long request notices, so that the reply's part passes
-// for the whole.
-func TestResetDuringALongCallIsNoEnd(t *testing.T) {
+// Guards against a partial reply that counts as whole because only the write of a long request reported the reset.
+func TestResetDuringLongCallIsAnError(t *testing.T) {
 	l := bodyreadertest.ResetEarly(t, func(string) string { return "HTTP/1.1 200 OK\r\n\r\na part" })
 	const tries = 200
 	whole := 0
@@ -62,8 +60,8 @@
 	must.Zero(t, whole, must.Sprintf("of %d cut replies", tries))
 }
 
-// Guards against streams that are refused for their framing, or taken as whole though they broke off.
-func TestStreamEndsInAnyFraming(t *testing.T) {
+// Guards against streams that are refused for their framing, or count as whole though they are truncated.
+func TestStreamEndInEachFraming(t *testing.T) {
 	good := events([]string{"two", "pickers"}, "sha256:a", bundler.Digest([]byte("two pickers")))
 	cuts := map[string]string{
 		"before any event":                "",
@@ -107,7 +105,7 @@
 	}
 }
 
-// streamError reads a stream and gives the error at which it ended.
+// streamError reads a stream and returns the error that ended it.
 func streamError(t *testing.T, text string, end bodyreadertest.End) error {
 	t.Helper()
 	e := driver.Engine{Address: bodyreadertest.Serve(t, text, end)}
@@ -120,8 +118,8 @@
 	return err
 }
 
-// Guards against an engine's state that is believed though its reply was cut.
-func TestCutStateIsNoState(t *testing.T) {
+// Guards against using an engine's state from a truncated reply.
+func TestTruncatedStateIsAnError(t *testing.T) {
 	text := "HTTP/1.1 200 OK\r\nContent-Length: 900\r\n\r\n{\"startId\":\"s\"}"
 	e := driver.Engine{Address: bodyreadertest.Serve(t, text, bodyreadertest.Close)}
 	_, err := e.State(t.Context())
--- a/internal/driver/service.go
+++ b/internal/driver/service.go
@@ -14,11 +14,11 @@
 // Service is a plain back end. Set the fields before the first call.
 type Service struct {
 	Address netip.AddrPort
-	// Timeout bounds State; 0 means 2 s. Calls are bounded by their context.
+	// Timeout limits State; 0 means 2 s. Calls are limited by their context.
 	Timeout time.Duration
 }
 
-// ServiceState is what a plain service says of itself.
+// ServiceState is the state that a plain service reports.
 type ServiceState struct {
 	StartID  string `json:"startId"`
 	UptimeMS int64  `json:"uptimeMs"`
@@ -33,56 +33,55 @@
 	return Health{StartID: s.StartID, Uptime: s.Uptime(), Cold: s.Cold, Running: s.Running}
 }
 
-// State asks for the service's state.
+// State requests the service's state.
 func (s *Service) State(ctx context.Context) (ServiceState, error) {
 	e := Engine{Address: s.Address, Timeout: s.Timeout}
-	ctx, cancel := e.short(ctx)
+	ctx, cancel := e.withTimeout(ctx)
 	defer cancel()
 	var state ServiceState
-	err := e.order(ctx, http.MethodGet, "/state", nil, &state)
+	err := e.requestJSON(ctx, http.MethodGet, "/state", nil, &state)
 	return state, err
 }
 
-// dropped are the headers of a call that do not pass. Those of the connection
-// belong to it alone. The last two mark a request as repeatable for net/http,
-// which would then send it again by itself.
-var dropped = []string{
+// droppedHeaders lists the headers of a call that are not forwarded: hop-by-hop
+// headers, and the last two because they mark a request as repeatable for net/http,
+// which would then resend it.
+var droppedHeaders = []string{
 	"Connection", "Keep-Alive", "Proxy-Authenticate", "Proxy-Authorization", "Proxy-Connection",
 	"Te", "Trailer", "Transfer-Encoding", "Upgrade", "Expect",
 	"Idempotency-Key", "X-Idempotency-Key",
 }
 
-// Call passes one call on, once. The reply may have any status; the caller
-// closes its body. Errors are *NotSentError when the service certainly never had
-// the call, and *UnknownError when it may have run.
+// Call forwards one call, once. The reply may have any status; the caller has to
+// close its body. Errors are *NotSentError if the call certainly never reached the
+// service, and *UnknownError if it may have run.
 func (s *Service) Call(ctx context.Context, method, path string, header http.Header, body io.Reader) (*http.Response, error) {
 	r, err := http.NewRequestWithContext(ctx, method, url(s.Address, path), nil)
 	if err != nil {
 		return nil, &NotSentError{Err: err}
 	}
-	r.Header = passed(header)
-	attach(r, body)
+	r.Header = forwardedHeader(header)
+	setBody(r, body)
 	return send(sharedClient, r)
 }
 
-// passed copies the headers that go on to the service.
-func passed(header http.Header) http.Header {
+// forwardedHeader copies the headers that are forwarded to the service.
+func forwardedHeader(header http.Header) http.Header {
 	out := http.Header{}
 	for name, values := range header {
 		for _, v := range values {
 			out.Add(name, v)
 		}
 	}
-	for _, name := range dropped {
+	for _, name := range droppedHeaders {
 		out.Del(name)
 	}
 	return out
 }
 
-// attach gives the request its body, with its length where that is known. It
-// hides the reader's type, so that net/http has no GetBody and thus no second
-// copy to send.
-func attach(r *http.Request, body io.Reader) {
+// setBody sets the request's body, and its length if that is known. It hides the
+// reader's type, so that net/http has no GetBody and cannot resend the body.
+func setBody(r *http.Request, body io.Reader) {
 	if body == nil {
 		return
 	}
@@ -98,8 +97,8 @@
 	}
 }
 
-// ReadReply reads the whole body of a reply of at most limit bytes and closes
-// it. A cut body gives *CutError: it must not pass for a whole answer.
+// ReadReply reads the whole body of a reply of at most limit bytes and closes it. A
+// truncated body returns *CutError, so that it does not count as a whole reply.
 func ReadReply(resp *http.Response, limit int64) ([]byte, error) {
 	defer resp.Body.Close()
 	body := bodyreader.Reader{Response: resp}
@@ -114,8 +113,8 @@
 	return data, nil
 }
 
-// CheckEnd checks that the start of the service which was called, as far as it is known, has outlived a reply that
-// only the end of its connection ended: a process that dies closes its connections as well. Errors are *CutError.
+// CheckEnd checks that the service has not restarted since startID, if that is known. Only replies that end with
+// their connection need it, as a process that crashes closes its connections as well. Errors are *CutError.
 func (s *Service) CheckEnd(ctx context.Context, resp *http.Response, startID string) error {
 	if bodyreader.FramingOf(resp) != bodyreader.ByConnection {
 		return nil
