--- a/internal/receiver/fuzz_test.go
+++ b/internal/receiver/fuzz_test.go
@@ -10,8 +10,8 @@
 	"github.com/oriolecroft/oriolecroft/internal/receiver"
 )
 
-// checkRefusal checks what holds of every answer when no replica is there: it is
-// a refusal in JSON with an outcome, and never a fault of the entry itself.
+// checkRefusal checks a response sent while there are no replicas: it is a refusal in
+// JSON with an outcome, and never an internal error of the entry.
 func checkRefusal(t *testing.T, rec *httptest.ResponseRecorder) {
 	var p problem
 	if err := json.Unmarshal(rec.Body.Bytes(), &p); err != nil || p.Error == "" {
@@ -25,12 +25,12 @@
 	}
 }
 
-// Callers send bodies of any shape. One that made the entry panic would cut the
-// replies of all others on the same connection.
+// Guards against a malformed body that makes the entry panic, which would cut all
+// other replies on the same connection.
 func FuzzGenerate(f *testing.F) {
-	w := newWorld(f)
+	w := newTestReceiver(f)
 	f.Fuzz(func(t *testing.T, body, resume, last string) {
-		r := httptest.NewRequest(http.MethodPost, models, strings.NewReader(body))
+		r := httptest.NewRequest(http.MethodPost, generatePath, strings.NewReader(body))
 		r.Header.Set(receiver.HeaderResume, resume)
 		r.Header.Set("Last-Event-ID", last)
 		rec := httptest.NewRecorder()
@@ -39,11 +39,11 @@
 	})
 }
 
-// The same for the headers of a booking.
+// Guards against malformed headers of a service call that make the entry panic.
 func FuzzCall(f *testing.F) {
-	w := newWorld(f)
+	w := newTestReceiver(f)
 	f.Fuzz(func(t *testing.T, workspace, key, attempt, deadline, priority, body string) {
-		r := httptest.NewRequest(http.MethodPost, book, strings.NewReader(body))
+		r := httptest.NewRequest(http.MethodPost, callPath, strings.NewReader(body))
 		r.Header.Set(receiver.HeaderWorkspace, workspace)
 		r.Header.Set(receiver.HeaderKey, key)
 		r.Header.Set(receiver.HeaderAttempt, attempt)
--- a/internal/receiver/receiver.go
+++ b/internal/receiver/receiver.go
@@ -1,6 +1,6 @@
-// Package receiver is the wire towards callers: HTTP with JSON bodies, and
-// server-sent events for a model's reply. It checks the shape of a request and
-// writes answers; what is done with a request is the dispatcher's.
+// Package receiver implements the API for callers: HTTP with JSON bodies, and
+// server-sent events for a model's reply. It checks the syntax of a request and
+// writes the response; the dispatcher processes the request.
 package receiver
 
 import (
@@ -19,57 +19,57 @@
 	"github.com/oriolecroft/oriolecroft/internal/retrier"
 )
 
-// Headers that callers send and get.
+// Headers that callers send and receive.
 const (
-	// HeaderOutcome says "ran", "notRun" or "unknown" on every answer that is
-	// not a whole reply.
+	// HeaderOutcome is "ran", "notRun" or "unknown" on every response that is not
+	// a whole reply.
 	HeaderOutcome = "Oriolecroft-Outcome"
 	// HeaderWorkspace names the workspace of a service call.
 	HeaderWorkspace = "Oriolecroft-Workspace"
 	// HeaderKey makes a service call idempotent.
 	HeaderKey = "Oriolecroft-Key"
-	// HeaderIdempotencyKey is the field's usual name for the same.
+	// HeaderIdempotencyKey is the usual name of HeaderKey.
 	HeaderIdempotencyKey = "Idempotency-Key"
-	// HeaderAttempt is the caller's count of its tries with one key, from 1.
+	// HeaderAttempt is the number of the caller's attempt with one key, from 1.
 	HeaderAttempt = "Oriolecroft-Attempt"
-	// HeaderRequest names the request in the logs.
+	// HeaderRequest identifies the request in the logs.
 	HeaderRequest = "Oriolecroft-Request"
 	// HeaderDeadline is how long the caller waits, in milliseconds.
 	HeaderDeadline = "Oriolecroft-Deadline-Ms"
-	// HeaderPriority orders requests within a workspace; higher goes first.
+	// HeaderPriority orders requests within a workspace; higher ones go first.
 	HeaderPriority = "Oriolecroft-Priority"
 	// HeaderKeyClosed is set when the key will never run.
 	HeaderKeyClosed = "Oriolecroft-Key-Closed"
-	// HeaderResume comes with each model reply. A caller that loses the connection
+	// HeaderResume is set on each model reply. A caller that loses the connection
 	// sends the same request to any entry with this header and Last-Event-ID, and
 	// gets the rest.
 	HeaderResume = "Oriolecroft-Resume"
-	// headerLastEvent is the id of the last event that a resuming caller has.
+	// headerLastEvent is the id of the last event that a resuming caller received.
 	headerLastEvent = "Last-Event-ID"
-	// HeaderReplayed is set when the answer is that of an earlier attempt.
+	// HeaderReplayed is set if the response is that of an earlier attempt.
 	HeaderReplayed = "Oriolecroft-Replayed"
 )
 
-// maxBody is the largest model request, in bytes: the longest prompt, escaped.
-const maxBody = 4 << 20
+// maxJSONBody limits a JSON request, in bytes: the longest prompt, escaped.
+const maxJSONBody = 4 << 20
 
-// Entry is one place where callers may connect.
+// Entry is an entry that callers may connect to.
 type Entry struct {
 	Address       netip.AddrPort `json:"address"`
 	FailureDomain string         `json:"failureDomain"`
 	Region        string         `json:"region"`
 }
 
-// Receiver answers callers.
+// Receiver serves callers.
 type Receiver struct {
 	Dispatcher *dispatcher.Dispatcher
-	// Entries lists where callers may connect, the best first.
+	// Entries lists the entries that callers may connect to, the best first.
 	Entries func() []Entry
 	// KeepFor is how long a caller may keep that list.
 	KeepFor time.Duration
 }
 
-// Handler is the receiver's HTTP interface.
+// Handler returns the receiver's HTTP handler.
 func (r *Receiver) Handler() http.Handler {
 	m := http.NewServeMux()
 	m.HandleFunc("GET /v1/entries", r.entries)
@@ -82,7 +82,7 @@
 }
 
 func (r *Receiver) entries(w http.ResponseWriter, _ *http.Request) {
-	answer(w, http.StatusOK, struct {
+	writeJSON(w, http.StatusOK, struct {
 		Entries   []Entry `json:"entries"`
 		KeepForMS int64   `json:"keepForMs"`
 	}{r.Entries(), r.KeepFor.Milliseconds()})
@@ -90,28 +90,29 @@
 
 func (r *Receiver) generate(w http.ResponseWriter, h *http.Request) {
 	var g dispatcher.GenerateRequest
-	if err := decode(w, h, &g); err != nil {
-		refuse(w, err)
+	if err := decodeJSON(w, h, &g); err != nil {
+		writeError(w, err)
 		return
 	}
 	if err := parseResume(h, &g); err != nil {
-		refuse(w, err)
+		writeError(w, err)
 		return
 	}
 	s := &eventStream{writer: w, control: http.NewResponseController(w), resume: g.Resume}
 	if err := r.Dispatcher.Generate(h.Context(), g, s); err != nil {
-		s.fail(err)
+		s.writeError(err)
 	}
 }
 
-// parseResume reads where a caller left off, in the way of server-sent events.
+// parseResume reads the position from which a caller resumes a reply of server-sent
+// events.
 func parseResume(h *http.Request, g *dispatcher.GenerateRequest) error {
 	g.Resume = h.Header.Get(HeaderResume)
 	last := h.Header.Get(headerLastEvent)
 	if g.Resume == "" || last == "" {
 		return nil
 	}
-	n, err := number(h, headerLastEvent)
+	n, err := parseNumber(h, headerLastEvent)
 	if err != nil {
 		return err
 	}
@@ -124,16 +125,16 @@
 		Workspace string `json:"workspace"`
 		Service   string `json:"service"`
 	}
-	if err := decode(w, h, &body); err != nil {
-		refuse(w, err)
+	if err := decodeJSON(w, h, &body); err != nil {
+		writeError(w, err)
 		return
 	}
 	k, err := r.Dispatcher.MintKey(body.Workspace, body.Service)
 	if err != nil {
-		refuse(w, err)
+		writeError(w, err)
 		return
 	}
-	answer(w, http.StatusOK, struct {
+	writeJSON(w, http.StatusOK, struct {
 		Key string `json:"key"`
 	}{k.String()})
 }
@@ -142,10 +143,10 @@
 	q := h.URL.Query()
 	fate, err := r.Dispatcher.Lookup(h.Context(), q.Get("workspace"), q.Get("service"), h.PathValue("key"))
 	if err != nil {
-		refuse(w, err)
+		writeError(w, err)
 		return
 	}
-	answer(w, http.StatusOK, struct {
+	writeJSON(w, http.StatusOK, struct {
 		Fate forwarder.Fate `json:"fate"`
 	}{fate})
 }
@@ -153,12 +154,12 @@
 func (r *Receiver) call(w http.ResponseWriter, h *http.Request) {
 	c, err := parseCall(w, h)
 	if err != nil {
-		refuse(w, err)
+		writeError(w, err)
 		return
 	}
 	reply, err := r.Dispatcher.Call(h.Context(), c)
 	if err != nil {
-		refuse(w, err)
+		writeError(w, err)
 		return
 	}
 	for name, values := range reply.Header {
@@ -172,8 +173,8 @@
 	_, _ = w.Write(reply.Body)
 }
 
-// malformed reports a body or header of the wrong shape.
-func malformed(message string) error {
+// badRequest returns the refusal of a malformed body or header.
+func badRequest(message string) error {
 	return &dispatcher.FailureError{
 		Outcome: retrier.NotRun,
 		Status:  http.StatusBadRequest,
@@ -181,14 +182,14 @@
 	}
 }
 
-func decode(w http.ResponseWriter, h *http.Request, v any) error {
-	d := json.NewDecoder(http.MaxBytesReader(w, h.Body, maxBody))
+func decodeJSON(w http.ResponseWriter, h *http.Request, v any) error {
+	d := json.NewDecoder(http.MaxBytesReader(w, h.Body, maxJSONBody))
 	d.DisallowUnknownFields()
 	if err := d.Decode(v); err != nil {
 		return bodyError(err)
 	}
 	if _, err := d.Token(); !errors.Is(err, io.EOF) {
-		return malformed("body: text after the request")
+		return badRequest("body: text after the request")
 	}
 	return nil
 }
@@ -202,13 +203,13 @@
 			Message: "body: over " + strconv.FormatInt(large.Limit, 10) + " bytes",
 		}
 	}
-	return malformed("body: " + err.Error())
+	return badRequest("body: " + err.Error())
 }
 
-// passedOn are the request headers that a plain service gets to see. The
-// idempotency key is not among them: with it in place the HTTP library would
-// repeat a call by itself when a connection breaks, and book twice.
-var passedOn = []string{"Accept", "Accept-Language", "Content-Type", "Booking", "Traceparent"}
+// forwardedHeaders lists the request headers that are forwarded to a plain service.
+// The idempotency key is not among them: with it, net/http would resend a call when a
+// connection breaks, and book twice.
+var forwardedHeaders = []string{"Accept", "Accept-Language", "Content-Type", "Booking", "Traceparent"}
 
 func parseCall(w http.ResponseWriter, h *http.Request) (dispatcher.CallRequest, error) {
 	body, err := io.ReadAll(http.MaxBytesReader(w, h.Body, forwarder.MaxBody))
@@ -233,16 +234,16 @@
 	if c.Key == "" {
 		c.Key = h.Header.Get(HeaderIdempotencyKey)
 	}
-	for _, name := range passedOn {
+	for _, name := range forwardedHeaders {
 		if v := h.Header.Get(name); v != "" {
 			c.Header[name] = v
 		}
 	}
-	priority, err := number(h, HeaderPriority)
+	priority, err := parseNumber(h, HeaderPriority)
 	if err != nil {
 		return c, err
 	}
-	deadline, err := number(h, HeaderDeadline)
+	deadline, err := parseNumber(h, HeaderDeadline)
 	if err != nil {
 		return c, err
 	}
@@ -251,34 +252,34 @@
 	return c, nil
 }
 
-// servicePath is what the plain service gets to see of the URL.
+// servicePath returns the part of the URL that is forwarded to the plain service.
 func servicePath(h *http.Request) string {
 	u := url.URL{Path: "/" + h.PathValue("path"), RawQuery: h.URL.RawQuery}
 	return u.String()
 }
 
-func number(h *http.Request, name string) (int64, error) {
+func parseNumber(h *http.Request, name string) (int64, error) {
 	v := h.Header.Get(name)
 	if v == "" {
 		return 0, nil
 	}
 	n, err := strconv.ParseInt(v, 10, 32)
 	if err != nil || n < 0 {
-		return 0, malformed(name + ": " + strconv.Quote(v) + " is no whole number of 0 or more")
+		return 0, badRequest(name + ": " + strconv.Quote(v) + " is no whole number of 0 or more")
 	}
 	return n, nil
 }
 
-// problem is the body of every answer that is not a reply.
+// problem is the body of every error response.
 type problem struct {
 	Error        string `json:"error"`
 	Outcome      string `json:"outcome"`
 	RetryAfterMS int64  `json:"retryAfterMs"`
 }
 
-// refuse gives the final answer at once, with the time to come back.
-func refuse(w http.ResponseWriter, err error) {
-	f := failure(err)
+// writeError sends an error response, with the time after which to retry.
+func writeError(w http.ResponseWriter, err error) {
+	f := asFailure(err)
 	w.Header().Set(HeaderOutcome, f.Outcome.String())
 	if f.RetryAfter > 0 {
 		seconds := math.Ceil(f.RetryAfter.Seconds())
@@ -287,10 +288,10 @@
 	if f.KeyClosed {
 		w.Header().Set(HeaderKeyClosed, "true")
 	}
-	answer(w, f.Status, problem{f.Message, f.Outcome.String(), f.RetryAfter.Milliseconds()})
+	writeJSON(w, f.Status, problem{f.Message, f.Outcome.String(), f.RetryAfter.Milliseconds()})
 }
 
-func failure(err error) *dispatcher.FailureError {
+func asFailure(err error) *dispatcher.FailureError {
 	var f *dispatcher.FailureError
 	if errors.As(err, &f) {
 		return f
@@ -302,7 +303,7 @@
 	}
 }
 
-func answer(w http.ResponseWriter, status int, v any) {
+func writeJSON(w http.ResponseWriter, status int, v any) {
 	w.Header().Set("Content-Type", "application/json")
 	w.WriteHeader(status)
 	_ = json.NewEncoder(w).Encode(v)
--- a/internal/receiver/stream.go
+++ b/internal/receiver/stream.go
@@ -8,13 +8,13 @@
 	"github.com/oriolecroft/oriolecroft/internal/forwarder"
 )
 
-// eventStream writes a model's reply as server-sent events. A reply is whole
-// only with its last event, which has "done" or "error".
+// eventStream writes a model's reply as server-sent events. A reply is complete only
+// with its last event, which has "done" or "error".
 type eventStream struct {
 	writer  http.ResponseWriter
 	control *http.ResponseController
 	started bool
-	// resume is the token with which the caller came, if any.
+	// resume is the resume token in the caller's request, if any.
 	resume string
 	// id is the index of the last event.
 	id int
@@ -36,7 +36,7 @@
 		s.id = e.Index
 	}
 	if !s.started {
-		// The rest of a reply that began through another entry.
+		// The rest of a reply that started through another entry.
 		if err := s.Begin(s.resume); err != nil {
 			return err
 		}
@@ -44,7 +44,7 @@
 	return s.write(e)
 }
 
-// write sends one event under the index by which a caller resumes after it.
+// write sends one event with the id after which a caller may resume.
 func (s *eventStream) write(v any) error {
 	data, err := json.Marshal(v)
 	if err != nil {
@@ -56,15 +56,15 @@
 	return s.control.Flush()
 }
 
-// fail ends the reply: as an ordinary refusal before the first event, as an
+// writeError ends the reply: with an error response before the first event, with an
 // error event after it.
-func (s *eventStream) fail(err error) {
+func (s *eventStream) writeError(err error) {
 	if !s.started {
-		refuse(s.writer, err)
+		writeError(s.writer, err)
 		return
 	}
-	f := failure(err)
-	// The caller may be gone; then there is nobody left to tell.
+	f := asFailure(err)
+	// The write fails if the caller has closed its connection; that needs no handling.
 	_ = s.write(struct {
 		Error any `json:"error"`
 	}{struct {
--- a/internal/receiver/stream_test.go
+++ b/internal/receiver/stream_test.go
@@ -45,13 +45,13 @@
 func (*fakeAgent) Lookup(string) forwarder.Fate { return forwarder.FateUnknown }
 
 func TestReplyIsServerSentEvents(t *testing.T) {
-	w := newWorld(t)
-	w.add(t, &fakeAgent{events: []forwarder.Event{
+	w := newTestReceiver(t)
+	w.addAgent(t, &fakeAgent{events: []forwarder.Event{
 		{Token: "two", Version: "v1", Weights: "w"},
 		{Index: 1, Token: "pickers", Version: "v1", Weights: "w"},
 		{Done: true, Tokens: 2, Version: "v1", Weights: "w", Digest: "d"},
 	}})
-	res := w.send("POST", models, good, nil)
+	res := w.send("POST", generatePath, validGenerate, nil)
 	must.Eq(t, http.StatusOK, res.Code)
 	must.Eq(t, "text/event-stream", res.Header().Get("Content-Type"))
 	must.NotEq(t, "", res.Header().Get(receiver.HeaderResume))
@@ -67,36 +67,36 @@
 `, res.Body.String())
 }
 
-// An engine dies in the middle of a reply. The headers have said 200 by then; a
-// caller must find in the stream itself that the roster draft is not whole.
-func TestBrokenReplyEndsWithAnError(t *testing.T) {
-	w := newWorld(t)
-	w.add(t, &fakeAgent{events: []forwarder.Event{
+// Guards against an incomplete reply that counts as complete: an engine crashes during
+// the reply, after status 200 was sent, so the stream itself has to end with an error.
+func TestInterruptedReplyEndsWithAnError(t *testing.T) {
+	w := newTestReceiver(t)
+	w.addAgent(t, &fakeAgent{events: []forwarder.Event{
 		{Token: "two", Version: "v1", Weights: "w"},
 		{Failure: &forwarder.Failure{Message: "engine is gone"}},
 	}})
-	body := w.send("POST", models, good, nil).Body.String()
+	body := w.send("POST", generatePath, validGenerate, nil).Body.String()
 	must.StrContains(t, body, "id: 0\ndata: {\"error\":{\"outcome\":\"ran\"")
 	must.StrNotContains(t, body, "done")
 }
 
-// The booking service's answer is lost behind the agent. "Not run" would send a
-// second crew to the same family.
-func TestUnknownOutcomeIsSaidSo(t *testing.T) {
-	w := newWorld(t)
-	w.add(t, &fakeAgent{err: &forwarder.UnknownError{Reason: "lost"}})
-	res := w.send("POST", book, "", map[string]string{receiver.HeaderWorkspace: "farm"})
+// Guards against reporting "not run" for a booking whose reply was lost between the
+// service and the agent: the caller would book a second time.
+func TestUnknownOutcomeIsReported(t *testing.T) {
+	w := newTestReceiver(t)
+	w.addAgent(t, &fakeAgent{err: &forwarder.UnknownError{Reason: "lost"}})
+	res := w.send("POST", callPath, "", map[string]string{receiver.HeaderWorkspace: "farm"})
 	must.Eq(t, "unknown", res.Header().Get(receiver.HeaderOutcome))
-	must.Eq(t, "unknown", problemOf(t, res).Outcome)
+	must.Eq(t, "unknown", decodeProblem(t, res).Outcome)
 }
 
-func TestCallPassesOn(t *testing.T) {
-	w := newWorld(t)
+func TestCallForwardsHeaderPathAndPriority(t *testing.T) {
+	w := newTestReceiver(t)
 	a := &fakeAgent{reply: &forwarder.Reply{
 		Status: http.StatusCreated, Header: http.Header{"X-Slot": {"4"}}, Body: []byte("booked"), Replayed: true,
 	}}
-	w.add(t, a)
-	res := w.send("POST", book, "slot 4", map[string]string{
+	w.addAgent(t, a)
+	res := w.send("POST", callPath, "slot 4", map[string]string{
 		receiver.HeaderWorkspace: "farm", "Booking": "b7", "Cookie": "secret", receiver.HeaderPriority: "3",
 	})
 	must.Eq(t, "booked", res.Body.String())
