--- a/internal/publisher/publisher.go
+++ b/internal/publisher/publisher.go
@@ -1,6 +1,5 @@
-// Package publisher gets an operator's bundle accepted: one compare-and-swap in
-// the platform's store, with lost answers, repeated commands and lost races told
-// apart.
+// Package publisher publishes an operator's bundle with one compare-and-swap in the
+// platform's store. It distinguishes lost replies, repeated commands and lost races.
 package publisher
 
 import (
@@ -20,17 +19,17 @@
 )
 
 const (
-	// RevisionPrefix is where the history lies, one key for each revision.
+	// RevisionPrefix is the prefix of the history's keys, one for each revision.
 	RevisionPrefix = "bundle/revisions/"
-	// HistoryKept is how many old revisions stay in the store.
+	// HistoryKept is the number of old revisions that stay in the store.
 	HistoryKept = 200
 )
 
-// attempts bounds how often a call to the store is repeated, pause is the wait
-// in between.
+// maxAttempts limits the attempts of a publication, retryInterval is the time between
+// them.
 const (
-	attempts = 5
-	pause    = 300 * time.Millisecond
+	maxAttempts   = 5
+	retryInterval = 300 * time.Millisecond
 )
 
 // Publisher writes bundles to the store on behalf of an operator.
@@ -39,30 +38,30 @@
 	Keyring bundler.Keyring
 	// Key is the bundle's key; empty means gossiper.BundleKey.
 	Key string
-	// Clock paces the repeats; nil means the real one.
+	// Clock times the retries; nil means the real clock.
 	Clock clock.Clock
 }
 
 // Result is a bundle that was accepted.
 type Result struct {
 	Bundle *bundler.Bundle
-	// AlreadyAccepted says that this very change stood in the store before the
-	// command did anything: an earlier run of it took effect.
+	// AlreadyAccepted is set if the store held this change before the command wrote
+	// anything: an earlier run of the command took effect.
 	AlreadyAccepted bool
-	// AnswerLost says that a write took effect without an answer.
+	// AnswerLost is set if a write took effect but its reply was lost.
 	AnswerLost bool
-	// Superseded says that a later revision is in force by now.
+	// Superseded is set if a later revision is already in force.
 	Superseded bool
 }
 
-// RaceError reports that another change was accepted at the revision wanted.
+// RaceError reports that another change was accepted at the revision to publish.
 type RaceError struct {
 	// Accepted is the bundle in force.
 	Accepted *bundler.Bundle
-	// Ours is the one that was refused.
+	// Ours is the bundle that was refused.
 	Ours *bundler.Bundle
-	// Undecided says that ours may have been in force for a while before
-	// Accepted took its place: its write got no answer and no history tells.
+	// Undecided is set if Ours may have been in force until Accepted replaced it:
+	// its write got no reply, and the history does not have its revision.
 	Undecided bool
 }
 
@@ -71,9 +70,9 @@
 		e.Accepted.Revision, e.Accepted.ChangeID, e.Ours.Revision)
 }
 
-// GapError reports a bundle that does not follow on the one in the store.
+// GapError reports a bundle whose revision does not follow the one in the store.
 type GapError struct {
-	// Present is the store's revision, 0 when it holds none.
+	// Present is the store's revision, 0 if it has none.
 	Present, Ours uint64
 }
 
@@ -81,8 +80,8 @@
 	return fmt.Sprintf("the store holds revision %d, so %d cannot be next; was the store rolled back?", e.Present, e.Ours)
 }
 
-// CorruptError reports a store whose present bundle cannot be read or lacks
-// sign-offs. It is not overwritten.
+// CorruptError reports a store whose current bundle cannot be read or lacks
+// sign-offs. That bundle is not overwritten.
 type CorruptError struct {
 	Err error
 }
@@ -91,8 +90,8 @@
 
 func (e *CorruptError) Unwrap() error { return e.Err }
 
-// UndecidedError reports that the store stopped answering after a write was
-// sent: the change may be in force. Repeating the command will tell.
+// UndecidedError reports that the store stopped responding after a write was sent:
+// the change may be in force. Repeating the command resolves that.
 type UndecidedError struct {
 	Err error
 }
@@ -103,21 +102,21 @@
 
 func (e *UndecidedError) Unwrap() error { return e.Err }
 
-// present is what the store holds.
-type present struct {
+// storedBundle is the content of the store; its zero value is an empty store.
+type storedBundle struct {
 	bundle  *bundler.Bundle
 	record  *bundler.Record
 	version uint64
 }
 
-func (p present) revision() uint64 {
+func (p storedBundle) revision() uint64 {
 	if p.bundle == nil {
 		return 0
 	}
 	return p.bundle.Revision
 }
 
-// Current reads the bundle in force; *storer.NotFoundError when there is none.
+// Current reads the bundle in force; *storer.NotFoundError if there is none.
 func (p *Publisher) Current(ctx context.Context) (*bundler.Bundle, *bundler.Record, error) {
 	now, err := p.read(ctx)
 	if err != nil {
@@ -129,9 +128,9 @@
 	return now.bundle, now.record, nil
 }
 
-// Publish gets the record accepted if the store's present revision is the one
-// before. It may be repeated after any error: a change that took effect is
-// recognised by its ChangeID and digest.
+// Publish writes the record if the store's current revision is the one before it. It
+// may be repeated after any error: a change that took effect is recognised by its
+// ChangeID and digest.
 func (p *Publisher) Publish(ctx context.Context, r *bundler.Record) (*Result, error) {
 	b, err := r.Open(p.Keyring)
 	if err != nil {
@@ -141,26 +140,26 @@
 	if err != nil {
 		return nil, err
 	}
-	t := &attempt{p: p, bundle: b, record: r, value: value}
-	for n := range attempts {
+	t := &publication{publisher: p, bundle: b, record: r, value: value}
+	for n := range maxAttempts {
 		if n > 0 {
 			p.sleep(ctx)
 		}
-		res, err := t.once(ctx)
+		res, err := t.tryOnce(ctx)
 		if res != nil {
 			return res, nil
 		}
 		if !retriable(err) || ctx.Err() != nil {
-			return nil, t.failure(err)
+			return nil, t.finalError(err)
 		}
-		t.last = err
+		t.lastErr = err
 	}
-	return nil, t.failure(t.last)
+	return nil, t.finalError(t.lastErr)
 }
 
-// Restore puts a record that is in force in the entries back into a store that
-// was wiped or rolled back to a lower revision. Entries never do so by
-// themselves: a store that differs is for an operator to look into.
+// Restore writes a record that is in force at the entries back into a store that was
+// wiped or rolled back to a lower revision. Entries never do so by themselves: an
+// operator has to examine a store that differs.
 func (p *Publisher) Restore(ctx context.Context, r *bundler.Record) error {
 	b, err := r.Open(p.Keyring)
 	if err != nil {
@@ -177,67 +176,66 @@
 	if now.revision() >= b.Revision {
 		return &RaceError{Accepted: now.bundle, Ours: b}
 	}
-	if err := p.announce(ctx, b, r); err != nil {
+	if err := p.writeHead(ctx, b, r); err != nil {
 		return err
 	}
 	_, err = p.Store.Put(ctx, p.key(), value, now.version, "")
 	return err
 }
 
-// attempt is one run of Publish.
-type attempt struct {
-	p      *Publisher
-	bundle *bundler.Bundle
-	record *bundler.Record
-	value  []byte
-	// wrote is set once a write was sent whose outcome is unknown.
-	wrote bool
-	last  error
+// publication is one run of Publish.
+type publication struct {
+	publisher *Publisher
+	bundle    *bundler.Bundle
+	record    *bundler.Record
+	value     []byte
+	// writeUncertain is set once a write was sent whose outcome is unknown.
+	writeUncertain bool
+	lastErr        error
 }
 
-// once looks what the store holds and writes if our turn has come. It looks
-// first each time: after a lost answer the change may be there already, and
-// writing again would be taken for a lost race.
-func (t *attempt) once(ctx context.Context) (*Result, error) {
-	now, err := t.p.read(ctx)
+// tryOnce reads the store and writes if the store has the revision before ours. It
+// reads first each time: after a lost reply the change may already be there, and a
+// second write would look like a lost race.
+func (t *publication) tryOnce(ctx context.Context) (*Result, error) {
+	now, err := t.publisher.read(ctx)
 	if err != nil {
 		return nil, err
 	}
 	switch {
-	case now.bundle != nil && t.ours(now.bundle, now.record):
-		t.p.keep(ctx, now)
-		return &Result{Bundle: t.bundle, AlreadyAccepted: !t.wrote, AnswerLost: t.wrote}, nil
+	case now.bundle != nil && t.isOwn(now.bundle, now.record):
+		t.publisher.writeHistory(ctx, now)
+		return &Result{Bundle: t.bundle, AlreadyAccepted: !t.writeUncertain, AnswerLost: t.writeUncertain}, nil
 	case now.revision() >= t.bundle.Revision:
-		return t.superseded(ctx, now)
+		return t.resolveSuperseded(ctx, now)
 	case now.revision() != t.bundle.Revision-1:
 		return nil, &GapError{Present: now.revision(), Ours: t.bundle.Revision}
 	}
 	return t.write(ctx, now)
 }
 
-func (t *attempt) write(ctx context.Context, now present) (*Result, error) {
-	// The history of the present revision is made sure of before it is
-	// overwritten, so that its own operator, should the answer have been lost,
-	// can still find that it was accepted.
-	t.p.keep(ctx, now)
-	if err := t.p.announce(ctx, t.bundle, t.record); err != nil {
+func (t *publication) write(ctx context.Context, now storedBundle) (*Result, error) {
+	// The current revision is written to the history before it is overwritten, so
+	// that its operator can still see that it was accepted if the reply was lost.
+	t.publisher.writeHistory(ctx, now)
+	if err := t.publisher.writeHead(ctx, t.bundle, t.record); err != nil {
 		return nil, err
 	}
-	version, err := t.p.Store.Put(ctx, t.p.key(), t.value, now.version, "")
+	version, err := t.publisher.Store.Put(ctx, t.publisher.key(), t.value, now.version, "")
 	var unknown *storer.UnknownError
 	if errors.As(err, &unknown) {
-		t.wrote = true
+		t.writeUncertain = true
 	}
 	if err != nil {
 		return nil, err
 	}
-	t.p.keep(ctx, present{bundle: t.bundle, record: t.record, version: version})
+	t.publisher.writeHistory(ctx, storedBundle{bundle: t.bundle, record: t.record, version: version})
 	return &Result{Bundle: t.bundle}, nil
 }
 
-// announce writes the head, which must not lag behind the bundle (gossiper.Head).
-// Nothing is accepted by it.
-func (p *Publisher) announce(ctx context.Context, b *bundler.Bundle, r *bundler.Record) error {
+// writeHead writes the head, which must not lag behind the bundle (gossiper.Head).
+// The head alone accepts nothing.
+func (p *Publisher) writeHead(ctx context.Context, b *bundler.Bundle, r *bundler.Record) error {
 	value, err := json.Marshal(gossiper.Head{Revision: b.Revision, Digest: r.Digest()})
 	if err != nil {
 		return err
@@ -258,31 +256,33 @@
 	return err
 }
 
-// superseded tells whether our change was accepted before the one in force.
-func (t *attempt) superseded(ctx context.Context, now present) (*Result, error) {
+// resolveSuperseded determines whether our change was accepted before the one in
+// force.
+func (t *publication) resolveSuperseded(ctx context.Context, now storedBundle) (*Result, error) {
 	race := &RaceError{Accepted: now.bundle, Ours: t.bundle}
 	if now.revision() == t.bundle.Revision {
 		return nil, race
 	}
-	i, err := t.p.Store.Get(ctx, historyKey(t.bundle.Revision))
+	i, err := t.publisher.Store.Get(ctx, historyKey(t.bundle.Revision))
 	if err != nil {
 		race.Undecided = true
 		return nil, race
 	}
-	old, err := t.p.open(i)
-	if err != nil || !t.ours(old.bundle, old.record) {
+	old, err := t.publisher.decode(i)
+	if err != nil || !t.isOwn(old.bundle, old.record) {
 		return nil, race
 	}
-	return &Result{Bundle: t.bundle, AlreadyAccepted: !t.wrote, AnswerLost: t.wrote, Superseded: true}, nil
+	return &Result{Bundle: t.bundle, AlreadyAccepted: !t.writeUncertain, AnswerLost: t.writeUncertain, Superseded: true}, nil
 }
 
-func (t *attempt) ours(b *bundler.Bundle, r *bundler.Record) bool {
+func (t *publication) isOwn(b *bundler.Bundle, r *bundler.Record) bool {
 	return b.ChangeID == t.bundle.ChangeID && r.Digest() == t.record.Digest()
 }
 
-// failure is the error to report at the end: honest about a write under way.
-func (t *attempt) failure(err error) error {
-	if t.wrote && (retriable(err) || err == nil) {
+// finalError returns the error to report: *UndecidedError if a write may have taken
+// effect.
+func (t *publication) finalError(err error) error {
+	if t.writeUncertain && (retriable(err) || err == nil) {
 		return &UndecidedError{Err: err}
 	}
 	return err
@@ -297,34 +297,34 @@
 	return errors.As(err, &conflict) || errors.As(err, &unknown) || errors.As(err, &unavailable)
 }
 
-// read gives what the store holds, an empty present when that is nothing.
-func (p *Publisher) read(ctx context.Context) (present, error) {
+// read returns the content of the store, the zero value if it has no bundle.
+func (p *Publisher) read(ctx context.Context) (storedBundle, error) {
 	i, err := p.Store.Get(ctx, p.key())
 	var missing *storer.NotFoundError
 	if errors.As(err, &missing) {
-		return present{}, nil
+		return storedBundle{}, nil
 	}
 	if err != nil {
-		return present{}, err
+		return storedBundle{}, err
 	}
-	return p.open(i)
+	return p.decode(i)
 }
 
-func (p *Publisher) open(i storer.Item) (present, error) {
+func (p *Publisher) decode(i storer.Item) (storedBundle, error) {
 	r, err := bundler.DecodeRecord(i.Value)
 	if err != nil {
-		return present{}, &CorruptError{Err: err}
+		return storedBundle{}, &CorruptError{Err: err}
 	}
 	b, err := r.Open(p.Keyring)
 	if err != nil {
-		return present{}, &CorruptError{Err: err}
+		return storedBundle{}, &CorruptError{Err: err}
 	}
-	return present{bundle: b, record: r, version: i.Version}, nil
+	return storedBundle{bundle: b, record: r, version: i.Version}, nil
 }
 
-// keep writes a revision into the history unless it is there, and drops the one
-// that has grown too old. The history is for readers; failures are only logged.
-func (p *Publisher) keep(ctx context.Context, now present) {
+// writeHistory adds a revision to the history unless it is there, and deletes the
+// oldest one. The history is only informational, so failures are only logged.
+func (p *Publisher) writeHistory(ctx context.Context, now storedBundle) {
 	if now.bundle == nil {
 		return
 	}
@@ -335,21 +335,21 @@
 	_, err = p.Store.Put(ctx, historyKey(now.revision()), value, 0, "")
 	var exists *storer.ConflictError
 	if err != nil && !errors.As(err, &exists) {
-		klog.V(1).InfoS("History not kept", "revision", now.revision(), "err", err)
+		klog.V(1).InfoS("Failed to write bundle history", "revision", now.revision(), "err", err)
 		return
 	}
 	if err == nil && now.revision() > HistoryKept {
-		p.drop(ctx, now.revision()-HistoryKept)
+		p.deleteHistory(ctx, now.revision()-HistoryKept)
 	}
 }
 
-func (p *Publisher) drop(ctx context.Context, revision uint64) {
+func (p *Publisher) deleteHistory(ctx context.Context, revision uint64) {
 	i, err := p.Store.Get(ctx, historyKey(revision))
 	if err != nil {
 		return
 	}
 	if err := p.Store.Delete(ctx, i.Key, i.Version); err != nil {
-		klog.V(1).InfoS("History not dropped", "revision", revision, "err", err)
+		klog.V(1).InfoS("Failed to delete bundle history", "revision", revision, "err", err)
 	}
 }
 
@@ -358,7 +358,7 @@
 	if c == nil {
 		c = clock.RealClock{}
 	}
-	t := c.NewTimer(pause)
+	t := c.NewTimer(retryInterval)
 	defer t.Stop()
 	select {
 	case <-ctx.Done():
--- a/internal/publisher/publisher_test.go
+++ b/internal/publisher/publisher_test.go
@@ -24,17 +24,17 @@
 	"github.com/oriolecroft/oriolecroft/standins/imitator"
 )
 
-// bench is a publisher before the stand-in store, in virtual time.
-type bench struct {
+// fixture is a publisher with the stand-in store, in virtual time.
+type fixture struct {
 	*publisher.Publisher
 	kv   http.Handler
 	link *storertest.Transport
 }
 
-func inBench(t *testing.T, f func(t *testing.T, b *bench)) {
+func runWithStore(t *testing.T, f func(t *testing.T, b *fixture)) {
 	synctest.Test(t, func(t *testing.T) {
 		k := &imitator.KV{Seed: 1}
-		b := &bench{kv: k.Handler()}
+		b := &fixture{kv: k.Handler()}
 		b.link = &storertest.Transport{Handler: b.kv}
 		store := &storer.HTTP{Address: netip.MustParseAddrPort("127.0.0.1:1"), Client: &http.Client{Transport: b.link}}
 		key := record(1, "any").Signatures[0].Key
@@ -43,22 +43,22 @@
 	})
 }
 
-func (b *bench) admin(t *testing.T, path, body string) {
+func (b *fixture) admin(t *testing.T, path, body string) {
 	w := httptest.NewRecorder()
 	b.kv.ServeHTTP(w, httptest.NewRequest(http.MethodPost, path, strings.NewReader(body)))
 	must.Eq(t, http.StatusOK, w.Code)
 }
 
-// lost lets the next write take effect without an answer.
-type lost struct {
+// lostAnswers is a store that loses the replies of the next bundle writes.
+type lostAnswers struct {
 	storer.Store
-	left int
+	remaining int
 }
 
-func (l *lost) Put(ctx context.Context, key string, value []byte, version uint64, lease string) (uint64, error) {
+func (l *lostAnswers) Put(ctx context.Context, key string, value []byte, version uint64, lease string) (uint64, error) {
 	v, err := l.Store.Put(ctx, key, value, version, lease)
-	if err == nil && key == gossiper.BundleKey && l.left > 0 {
-		l.left--
+	if err == nil && key == gossiper.BundleKey && l.remaining > 0 {
+		l.remaining--
 		return 0, &storer.UnknownError{Op: "put", Key: key, Err: errors.New("connection broke")}
 	}
 	return v, err
@@ -83,11 +83,11 @@
 	return r
 }
 
-// An operator's client accepts a bundle, but the answer is lost. Told "failed",
-// the operator would roll it again, or undo something that is in force.
+// Guards against reporting a failure for a bundle that was accepted but whose reply was
+// lost: the operator would publish it again, or undo a change that is in force.
 func TestLostAnswerIsResolved(t *testing.T) {
-	inBench(t, func(t *testing.T, b *bench) {
-		b.Store = &lost{Store: b.Store, left: 1}
+	runWithStore(t, func(t *testing.T, b *fixture) {
+		b.Store = &lostAnswers{Store: b.Store, remaining: 1}
 		res, err := b.Publish(t.Context(), record(1, "c1"))
 		must.NoError(t, err)
 		must.True(t, res.AnswerLost)
@@ -98,11 +98,11 @@
 	})
 }
 
-// The answer is lost and the next operator is accepted before the first one
-// looks. The first change was in force for a while; calling that a lost race
-// would make its operator roll the same change twice.
-func TestLostAnswerAndSuperseded(t *testing.T) {
-	inBench(t, func(t *testing.T, b *bench) {
+// Guards against reporting a lost race for a change that was in force until another
+// operator's change superseded it, before the first operator, whose reply was lost,
+// read the store again: the first operator would publish the same change twice.
+func TestLostAnswerOfSupersededChange(t *testing.T) {
+	runWithStore(t, func(t *testing.T, b *fixture) {
 		_, err := b.Store.Put(t.Context(), gossiper.BundleKey, encode(record(1, "c1")), 0, "")
 		must.NoError(t, err)
 		_, err = b.Publish(t.Context(), record(2, "c2"))
@@ -121,10 +121,10 @@
 	return data
 }
 
-// Operators race for the same revision. If the second write replaced the first,
-// a drain could vanish without anyone having undone it.
+// Guards against a second write at the same revision that replaces the first: a drain
+// could vanish though no operator has undone it.
 func TestOneOfRacingOperatorsWins(t *testing.T) {
-	inBench(t, func(t *testing.T, b *bench) {
+	runWithStore(t, func(t *testing.T, b *fixture) {
 		var g sync.WaitGroup
 		errs := make([]error, 8)
 		b.admin(t, "/admin/faults", `{"delayMs":20}`)
@@ -132,34 +132,34 @@
 			g.Go(func() { _, errs[i] = b.Publish(t.Context(), record(1, fmt.Sprintf("c%d", i))) })
 		}
 		g.Wait()
-		now, _, err := b.Current(t.Context())
+		current, _, err := b.Current(t.Context())
 		must.NoError(t, err)
 		won := 0
 		for i, err := range errs {
 			var race *publisher.RaceError
 			if err == nil {
 				won++
-				must.Eq(t, fmt.Sprintf("c%d", i), now.ChangeID)
+				must.Eq(t, fmt.Sprintf("c%d", i), current.ChangeID)
 				continue
 			}
 			must.True(t, errors.As(err, &race))
-			must.Eq(t, now.ChangeID, race.Accepted.ChangeID)
+			must.Eq(t, current.ChangeID, race.Accepted.ChangeID)
 			must.False(t, race.Undecided)
 		}
 		must.Eq(t, 1, won)
 	})
 }
 
-// The store goes down while an operator rolls: before the write, or after it was
-// sent. The client must not say "failed" of what may be in force.
-func TestStoreDownWhileRolling(t *testing.T) {
-	inBench(t, func(t *testing.T, b *bench) {
+// Guards against reporting a failure for a change that may be in force: the store goes
+// down before the write, or after it was sent.
+func TestStoreOutageDuringPublish(t *testing.T) {
+	runWithStore(t, func(t *testing.T, b *fixture) {
 		b.admin(t, "/admin/faults", `{"down":true}`)
 		_, err := b.Publish(t.Context(), record(1, "c1"))
 		var unavailable *storer.UnavailableError
 		must.True(t, errors.As(err, &unavailable))
 		b.admin(t, "/admin/faults", `{"loseAnswers":1}`)
-		b.Store = &cutAfterWrite{Store: b.Store, link: b.link}
+		b.Store = &disconnectAfterWrite{Store: b.Store, link: b.link}
 		_, err = b.Publish(t.Context(), record(1, "c1"))
 		var undecided *publisher.UndecidedError
 		must.True(t, errors.As(err, &undecided))
@@ -170,13 +170,13 @@
 	})
 }
 
-// cutAfterWrite makes the store unreachable once the bundle was sent.
-type cutAfterWrite struct {
+// disconnectAfterWrite makes the store unreachable once the bundle was sent.
+type disconnectAfterWrite struct {
 	storer.Store
 	link *storertest.Transport
 }
 
-func (c *cutAfterWrite) Put(ctx context.Context, key string, value []byte, version uint64, lease string) (uint64, error) {
+func (c *disconnectAfterWrite) Put(ctx context.Context, key string, value []byte, version uint64, lease string) (uint64, error) {
 	v, err := c.Store.Put(ctx, key, value, version, lease)
 	if key == gossiper.BundleKey {
 		c.link.Cut.Store(true)
@@ -184,30 +184,30 @@
 	return v, err
 }
 
-// An operator's client dies as soon as its bundle is accepted. Entries ask the
-// store for the short head alone; if that still named the old bundle, they would
-// go on confirming it to each other, and a drain would never come into force.
+// Guards against a head that lags behind the bundle after an operator's client crashed
+// right after the bundle was accepted. Entries read only the head; with the old one they
+// would keep confirming the old bundle to each other, and a drain would never take effect.
 func TestHeadNeverLagsBehind(t *testing.T) {
-	inBench(t, func(t *testing.T, b *bench) {
+	runWithStore(t, func(t *testing.T, b *fixture) {
 		_, err := b.Publish(t.Context(), record(1, "c1"))
 		must.NoError(t, err)
 		s := &gossiper.State{Keyring: b.Keyring, Clock: clock.RealClock{}}
 		w := &gossiper.Watcher{Store: b.Store, State: s, Clock: clock.RealClock{}}
 		must.NoError(t, w.Probe(t.Context()))
-		b.Store = &cutAfterWrite{Store: b.Store, link: b.link}
+		b.Store = &disconnectAfterWrite{Store: b.Store, link: b.link}
 		_, _ = b.Publish(t.Context(), record(2, "c2"))
 		b.link.Cut.Store(false)
 		must.NoError(t, w.Probe(t.Context()))
-		now, _ := s.Current()
-		must.Eq(t, 2, now.Revision)
+		current, _ := s.Current()
+		must.Eq(t, 2, current.Revision)
 	})
 }
 
-// The platform restores an old copy of its store. Rolling on from there would
-// make a second bundle of a revision that is in force already, which every
-// process refuses; the operator has to be told instead.
-func TestRolledBackStoreIsNotBuiltUpon(t *testing.T) {
-	inBench(t, func(t *testing.T, b *bench) {
+// Guards against publishing on top of an old copy of the store that the platform has
+// restored: that would create a second bundle with a revision already in force, which
+// every process refuses. The operator has to get an error instead.
+func TestRolledBackStoreRefusesPublish(t *testing.T) {
+	runWithStore(t, func(t *testing.T, b *fixture) {
 		_, err := b.Publish(t.Context(), record(1, "c1"))
 		must.NoError(t, err)
 		b.admin(t, "/admin/snapshot", "{}")
@@ -228,19 +228,19 @@
 	})
 }
 
-// The service takes several hundred writes and about two thousand reads a second
-// for everyone together, and there are to be 7,400 changes a day.
-func TestCallsOfOneChange(t *testing.T) {
-	inBench(t, func(t *testing.T, b *bench) {
+// Limits the calls per change: the service handles several hundred writes and about two
+// thousand reads a second for all clients together, and 7,400 changes a day are expected.
+func TestStoreCallsPerChange(t *testing.T) {
+	runWithStore(t, func(t *testing.T, b *fixture) {
 		var before int64
 		for n := uint64(1); n <= publisher.HistoryKept+2; n++ {
 			before = b.link.Calls.Load()
 			_, err := b.Publish(t.Context(), record(n, fmt.Sprint(n)))
 			must.NoError(t, err)
 		}
-		// Reads: the bundle, the head, the oldest of the history. Writes: the old
-		// revision into the history (it is there), head, bundle, new revision into
-		// the history, the oldest out of it.
+		// Reads: the bundle, the head, the oldest revision of the history. Writes: the
+		// old revision to the history (already there), the head, the bundle, the new
+		// revision to the history, the deletion of the oldest one.
 		must.Eq(t, 8, b.link.Calls.Load()-before)
 	})
 }
