--- a/internal/bodyreader/bodyreadertest/serve.go
+++ b/internal/bodyreader/bodyreadertest/serve.go
@@ -1,4 +1,4 @@
-// Package bodyreadertest serves replies byte for byte, to test what readers take for a whole body.
+// Package bodyreadertest serves replies byte for byte, to test which bodies readers accept as whole.
 package bodyreadertest
 
 import (
@@ -17,7 +17,7 @@
 	"github.com/oriolecroft/oriolecroft/internal/connector"
 )
 
-// End is what a server does once a reply is sent.
+// End is the way in which a server ends the connection once a reply is sent.
 type End int
 
 // The ends.
@@ -31,12 +31,12 @@
 // Serve reads one request from each connection and answers with the same bytes.
 func Serve(t *testing.T, reply string, end End) netip.AddrPort {
 	t.Helper()
-	l := listen(t, func(conn net.Conn) {
+	l := listenAndServe(t, func(conn net.Conn) {
 		r, err := http.ReadRequest(bufio.NewReader(conn))
 		if err != nil {
 			return
 		}
-		// A client that is gone already is no fault of the test.
+		// A client that has already disconnected does not fail the test.
 		_, _ = io.Copy(io.Discard, r.Body)
 		_, _ = io.WriteString(conn, reply)
 		if end == Reset {
@@ -46,15 +46,15 @@
 	return netip.MustParseAddrPort(l.Addr().String())
 }
 
-// maxHeader is the longest header of a request that ResetEarly reads, in bytes.
-const maxHeader = 1024
+// maxHeaderBytes is the longest request header that ResetEarly reads.
+const maxHeaderBytes = 1024
 
-// ResetEarly answers as soon as a request's header has come, while the rest is still on its way, and
+// ResetEarly replies as soon as a request's header has arrived, while the rest is still being sent, and
 // resets the connection.
 func ResetEarly(t *testing.T, reply func(header string) string) net.Listener {
 	t.Helper()
-	return listen(t, func(conn net.Conn) {
-		var b [maxHeader]byte
+	return listenAndServe(t, func(conn net.Conn) {
+		var b [maxHeaderBytes]byte
 		n, err := conn.Read(b[:])
 		if err != nil {
 			return
@@ -64,8 +64,8 @@
 	})
 }
 
-// listen serves each connection and closes it.
-func listen(t *testing.T, serve func(net.Conn)) net.Listener {
+// listenAndServe serves each connection and closes it.
+func listenAndServe(t *testing.T, serve func(net.Conn)) net.Listener {
 	t.Helper()
 	l, err := net.Listen("tcp", "127.0.0.1:0")
 	must.NoError(t, err)
@@ -86,15 +86,15 @@
 }
 
 const (
-	// endless is how many bytes stand for bytes without end, and mostTaken how many a client may take of them;
-	// most of those are in the sockets' buffers.
-	endless   = 64 << 20
-	mostTaken = 8 << 20
-	// soon is how long a call may take.
-	soon = 5 * time.Second
+	// endlessBytes is the size of an endless reply, and maxReadBytes how much of it a client may read; most of that
+	// is in the sockets' buffers.
+	endlessBytes = 64 << 20
+	maxReadBytes = 8 << 20
+	// callTimeout is how long a call may take.
+	callTimeout = 5 * time.Second
 )
 
-// EndlessHeads checks that a call fails by itself when the head of its reply has no end, and that little is read of it.
+// EndlessHeads checks that a call fails by itself if the head of its reply is endless, and reads little of it.
 func EndlessHeads(t *testing.T, call func(netip.AddrPort) error) {
 	t.Helper()
 	for name, r := range map[string]struct{ start, part string }{
@@ -103,35 +103,35 @@
 		"header fields":   {"HTTP/1.1 200 OK\r\n", "a: b\r\n"},
 		"interim replies": {"", "HTTP/1.1 103 Early Hints\r\nLink: </a>\r\n\r\n"},
 	} {
-		t.Run(name, func(t *testing.T) { Endless(t, r.start, r.part, call) })
+		t.Run(name, func(t *testing.T) { EndlessReply(t, r.start, r.part, call) })
 	}
 }
 
-// Endless checks that a call fails by itself when its reply begins with one text and goes on with another one without
-// end, and that little is read of it.
-func Endless(t *testing.T, start, part string, call func(netip.AddrPort) error) {
+// EndlessReply checks that a call fails by itself if its reply begins with start and then repeats part endlessly, and that
+// it reads little of the reply.
+func EndlessReply(t *testing.T, start, part string, call func(netip.AddrPort) error) {
 	t.Helper()
-	var taken atomic.Int64
-	l := listen(t, func(conn net.Conn) {
+	var written atomic.Int64
+	l := listenAndServe(t, func(conn net.Conn) {
 		r, err := http.ReadRequest(bufio.NewReader(conn))
 		if err != nil {
 			return
 		}
-		// A client that is gone already is no fault of the test.
+		// A client that has already disconnected does not fail the test.
 		_, _ = io.Copy(io.Discard, r.Body)
 		_, _ = io.WriteString(conn, start)
 		parts := strings.Repeat(part, 1+(64<<10)/len(part))
-		for taken.Load() < endless {
+		for written.Load() < endlessBytes {
 			n, err := io.WriteString(conn, parts)
-			taken.Add(int64(n))
+			written.Add(int64(n))
 			if err != nil {
 				return
 			}
 		}
 	})
-	began := time.Now()
+	startTime := time.Now()
 	err := call(netip.MustParseAddrPort(l.Addr().String()))
 	must.Error(t, err)
-	must.Less(t, soon, time.Since(began))
-	must.Less(t, mostTaken, taken.Load())
+	must.Less(t, callTimeout, time.Since(startTime))
+	must.Less(t, maxReadBytes, written.Load())
 }
--- a/internal/bodyreader/reader.go
+++ b/internal/bodyreader/reader.go
@@ -1,5 +1,5 @@
-// Package bodyreader reads the bodies of HTTP replies and decides whether they arrived whole. A body that was
-// cut, or that a limit of the reader's own would shorten, is an error everywhere and never a shorter body.
+// Package bodyreader reads the bodies of HTTP replies and determines whether they arrived whole. A body that was
+// cut, or that exceeds a limit of the reader, is always an error and never a shorter body.
 package bodyreader
 
 import (
@@ -11,14 +11,14 @@
 	"net/http"
 )
 
-// Framing is what shows where a body ends.
+// Framing is the way in which a body's end is marked.
 type Framing int
 
 // The framings of HTTP/1.1.
 const (
 	ByLength Framing = iota
 	ByChunks
-	// ByConnection bodies end with their connection. One that was reset is not whole.
+	// ByConnection bodies end with their connection. A body whose connection was reset is not whole.
 	ByConnection
 )
 
@@ -33,7 +33,7 @@
 	}
 }
 
-// FramingOf gives the framing of a reply's body.
+// FramingOf returns the framing of a reply's body.
 func FramingOf(res *http.Response) Framing {
 	switch {
 	case len(res.TransferEncoding) > 0:
@@ -48,7 +48,7 @@
 // CutError reports a body that is not whole.
 type CutError struct {
 	Framing Framing
-	// Unfinished is how many bytes of an event had come.
+	// Unfinished is the number of bytes received of an incomplete event.
 	Unfinished int
 	Err        error
 }
@@ -63,7 +63,7 @@
 // Unwrap gives the cause.
 func (e *CutError) Unwrap() error { return e.Err }
 
-// OversizeError reports a body, or a part of it, that is larger than its reader takes.
+// OversizeError reports a body, or a part of it, that is larger than its reader's limit.
 type OversizeError struct {
 	// Limit is in bytes.
 	Limit int64
@@ -78,34 +78,34 @@
 	// OnArrival is called after each read that returned data; nil for no call.
 	OnArrival func()
 
-	// stream tells that the body is one of events, split that an EventReader looks for their ends.
-	stream, split bool
-	started       bool
-	events        boundary
-	// err ended the body; nil before.
+	// isStream is set if the body consists of events, splitElsewhere if an EventReader looks for their ends.
+	isStream, splitElsewhere bool
+	started                  bool
+	scanner                  eventScanner
+	// err is the error that ended the body; nil before.
 	err error
 }
 
 // EventStreamType is the content type of server-sent events.
 const EventStreamType = "text/event-stream"
 
-// Read implements io.Reader. It gives io.EOF at the end of a whole body and *CutError at any other end.
+// Read implements io.Reader. It returns io.EOF at the end of a whole body and *CutError at any other end.
 func (r *Reader) Read(b []byte) (int, error) {
 	if r.err != nil {
-		return 0, r.end()
+		return 0, r.endError()
 	}
 	if !r.started {
 		r.started = true
 		kind, _, err := mime.ParseMediaType(r.Response.Header.Get("Content-Type"))
-		r.stream = r.stream || err == nil && kind == EventStreamType
+		r.isStream = r.isStream || err == nil && kind == EventStreamType
 	}
 	n, err := r.Response.Body.Read(b)
 	r.err = err
 	if n == 0 && err != nil {
-		return 0, r.end()
+		return 0, r.endError()
 	}
-	if r.stream && !r.split {
-		r.events.pass(b[:n])
+	if r.isStream && !r.splitElsewhere {
+		r.scanner.scanAll(b[:n])
 	}
 	if n > 0 && r.OnArrival != nil {
 		r.OnArrival()
@@ -113,20 +113,20 @@
 	return n, nil
 }
 
-// end decides what the end of the body means, once all that came before it was looked at.
-func (r *Reader) end() error {
+// endError returns the error for the end of the body, once all data before it was scanned.
+func (r *Reader) endError() error {
 	if r.Response.Body == http.NoBody {
 		return io.EOF
 	}
-	cut := &CutError{Framing: FramingOf(r.Response), Unfinished: r.events.unfinished, Err: io.ErrUnexpectedEOF}
+	cut := &CutError{Framing: FramingOf(r.Response), Unfinished: r.scanner.unfinished, Err: io.ErrUnexpectedEOF}
 	switch {
 	case !errors.Is(r.err, io.EOF):
 		cut.Err = r.err
 		return cut
-	case r.events.unfinished > 0:
+	case r.scanner.unfinished > 0:
 		return cut
-	case r.stream && cut.Framing == ByConnection && r.events.whole == 0:
-		// The end of a connection alone doesn't show that there was nothing to come.
+	case r.isStream && cut.Framing == ByConnection && r.scanner.whole == 0:
+		// The end of a connection alone doesn't prove that the stream has no events.
 		return cut
 	default:
 		return io.EOF
@@ -135,15 +135,15 @@
 
 // ReadAll reads a whole body of at most limit bytes. Errors are *CutError and *OversizeError.
 func (r *Reader) ReadAll(limit int64) ([]byte, error) {
-	announced := r.Response.ContentLength
-	if announced > limit && FramingOf(r.Response) == ByLength {
+	declared := r.Response.ContentLength
+	if declared > limit && FramingOf(r.Response) == ByLength {
 		return nil, &OversizeError{Limit: limit}
 	}
-	return readAll(r, limit, announced)
+	return readAll(r, limit, declared)
 }
 
-// ReadStart reads the first size bytes of a body, or all of a shorter one, and tells whether the body has ended
-// with them; Read gives what follows. Errors are *CutError.
+// ReadStart reads the first size bytes of a body, or all of a shorter one, and reports whether the body has ended
+// with them; Read returns the rest. Errors are *CutError.
 func (r *Reader) ReadStart(size int64) (start []byte, ended bool, err error) {
 	start, err = io.ReadAll(io.LimitReader(r, size))
 	return start, err == nil && int64(len(start)) < size, err
@@ -159,21 +159,20 @@
 	return json.Unmarshal(data, v)
 }
 
-// ReadAtMost reads all that comes, as long as it is at most limit bytes. Errors are *OversizeError and those of
-// the reader.
+// ReadAtMost reads r to its end, at most limit bytes. Errors are *OversizeError and those of the reader.
 func ReadAtMost(r io.Reader, limit int64) ([]byte, error) { return readAll(r, limit, 0) }
 
-// ReadExpected is ReadAtMost with room for the expected bytes from the start; an unknown number is below zero.
+// ReadExpected is ReadAtMost with a buffer for the expected bytes from the start; a negative number is unknown.
 func ReadExpected(r io.Reader, limit, expected int64) ([]byte, error) {
 	return readAll(r, limit, expected)
 }
 
-// firstRead is the least that is asked for at once, in bytes.
-const firstRead = 512
+// minReadBytes is the smallest initial buffer, unless the limit is lower.
+const minReadBytes = 512
 
-// readAll has room for the expected bytes at once, and for one more that shows the end.
+// readAll starts with a buffer for the expected bytes and one more, with which to detect the end.
 func readAll(r io.Reader, limit, expected int64) ([]byte, error) {
-	data := make([]byte, 0, min(max(expected, firstRead), limit)+1)
+	data := make([]byte, 0, min(max(expected, minReadBytes), limit)+1)
 	for {
 		if len(data) == cap(data) {
 			data = append(data, 0)[:len(data)]
--- a/internal/bodyreader/reader_test.go
+++ b/internal/bodyreader/reader_test.go
@@ -19,8 +19,8 @@
 // errReset stands for a connection that was reset.
 var errReset = errors.New("reset")
 
-// body reads a reply whose body comes byte by byte and ends with an error.
-func body(text string, end error, contentType string, length int64, chunks bool) *bodyreader.Reader {
+// newReader returns a reader of a body that arrives byte by byte and ends with an error.
+func newReader(text string, end error, contentType string, length int64, chunks bool) *bodyreader.Reader {
 	from := iotest.OneByteReader(strings.NewReader(text))
 	if !errors.Is(end, io.EOF) {
 		from = io.MultiReader(from, iotest.ErrReader(end))
@@ -35,28 +35,28 @@
 	return &bodyreader.Reader{Response: res}
 }
 
-// Guards against a body that counts as whole without its end, or whose end is refused.
-func TestWholeOrCut(t *testing.T) {
+// Guards against a truncated body that counts as whole, and a whole body that counts as truncated.
+func TestCutBodyIsAnError(t *testing.T) {
 	const event = "id: 1\ndata: a\n\n"
 	for name, tt := range map[string]struct {
 		body  *bodyreader.Reader
 		whole bool
 	}{
-		"length":                          {body("abc", io.EOF, "", 3, false), true},
-		"short of its length":             {body("abc", io.ErrUnexpectedEOF, "", 4, false), false},
-		"chunks":                          {body("abc", io.EOF, "", -1, true), true},
-		"no last chunk":                   {body("abc", io.ErrUnexpectedEOF, "", -1, true), false},
-		"connection":                      {body("abc", io.EOF, "", -1, false), true},
-		"connection, reset":               {body("abc", errReset, "", -1, false), false},
-		"connection, empty":               {body("", io.EOF, "", -1, false), true},
-		"stream":                          {body(event, io.EOF, "text/event-stream; charset=utf-8", -1, false), true},
-		"stream, inside an event":         {body(event+"id", io.EOF, "text/event-stream", -1, false), false},
-		"stream, without its blank line":  {body(event+"id: 2\n", io.EOF, "text/event-stream", -1, true), false},
-		"stream, blank lines behind":      {body(event+"\n\r\n", io.EOF, "text/event-stream", -1, false), true},
-		"stream, no event":                {body("", io.EOF, "text/event-stream", -1, false), false},
-		"stream, no event, by its length": {body("", io.EOF, "text/event-stream", 0, false), true},
-		"stream, reset between events":    {body(event, errReset, "text/event-stream", -1, false), false},
-		"other type that looks alike":     {body("id: 1", io.EOF, "text/plain", -1, false), true},
+		"length":                          {newReader("abc", io.EOF, "", 3, false), true},
+		"short of its length":             {newReader("abc", io.ErrUnexpectedEOF, "", 4, false), false},
+		"chunks":                          {newReader("abc", io.EOF, "", -1, true), true},
+		"no last chunk":                   {newReader("abc", io.ErrUnexpectedEOF, "", -1, true), false},
+		"connection":                      {newReader("abc", io.EOF, "", -1, false), true},
+		"connection, reset":               {newReader("abc", errReset, "", -1, false), false},
+		"connection, empty":               {newReader("", io.EOF, "", -1, false), true},
+		"stream":                          {newReader(event, io.EOF, "text/event-stream; charset=utf-8", -1, false), true},
+		"stream, inside an event":         {newReader(event+"id", io.EOF, "text/event-stream", -1, false), false},
+		"stream, without its blank line":  {newReader(event+"id: 2\n", io.EOF, "text/event-stream", -1, true), false},
+		"stream, blank lines behind":      {newReader(event+"\n\r\n", io.EOF, "text/event-stream", -1, false), true},
+		"stream, no event":                {newReader("", io.EOF, "text/event-stream", -1, false), false},
+		"stream, no event, by its length": {newReader("", io.EOF, "text/event-stream", 0, false), true},
+		"stream, reset between events":    {newReader(event, errReset, "text/event-stream", -1, false), false},
+		"other type that looks alike":     {newReader("id: 1", io.EOF, "text/plain", -1, false), true},
 	} {
 		t.Run(name, func(t *testing.T) {
 			_, err := tt.body.ReadAll(1 << 10)
@@ -72,7 +72,7 @@
 	}
 }
 
-// Guards against replies that have no body and are taken for cut streams.
+// Guards against replies without a body that count as cut streams.
 func TestReplyWithoutBodyIsWhole(t *testing.T) {
 	for _, text := range []string{
 		"HTTP/1.1 204 No Content\r\nContent-Type: text/event-stream\r\n\r\n",
@@ -87,14 +87,14 @@
 	}
 }
 
-// Guards against a body that its reader's limit shortens.
-func TestLimitShortensNothing(t *testing.T) {
+// Guards against a body that is silently truncated at its reader's limit.
+func TestBodyAboveLimitIsAnError(t *testing.T) {
 	for _, framing := range []struct {
 		length int64
 		chunks bool
 	}{{5, false}, {-1, true}, {-1, false}} {
 		read := func(limit int64) (string, error) {
-			data, err := body("abcde", io.EOF, "", framing.length, framing.chunks).ReadAll(limit)
+			data, err := newReader("abcde", io.EOF, "", framing.length, framing.chunks).ReadAll(limit)
 			return string(data), err
 		}
 		for _, limit := range []int64{5, 6, 4 << 10} {
@@ -111,32 +111,32 @@
 	}
 }
 
-// Guards against the start of a body that is taken for all of it, and against a cut start.
-func TestStartIsNotTheWhole(t *testing.T) {
+// Guards against the start of a body that counts as all of it, and against a cut start.
+func TestReadStartReportsEnd(t *testing.T) {
 	for size, whole := range map[int64]bool{1: false, 4: false, 5: false, 6: true} {
-		r := body("abcde", io.EOF, "", -1, false)
+		r := newReader("abcde", io.EOF, "", -1, false)
 		start, ended, err := r.ReadStart(size)
 		must.NoError(t, err)
 		must.Eq(t, whole, ended, must.Sprint(size))
 		rest, err := io.ReadAll(r)
 		must.NoError(t, err)
 		must.Eq(t, "abcde", string(start)+string(rest))
-		_, ended, err = body("abcde", errReset, "", -1, false).ReadStart(6)
+		_, ended, err = newReader("abcde", errReset, "", -1, false).ReadStart(6)
 		must.Error(t, err)
 		must.False(t, ended)
 	}
 }
 
-// Guards against a value that is believed though more was to come, or something else follows it.
-func TestJSONIsOneWholeValue(t *testing.T) {
+// Guards against accepting a value whose body was cut or has more text after it.
+func TestReadJSONWantsOneWholeValue(t *testing.T) {
 	for text, end := range map[string]error{`{"a":1}`: errReset, `{"a":1} {`: io.EOF, `{"a":`: io.EOF, ``: io.EOF} {
 		var v struct{ A int }
-		must.Error(t, body(text, end, "", -1, false).ReadJSON(1<<10, &v), must.Sprint(text))
+		must.Error(t, newReader(text, end, "", -1, false).ReadJSON(1<<10, &v), must.Sprint(text))
 	}
 }
 
-// Guards against events that are joined, torn, changed or lost wherever reads happen to end.
-func TestEventsSurviveAnyReads(t *testing.T) {
+// Guards against events that are joined, split, changed or lost depending on where reads end.
+func TestEventsAreIndependentOfReadSizes(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
 		lineEnd := rapid.SampledFrom([]string{"\n", "\r\n", "\r"}).Draw(t, "line end")
 		var events []string
@@ -162,7 +162,7 @@
 			got += string(event)
 			count++
 		}
-		atEnd := endsAnEvent(whole[:sent], lineEnd)
+		atEnd := endsAtEventBoundary(whole[:sent], lineEnd)
 		if errors.Is(err, io.EOF) {
 			must.True(t, atEnd, must.Sprintf("%q", whole[:sent]))
 			must.Eq(t, whole[:sent], got+string(event))
@@ -173,9 +173,9 @@
 	})
 }
 
-// endsAnEvent tells whether the beginning of a stream ends where an event does. The last line end may have come
-// in half.
-func endsAnEvent(sent, lineEnd string) bool {
+// endsAtEventBoundary reports whether a partial stream ends where an event does. Of the last CRLF, only the CR may
+// have arrived.
+func endsAtEventBoundary(sent, lineEnd string) bool {
 	if strings.HasSuffix(sent, lineEnd+lineEnd) {
 		return true
 	}
--- a/internal/connector/connector.go
+++ b/internal/connector/connector.go
@@ -1,5 +1,5 @@
-// Package connector opens TCP connections that notice a silent peer and a reset, and bounds what is read from peers
-// beside the bodies of their replies.
+// Package connector opens TCP connections that detect an unresponsive peer and a reset, and limits how much is read
+// from peers besides the bodies of their replies.
 package connector
 
 import (
@@ -14,29 +14,30 @@
 	"golang.org/x/sys/unix"
 )
 
-// UnackedTimeout is how long sent bytes may stay unacknowledged. A VM without
-// power or behind a cut answers nothing, and the kernel would resend for a quarter
-// of an hour; the caller would see a connection that hangs. Three seconds is above
-// all round trips on a lossy link and below every caller's patience.
+// UnackedTimeout is how long sent bytes may stay unacknowledged. For a VM that has lost
+// power or is partitioned, the kernel would retransmit for a quarter of an hour while the
+// connection hangs. Three seconds is above all round trips on a lossy link and below every
+// caller's time limit.
 const UnackedTimeout = 3 * time.Second
 
-// UnreadWithin is how long reading what has arrived by a deadline may take. Behind a deadline package net doesn't look at the
-// socket, and a process that was suspended would take a peer for unreachable that had accepted its connection.
-const UnreadWithin = 10 * time.Millisecond
+// ReadGrace is the extra time after a deadline for reading data that arrived before it. After its deadline package net
+// doesn't read the socket, so a process that was suspended would consider a peer unreachable that had accepted its
+// connection.
+const ReadGrace = 10 * time.Millisecond
 
-// keepAlive finds a connection dead on which nothing is being sent.
+// keepAlive detects a dead peer on an idle connection.
 var keepAlive = net.KeepAliveConfig{Enable: true, Idle: 2 * time.Second, Interval: time.Second, Count: 2}
 
-// Dial connects to an address; the context bounds how long that may take.
+// Dial connects to an address; the context limits how long that may take.
 func Dial(ctx context.Context, address netip.AddrPort) (net.Conn, error) {
 	return DialContext(ctx, "tcp", address.String())
 }
 
-// DialContext is Dial in the form that net/http wants.
+// DialContext is Dial with the signature that net/http expects.
 func DialContext(ctx context.Context, network, address string) (net.Conn, error) {
 	late, stop := withLateDeadline(ctx)
 	defer stop()
-	d := net.Dialer{KeepAliveConfig: keepAlive, Control: control}
+	d := net.Dialer{KeepAliveConfig: keepAlive, Control: setUserTimeout}
 	raw, err := d.DialContext(late, network, address)
 	if err != nil {
 		return nil, dialError(ctx, err)
@@ -44,46 +45,46 @@
 	return KeepResets(raw), nil
 }
 
-// withLateDeadline gives a context that ends with another, but UnreadWithin after its deadline; stop frees it.
+// withLateDeadline returns a context that is cancelled with ctx, but ReadGrace after its deadline; stop releases it.
 func withLateDeadline(ctx context.Context) (late context.Context, stop func()) {
 	late, cancel := context.WithCancel(context.WithoutCancel(ctx))
-	unhook := context.AfterFunc(ctx, func() {
+	unregister := context.AfterFunc(ctx, func() {
 		if errors.Is(ctx.Err(), context.DeadlineExceeded) {
-			time.AfterFunc(UnreadWithin, cancel)
+			time.AfterFunc(ReadGrace, cancel)
 			return
 		}
 		cancel()
 	})
 	return late, func() {
-		unhook()
+		unregister()
 		cancel()
 	}
 }
 
-// dialError is the error of a dial under a context with a late deadline: a timeout once the deadline has passed.
+// dialError returns the error of a dial under a context with a late deadline: a timeout once the deadline has passed.
 func dialError(ctx context.Context, err error) error {
-	var failed *net.OpError
-	if errors.Is(err, context.Canceled) && errors.Is(ctx.Err(), context.DeadlineExceeded) && errors.As(err, &failed) {
-		failed.Err = os.ErrDeadlineExceeded
+	var opErr *net.OpError
+	if errors.Is(err, context.Canceled) && errors.Is(ctx.Err(), context.DeadlineExceeded) && errors.As(err, &opErr) {
+		opErr.Err = os.ErrDeadlineExceeded
 	}
 	return err
 }
 
-func control(_, _ string, c syscall.RawConn) error {
-	var failure error
+func setUserTimeout(_, _ string, c syscall.RawConn) error {
+	var optErr error
 	err := c.Control(func(fd uintptr) {
-		failure = unix.SetsockoptInt(int(fd), unix.IPPROTO_TCP, unix.TCP_USER_TIMEOUT, int(UnackedTimeout.Milliseconds()))
+		optErr = unix.SetsockoptInt(int(fd), unix.IPPROTO_TCP, unix.TCP_USER_TIMEOUT, int(UnackedTimeout.Milliseconds()))
 	})
 	if err != nil {
 		return err
 	}
-	return failure
+	return optErr
 }
 
-// Quiet tells whether an idle connection is still open and has nothing to read. A
-// peer that closed it, or sent bytes that belong to no request, must not get
-// another request on it.
-func Quiet(conn net.Conn) bool {
+// Reusable reports whether an idle connection is still open and has nothing to read. A
+// connection that its peer has closed, or that has bytes belonging to no request, must
+// not carry another request.
+func Reusable(conn net.Conn) bool {
 	t, ok := conn.(syscall.Conn)
 	if !ok {
 		return true
@@ -92,12 +93,12 @@
 	if err != nil {
 		return false
 	}
-	quiet := false
-	// Unlike Read, Control doesn't wait for one who reads the connection.
+	reusable := false
+	// Unlike Read, Control doesn't wait for a concurrent Read of the connection.
 	err = raw.Control(func(fd uintptr) {
 		var b [1]byte
 		_, _, e := unix.Recvfrom(int(fd), b[:], unix.MSG_PEEK|unix.MSG_DONTWAIT)
-		quiet = e == unix.EAGAIN || e == unix.EWOULDBLOCK
+		reusable = e == unix.EAGAIN || e == unix.EWOULDBLOCK
 	})
-	return err == nil && quiet
+	return err == nil && reusable
 }
--- a/internal/connector/connector_test.go
+++ b/internal/connector/connector_test.go
@@ -16,9 +16,9 @@
 	"github.com/oriolecroft/oriolecroft/internal/connector/connectortest"
 )
 
-// A kept connection was closed by its peer, or has bytes on it that belong to no
-// request. A request sent on it would be lost, or get an answer that is another's.
-func TestQuiet(t *testing.T) {
+// Guards against reusing a connection that its peer has closed, on which the request would be
+// lost, or that has unread bytes, which the request would get as its reply.
+func TestReusable(t *testing.T) {
 	l, err := net.Listen("tcp", "127.0.0.1:0")
 	must.NoError(t, err)
 	defer l.Close()
@@ -29,37 +29,37 @@
 		must.NoError(t, err)
 		return c, peer
 	}
-	noisy := func(c net.Conn) {
-		must.Wait(t, wait.InitialSuccess(wait.BoolFunc(func() bool { return !connector.Quiet(c) }), wait.Timeout(5*time.Second)))
+	waitUntilUnusable := func(c net.Conn) {
+		must.Wait(t, wait.InitialSuccess(wait.BoolFunc(func() bool { return !connector.Reusable(c) }), wait.Timeout(5*time.Second)))
 	}
 	c, peer := dial()
 	defer c.Close()
-	must.True(t, connector.Quiet(c))
+	must.True(t, connector.Reusable(c))
 	_, err = peer.Write([]byte("x"))
 	must.NoError(t, err)
-	noisy(c)
-	closed, other := dial()
+	waitUntilUnusable(c)
+	closed, closedPeer := dial()
 	defer closed.Close()
-	other.Close()
-	noisy(closed)
+	closedPeer.Close()
+	waitUntilUnusable(closed)
 }
 
-// Guards against taking a peer for unreachable that accepted the connection while this process was suspended.
+// Guards against considering a peer unreachable that accepted the connection while this process was suspended.
 func TestDialSucceedsWhoseDeadlinePassedWhileSuspended(t *testing.T) {
 	const deadline = 900 * time.Millisecond
 	for {
-		due, stopped, err := dialSuspended(t, deadline)
+		expiry, stopped, err := dialSuspended(t, deadline)
 		if err == nil {
 			return
 		}
-		must.True(t, due.Before(stopped), must.Sprint("deadline passed while suspended: ", err))
-		t.Log("Deadline passed before the process was suspended, once more")
+		must.True(t, expiry.Before(stopped), must.Sprint("deadline passed while suspended: ", err))
+		t.Log("Deadline passed before the process was suspended, retrying")
 	}
 }
 
-// dialSuspended dials a listener that answers after about a second, while this process is suspended. It gives the
-// deadline, when the process stopped, and the dial's error.
-func dialSuspended(t *testing.T, deadline time.Duration) (due, stopped time.Time, err error) {
+// dialSuspended dials a listener that accepts after about a second, while this process is suspended. It returns the
+// deadline, the time of the suspension and the dial's error.
+func dialSuspended(t *testing.T, deadline time.Duration) (expiry, stopped time.Time, err error) {
 	l, err := net.Listen("tcp", "127.0.0.1:0")
 	must.NoError(t, err)
 	defer l.Close()
@@ -68,12 +68,12 @@
 		defer cancel()
 		return connector.Dial(ctx, netip.MustParseAddrPort(l.Addr().String()))
 	}
-	// The kernel answers no connection beyond the backlog; asked again after a second, it does.
+	// The kernel ignores connections beyond the backlog and accepts the SYN that is retransmitted after a second.
 	raw, err := l.(*net.TCPListener).SyscallConn()
 	must.NoError(t, err)
 	must.NoError(t, raw.Control(func(fd uintptr) { err = unix.Listen(int(fd), 0) }))
 	must.NoError(t, err)
-	waiting := 0
+	backlog := 0
 	for {
 		c, err := dial(50 * time.Millisecond)
 		if err != nil {
@@ -81,23 +81,23 @@
 			break
 		}
 		defer c.Close()
-		waiting++
+		backlog++
 	}
-	failed := make(chan error, 1)
+	dialErr := make(chan error, 1)
 	go func() {
 		c, err := dial(deadline)
 		if err == nil {
 			c.Close()
 		}
-		failed <- err
+		dialErr <- err
 	}()
-	due = time.Now().Add(deadline)
+	expiry = time.Now().Add(deadline)
 	time.Sleep(100 * time.Millisecond)
-	for range waiting {
+	for range backlog {
 		c, err := l.Accept()
 		must.NoError(t, err)
 		defer c.Close()
 	}
 	stopped = connectortest.Suspend(t, "sleep 1.5")
-	return due, stopped, <-failed
+	return expiry, stopped, <-dialErr
 }
--- a/internal/connector/connectortest/async.go
+++ b/internal/connector/connectortest/async.go
@@ -6,28 +6,28 @@
 	"sync"
 )
 
-// queuedWrites is how many writes a connection takes before its peer has got them.
+// queuedWrites is the number of writes that a connection queues for delivery.
 const queuedWrites = 1024
 
-// AsyncConn is a connection whose writes return at once and reach the peer later, in order, as those
-// to a kernel do. Writers hold locks: if a write slept in virtual time, that would stand still as
-// soon as somebody else waits for such a lock.
+// AsyncConn is a connection whose writes return at once and reach the peer later, in order, like
+// writes to a kernel socket. Writers hold locks: if a write slept in virtual time, another goroutine
+// that waits for such a lock would keep virtual time from advancing.
 type AsyncConn struct {
 	net.Conn
 	deliver func([]byte) error
 	queue   chan []byte
 	closed  chan struct{}
 
-	start, end sync.Once
+	startOnce, closeOnce sync.Once
 }
 
-// NewAsyncConn makes a connection that hands what is written to deliver. An error of deliver closes
+// NewAsyncConn returns a connection that passes written data to deliver. An error of deliver closes
 // it.
 func NewAsyncConn(conn net.Conn, deliver func([]byte) error) *AsyncConn {
 	return &AsyncConn{Conn: conn, deliver: deliver, queue: make(chan []byte, queuedWrites), closed: make(chan struct{})}
 }
 
-func (c *AsyncConn) run() {
+func (c *AsyncConn) deliverQueue() {
 	for {
 		select {
 		case b := <-c.queue:
@@ -48,7 +48,7 @@
 		return 0, net.ErrClosed
 	default:
 	}
-	c.start.Do(func() { go c.run() })
+	c.startOnce.Do(func() { go c.deliverQueue() })
 	select {
 	case c.queue <- slices.Clone(b):
 		return len(b), nil
@@ -57,8 +57,8 @@
 	}
 }
 
-// Close implements net.Conn. What has not reached the peer is lost.
+// Close implements net.Conn. Data not delivered yet is lost.
 func (c *AsyncConn) Close() error {
-	c.end.Do(func() { close(c.closed) })
+	c.closeOnce.Do(func() { close(c.closed) })
 	return c.Conn.Close()
 }
--- a/internal/connector/connectortest/network.go
+++ b/internal/connector/connectortest/network.go
@@ -1,6 +1,6 @@
-// Package connectortest joins processes of one test in memory and in virtual time. On a
-// machine that is busy with other work, real time lets a process lose patience with one that
-// merely isn't scheduled; what it does then tells of the machine and not of the process.
+// Package connectortest connects processes of one test in memory and in virtual time. In
+// real time, on a busy machine, a process may time out on another that merely isn't
+// scheduled, and the test's result would depend on the machine's load.
 package connectortest
 
 import (
@@ -11,21 +11,21 @@
 	"time"
 )
 
-// LinkDelay is how long each write on a Network takes. It orders transfers as a link within
-// one failure domain would; no bound of a test is derived from it.
+// LinkDelay is how long each write on a Network takes. It orders transfers like a link
+// within one failure domain; no limit in a test is derived from it.
 const LinkDelay = 100 * time.Microsecond
 
-// Settle is how long a test waits at its end, so that what is stopped and still under way is
-// over: a bubble of package synctest doesn't end while anything sleeps.
-const Settle = time.Minute
+// SettleTime is how long a test waits at its end until all stopped goroutines have returned:
+// a bubble of package synctest doesn't end while any of them sleeps.
+const SettleTime = time.Minute
 
-// Network joins listeners and those who dial them.
+// Network connects dialers to listeners.
 type Network struct {
 	mu        sync.Mutex
 	listeners map[string]*Listener
 }
 
-// Listen makes a listener with an address of its own.
+// Listen returns a listener with an address of its own.
 func (n *Network) Listen() *Listener {
 	n.mu.Lock()
 	defer n.mu.Unlock()
@@ -38,41 +38,41 @@
 	return l
 }
 
-// Dial connects to a listener; it has the form of net.Dialer's DialContext.
+// Dial connects to a listener; it has the signature of net.Dialer's DialContext.
 func (n *Network) Dial(ctx context.Context, _, address string) (net.Conn, error) {
 	n.mu.Lock()
 	l := n.listeners[address]
 	n.mu.Unlock()
 	if l == nil {
-		return nil, refused()
+		return nil, refusedError()
 	}
 	near, far := net.Pipe()
-	if err := l.Deliver(ctx, delayed(far)); err != nil {
+	if err := l.Deliver(ctx, withDelay(far)); err != nil {
 		return nil, err
 	}
-	return delayed(near), nil
+	return withDelay(near), nil
 }
 
-// Listener takes connections that are delivered to it.
+// Listener accepts connections that are delivered to it.
 type Listener struct {
 	address   net.Addr
 	delivered chan net.Conn
-	once      sync.Once
+	closeOnce sync.Once
 	closed    chan struct{}
 }
 
-// NewListener makes a listener with an address.
+// NewListener returns a listener with an address.
 func NewListener(address netip.AddrPort) *Listener {
 	return &Listener{address: net.TCPAddrFromAddrPort(address), delivered: make(chan net.Conn), closed: make(chan struct{})}
 }
 
-// Deliver hands over the far end of a connection, or tells that nobody listens.
+// Deliver passes the far end of a connection to Accept; it fails if the listener is closed.
 func (l *Listener) Deliver(ctx context.Context, far net.Conn) error {
 	select {
 	case l.delivered <- far:
 		return nil
 	case <-l.closed:
-		return refused()
+		return refusedError()
 	case <-ctx.Done():
 		return ctx.Err()
 	}
@@ -90,17 +90,17 @@
 
 // Close implements net.Listener.
 func (l *Listener) Close() error {
-	l.once.Do(func() { close(l.closed) })
+	l.closeOnce.Do(func() { close(l.closed) })
 	return nil
 }
 
 // Addr implements net.Listener.
 func (l *Listener) Addr() net.Addr { return l.address }
 
-func refused() error { return &net.OpError{Op: "dial", Net: "tcp", Err: net.ErrClosed} }
+func refusedError() error { return &net.OpError{Op: "dial", Net: "tcp", Err: net.ErrClosed} }
 
-// delayed delays each write by LinkDelay.
-func delayed(conn net.Conn) net.Conn {
+// withDelay returns a connection that delays each write by LinkDelay.
+func withDelay(conn net.Conn) net.Conn {
 	return NewAsyncConn(conn, func(b []byte) error {
 		time.Sleep(LinkDelay)
 		_, err := conn.Write(b)
--- a/internal/connector/connectortest/suspend.go
+++ b/internal/connector/connectortest/suspend.go
@@ -11,9 +11,9 @@
 	"github.com/shoenig/test/must"
 )
 
-// Suspend stops this whole process for as long as a shell script runs, which should sleep for a while: this process
-// has to stop before it ends. The files are the script's descriptors 3 and on. It returns when the process stopped: what
-// was due before then tells nothing.
+// Suspend suspends this whole process while a shell script runs, which should sleep for a while: this process has to be
+// suspended before it ends. The files are the script's descriptors from 3 on. It returns the time of the suspension:
+// timers that expired earlier prove nothing.
 func Suspend(t testing.TB, script string, files ...*os.File) (stopped time.Time) {
 	t.Helper()
 	c := exec.Command("sh", "-c", fmt.Sprintf("%s; kill -CONT %d", script, os.Getpid()))
--- a/internal/connector/reply_test.go
+++ b/internal/connector/reply_test.go
@@ -14,34 +14,34 @@
 	"github.com/oriolecroft/oriolecroft/internal/connector"
 )
 
-// bufferSize is that of the readers, in bytes.
+// bufferSize is the readers' buffer size, in bytes.
 const bufferSize = 4 << 10
 
-// repeated gives a text over and over.
-type repeated struct {
-	text string
-	at   int
+// repeatReader repeats a text endlessly.
+type repeatReader struct {
+	text   string
+	offset int
 }
 
-func (r *repeated) Read(b []byte) (int, error) {
-	n := copy(b, r.text[r.at:])
-	r.at = (r.at + n) % len(r.text)
+func (r *repeatReader) Read(b []byte) (int, error) {
+	n := copy(b, r.text[r.offset:])
+	r.offset = (r.offset + n) % len(r.text)
 	return n, nil
 }
 
-func endlessly(start, part string) io.Reader {
-	return io.MultiReader(strings.NewReader(start), &repeated{text: part})
+func endlessReader(start, part string) io.Reader {
+	return io.MultiReader(strings.NewReader(start), &repeatReader{text: part})
 }
 
-// Guards against a head without end that is read on.
+// Guards against reading an endless head without a limit.
 func TestEndlessHeadIsOversize(t *testing.T) {
 	const ok = "HTTP/1.1 200 OK\r\n"
 	for name, from := range map[string]io.Reader{
-		"status line":      endlessly("HTTP/1.1 200 ", "O"),
-		"header field":     endlessly(ok+"Long: ", "x"),
-		"header fields":    endlessly(ok, "a: b\r\n"),
-		"interim replies":  endlessly("", "HTTP/1.1 103 Early Hints\r\nLink: </a>\r\n\r\n"),
-		"nothing but text": endlessly("", "x"),
+		"status line":      endlessReader("HTTP/1.1 200 ", "O"),
+		"header field":     endlessReader(ok+"Long: ", "x"),
+		"header fields":    endlessReader(ok, "a: b\r\n"),
+		"interim replies":  endlessReader("", "HTTP/1.1 103 Early Hints\r\nLink: </a>\r\n\r\n"),
+		"nothing but text": endlessReader("", "x"),
 	} {
 		t.Run(name, func(t *testing.T) {
 			res, err := connector.NewReplyReader(from, bufferSize).Next(http.MethodGet)
@@ -55,32 +55,32 @@
 	}
 }
 
-// Guards against a body without end that is read past for as long as it comes.
+// Guards against skipping an endless body without a limit.
 func TestEndlessBodyIsNotSkipped(t *testing.T) {
 	for name, head := range map[string]string{"connection": "", "length": "Content-Length: 99999999\r\n"} {
 		t.Run(name, func(t *testing.T) {
-			r := connector.NewReplyReader(endlessly("HTTP/1.1 200 OK\r\n"+head+"\r\n", "x"), bufferSize)
+			r := connector.NewReplyReader(endlessReader("HTTP/1.1 200 OK\r\n"+head+"\r\n", "x"), bufferSize)
 			res, err := r.Next(http.MethodGet)
 			must.NoError(t, err)
 			defer res.Body.Close()
 			var large *connector.OversizeError
 			must.True(t, errors.As(r.Skip(res), &large))
-			must.Eq(t, connector.OversizeError{Part: connector.ReadPast, Limit: connector.MaxReadPast}, *large)
+			must.Eq(t, connector.OversizeError{Part: connector.SkippedBody, Limit: connector.MaxSkippedBody}, *large)
 		})
 	}
 }
 
-// reply is a whole one with a head of a size and a body.
-func reply(head int, body string) string {
+// replyText returns a whole reply with a head of the given size and a body.
+func replyText(head int, body string) string {
 	start := "HTTP/1.1 200 OK\r\nContent-Length: " + strconv.Itoa(len(body)) + "\r\nLong: "
 	const end = "\r\n\r\n"
 	return start + strings.Repeat("x", head-len(start)-len(end)) + end + body
 }
 
-// Guards against a bound on heads that holds for bodies, or for several replies of one connection together.
-func TestRepliesWithinTheBoundsAreRead(t *testing.T) {
-	body := strings.Repeat("b", connector.MaxReadPast)
-	texts := strings.Repeat(reply(connector.MaxReplyHead, body), 3) + reply(100, "")
+// Guards against a limit on heads that also applies to bodies, or to several replies of one connection together.
+func TestRepliesWithinLimitsAreRead(t *testing.T) {
+	body := strings.Repeat("b", connector.MaxSkippedBody)
+	texts := strings.Repeat(replyText(connector.MaxReplyHead, body), 3) + replyText(100, "")
 	for name, from := range map[string]io.Reader{
 		"at once":      strings.NewReader(texts),
 		"in halves":    iotest.HalfReader(strings.NewReader(texts)),
--- a/internal/connector/reset.go
+++ b/internal/connector/reset.go
@@ -11,40 +11,40 @@
 	"golang.org/x/sys/unix"
 )
 
-// conn is a TCP connection as KeepResets describes. The kernel reports a reset once; the next read gives EOF, and
+// resetConn is the connection that KeepResets returns. The kernel reports a reset once; the next read returns EOF, and
 // a body that ends with its connection would look whole.
-type conn struct {
-	// Conn hides the methods of *net.TCPConn by which io.Copy would pass Read and Write by.
+type resetConn struct {
+	// Conn hides the methods of *net.TCPConn with which io.Copy would bypass Read and Write.
 	net.Conn
 	tcp *net.TCPConn
-	// writing is held while a write is under way.
-	writing sync.Mutex
-	reset   atomic.Bool
+	// writeMu is locked during a write.
+	writeMu   sync.Mutex
+	resetSeen atomic.Bool
 }
 
-// KeepResets gives a connection that reports a reset to its readers even if a write learned of it. One that
-// isn't of TCP stays as it is.
+// KeepResets returns a connection that reports a reset to its readers even if a write got that error first. It returns
+// c itself unless that is a TCP connection.
 func KeepResets(c net.Conn) net.Conn {
 	tcp, ok := c.(*net.TCPConn)
 	if !ok {
 		return c
 	}
-	return &conn{Conn: tcp, tcp: tcp}
+	return &resetConn{Conn: tcp, tcp: tcp}
 }
 
 // Write implements net.Conn.
-func (c *conn) Write(b []byte) (int, error) {
-	c.writing.Lock()
-	defer c.writing.Unlock()
+func (c *resetConn) Write(b []byte) (int, error) {
+	c.writeMu.Lock()
+	defer c.writeMu.Unlock()
 	n, err := c.Conn.Write(b)
 	if errors.Is(err, syscall.ECONNRESET) {
-		c.reset.Store(true)
+		c.resetSeen.Store(true)
 	}
 	return n, err
 }
 
 // Read implements net.Conn.
-func (c *conn) Read(b []byte) (int, error) {
+func (c *resetConn) Read(b []byte) (int, error) {
 	n, err := c.Conn.Read(b)
 	if errors.Is(err, io.EOF) && c.wasReset() {
 		return n, &net.OpError{Op: "read", Net: "tcp", Source: c.LocalAddr(), Addr: c.RemoteAddr(), Err: syscall.ECONNRESET}
@@ -53,46 +53,46 @@
 }
 
 // SyscallConn implements syscall.Conn.
-func (c *conn) SyscallConn() (syscall.RawConn, error) { return c.tcp.SyscallConn() }
+func (c *resetConn) SyscallConn() (syscall.RawConn, error) { return c.tcp.SyscallConn() }
 
-// wasReset tells whether a write learned of a reset.
-func (c *conn) wasReset() bool {
-	if !c.over() {
+// wasReset reports whether a write returned a reset.
+func (c *resetConn) wasReset() bool {
+	if !c.isClosed() {
 		return false
 	}
-	// A write that is under way fails at once, as the connection is over.
-	c.writing.Lock()
-	defer c.writing.Unlock()
-	return c.reset.Load()
+	// A write in progress fails at once, as the connection is closed.
+	c.writeMu.Lock()
+	defer c.writeMu.Unlock()
+	return c.resetSeen.Load()
 }
 
-// Over tells whether a connection that KeepResets has given is over in both directions; false for any other.
-func Over(c net.Conn) bool {
-	kept, ok := c.(*conn)
-	return ok && kept.over()
+// IsClosed reports whether a connection returned by KeepResets is closed in both directions; false for any other.
+func IsClosed(c net.Conn) bool {
+	tcp, ok := c.(*resetConn)
+	return ok && tcp.isClosed()
 }
 
-// over tells whether the connection is over in both directions, as after a reset, or closed here. One that only
-// the peer has closed can still be written to.
-func (c *conn) over() bool {
-	over := true
+// isClosed reports whether the connection is closed in both directions, as after a reset, or by this process. A
+// connection that only the peer has closed can still be written to.
+func (c *resetConn) isClosed() bool {
+	closed := true
 	raw, err := c.tcp.SyscallConn()
 	if err != nil {
-		return over
+		return closed
 	}
-	// An error tells that the connection is closed here.
+	// An error means that this process has closed the connection.
 	_ = raw.Control(func(fd uintptr) {
 		info, err := unix.GetsockoptTCPInfo(int(fd), unix.IPPROTO_TCP, unix.TCP_INFO)
-		over = err != nil || info.State == unix.BPF_TCP_CLOSE
+		closed = err != nil || info.State == unix.BPF_TCP_CLOSE
 	})
-	return over
+	return closed
 }
 
-// Reset closes a connection with a reset, so that its peer can't take the end for a regular one. One that isn't
-// of TCP is just closed.
+// Reset closes a connection with a reset, so that its peer can't mistake that for a regular end. Other connections
+// than TCP are just closed.
 func Reset(c net.Conn) {
 	if tcp, ok := c.(interface{ SetLinger(seconds int) error }); ok {
-		// One that is over already needs no reset.
+		// A connection that is already closed needs no reset.
 		_ = tcp.SetLinger(0)
 	}
 	c.Close()
--- a/internal/connector/reset_test.go
+++ b/internal/connector/reset_test.go
@@ -15,8 +15,8 @@
 	"github.com/oriolecroft/oriolecroft/internal/connector"
 )
 
-// pair gives both ends of a connection.
-func pair(t *testing.T) (near net.Conn, far *net.TCPConn) {
+// connectionPair returns both ends of a connection.
+func connectionPair(t *testing.T) (near net.Conn, far *net.TCPConn) {
 	t.Helper()
 	l, err := net.Listen("tcp", "127.0.0.1:0")
 	must.NoError(t, err)
@@ -30,7 +30,7 @@
 	return near, accepted.(*net.TCPConn)
 }
 
-// writeUntilError writes until the connection takes no more.
+// writeUntilError writes until a write fails.
 func writeUntilError(t *testing.T, c net.Conn) error {
 	t.Helper()
 	must.NoError(t, c.SetWriteDeadline(time.Now().Add(10*time.Second)))
@@ -41,9 +41,9 @@
 	}
 }
 
-// Guards against a reset that reads take for a regular end, as a write has learned of it.
-func TestResetSeenByAWriteReachesReads(t *testing.T) {
-	near, far := pair(t)
+// Guards against reads that return a regular end after a reset because a write consumed the error.
+func TestResetSeenByWriteIsReportedToReads(t *testing.T) {
+	near, far := connectionPair(t)
 	must.NoError(t, far.SetLinger(0))
 	far.Close()
 	must.ErrorIs(t, writeUntilError(t, near), syscall.ECONNRESET)
@@ -53,9 +53,9 @@
 	}
 }
 
-// Guards against a regular end that reads take for a reset, as the peer reset what was sent to it after that.
-func TestResetBehindARegularEndIsNone(t *testing.T) {
-	near, far := pair(t)
+// Guards against reads that return a reset after a regular end because the peer reset data sent to it later.
+func TestResetAfterRegularEndIsIgnored(t *testing.T) {
+	near, far := connectionPair(t)
 	_, err := far.Write([]byte("whole"))
 	must.NoError(t, err)
 	must.NoError(t, far.CloseWrite())
--- a/internal/forwarder/client_test.go
+++ b/internal/forwarder/client_test.go
@@ -275,7 +275,7 @@
 		"space": {"", " "},
 	} {
 		t.Run(name, func(t *testing.T) {
-			bodyreadertest.Endless(t, head+r.start, r.part, func(a netip.AddrPort) error {
+			bodyreadertest.EndlessReply(t, head+r.start, r.part, func(a netip.AddrPort) error {
 				s, err := client().Generate(t.Context(), a, forwarder.GenerateOrder{Attempt: attempt})
 				must.NoError(t, err)
 				defer s.Close()
--- a/internal/hoster/idle.go
+++ b/internal/hoster/idle.go
@@ -89,7 +89,7 @@
 	i.mu.Lock()
 	defer i.mu.Unlock()
 	for c := range i.conns {
-		if connector.Quiet(c.Conn) && !c.read.Load() {
+		if connector.Reusable(c.Conn) && !c.read.Load() {
 			c.Close()
 			delete(i.conns, c)
 		}
--- a/internal/loader/network_test.go
+++ b/internal/loader/network_test.go
@@ -20,7 +20,7 @@
 func inBubble(t *testing.T, test func(t *testing.T, n *network)) {
 	t.Helper()
 	synctest.Test(t, func(t *testing.T) {
-		t.Cleanup(func() { time.Sleep(connectortest.Settle) })
+		t.Cleanup(func() { time.Sleep(connectortest.SettleTime) })
 		n := &network{}
 		transport := &http.Transport{DialContext: n.Dial}
 		n.client = &http.Client{Transport: transport}
--- a/internal/messenger/arrival_test.go
+++ b/internal/messenger/arrival_test.go
@@ -45,7 +45,7 @@
 func askSlowPeer(t *testing.T, pieces, sent int) (batch registrar.Batch, took time.Duration, err error) {
 	t.Helper()
 	synctest.Test(t, func(t *testing.T) {
-		t.Cleanup(func() { time.Sleep(connectortest.Settle) })
+		t.Cleanup(func() { time.Sleep(connectortest.SettleTime) })
 		var n connectortest.Network
 		l := n.Listen()
 		go sendSlowly(l, pieces, sent)
@@ -76,5 +76,5 @@
 		}
 		time.Sleep(pieceGap)
 	}
-	time.Sleep(connectortest.Settle / 2)
+	time.Sleep(connectortest.SettleTime / 2)
 }
--- a/internal/messenger/timeout_test.go
+++ b/internal/messenger/timeout_test.go
@@ -23,7 +23,7 @@
 // takes the entry's requests for ended.
 func TestTimeoutLeavesOtherCallsAlone(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
-		t.Cleanup(func() { time.Sleep(connectortest.Settle) })
+		t.Cleanup(func() { time.Sleep(connectortest.SettleTime) })
 		var n connectortest.Network
 		var lost atomic.Int32
 		l := n.Listen()
@@ -51,7 +51,7 @@
 // Guards against calls that go on over a connection which has gone silent for good.
 func TestSilentConnectionIsReplaced(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
-		t.Cleanup(func() { time.Sleep(connectortest.Settle) })
+		t.Cleanup(func() { time.Sleep(connectortest.SettleTime) })
 		var n connectortest.Network
 		var dials atomic.Int32
 		over := make(chan struct{})
--- a/internal/propagator/start_test.go
+++ b/internal/propagator/start_test.go
@@ -22,7 +22,7 @@
 // blames, as it asks one peer after the other and the first ones are silent or don't listen yet.
 func TestStartedEntryAsksAllSeedsForBlamesBesideTheTable(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
-		t.Cleanup(func() { time.Sleep(connectortest.Settle) })
+		t.Cleanup(func() { time.Sleep(connectortest.SettleTime) })
 		ctx, stop := context.WithCancel(t.Context())
 		t.Cleanup(stop)
 		c := clock.RealClock{}
--- a/internal/relayer/hedge.go
+++ b/internal/relayer/hedge.go
@@ -78,7 +78,7 @@
 	select {
 	case <-h.done:
 		return true
-	case <-time.After(connector.UnreadWithin):
+	case <-time.After(connector.ReadGrace):
 		return false
 	}
 }
--- a/internal/relayer/memory.go
+++ b/internal/relayer/memory.go
@@ -196,7 +196,7 @@
 
 // endsForMemory tells whether an attempt ended as there was no memory for its reply.
 func endsForMemory(err error) bool {
-	var full *bodyreader.RoomError
+	var full *bodyreader.MemoryError
 	return errors.As(err, &full)
 }
 
--- a/internal/relayer/pool.go
+++ b/internal/relayer/pool.go
@@ -94,7 +94,7 @@
 func (p *Pool) get(ctx context.Context, upstream string, a netip.AddrPort, fresh bool, limit int) (*connection, error) {
 	if !fresh {
 		for c := p.take(upstream); c != nil; c = p.take(upstream) {
-			if p.Clock.Now().Before(c.until) && c.reader.Buffered() == 0 && connector.Quiet(c.Conn) {
+			if p.Clock.Now().Before(c.until) && c.reader.Buffered() == 0 && connector.Reusable(c.Conn) {
 				c.reused = true
 				return c, nil
 			}
--- a/internal/relayer/stall.go
+++ b/internal/relayer/stall.go
@@ -35,7 +35,7 @@
 // readUnread reads what has arrived by the read deadline. Behind a deadline net.Conn doesn't look at the socket, so
 // an entry that was suspended would take its own silence for the upstream's.
 func (c *connection) readUnread(b []byte) (int, error) {
-	if err := c.SetReadDeadline(time.Now().Add(connector.UnreadWithin)); err != nil {
+	if err := c.SetReadDeadline(time.Now().Add(connector.ReadGrace)); err != nil {
 		return 0, err
 	}
 	n, err := c.Conn.Read(b)
--- a/internal/relayer/unread.go
+++ b/internal/relayer/unread.go
@@ -116,7 +116,7 @@
 	}
 	w.looks++
 	from := w.from.Load()
-	if w.note() && from != nil && connector.Over(from.Conn) {
+	if w.note() && from != nil && connector.IsClosed(from.Conn) {
 		// It fails for a connection that is closed already, whose write ends by itself.
 		_ = http.NewResponseController(w.ResponseWriter).SetWriteDeadline(time.Now())
 		return
--- a/internal/syncer/fleet_test.go
+++ b/internal/syncer/fleet_test.go
@@ -485,7 +485,7 @@
 	t.Helper()
 	synctest.Test(t, func(t *testing.T) {
 		// Answers that are under way when all have stopped still take their time.
-		t.Cleanup(func() { time.Sleep(connectortest.Settle) })
+		t.Cleanup(func() { time.Sleep(connectortest.SettleTime) })
 		f := newFleet(t, sh)
 		time.Sleep(10 * time.Second)
 		for _, n := range f.members {
--- a/internal/syncer/large_table_test.go
+++ b/internal/syncer/large_table_test.go
@@ -197,7 +197,7 @@
 			sh := grownShape(delay)
 			sh.table = true
 			synctest.Test(t, func(t *testing.T) {
-				t.Cleanup(func() { time.Sleep(connectortest.Settle) })
+				t.Cleanup(func() { time.Sleep(connectortest.SettleTime) })
 				f := newFleet(t, sh)
 				time.Sleep(within)
 				listed, without := f.starts()
@@ -220,7 +220,7 @@
 			sh := grownShape(delay)
 			sh.table, sh.cut = true, true
 			synctest.Test(t, func(t *testing.T) {
-				t.Cleanup(func() { time.Sleep(connectortest.Settle) })
+				t.Cleanup(func() { time.Sleep(connectortest.SettleTime) })
 				f := newFleet(t, sh)
 				time.Sleep(outage)
 				for _, n := range f.members {
--- a/internal/syncer/network_test.go
+++ b/internal/syncer/network_test.go
@@ -32,7 +32,7 @@
 	t.Helper()
 	synctest.Test(t, func(t *testing.T) {
 		// Registered first, so done last.
-		t.Cleanup(func() { time.Sleep(connectortest.Settle) })
+		t.Cleanup(func() { time.Sleep(connectortest.SettleTime) })
 		s := &store{revision: 1, records: map[string]registrar.Record{}, changed: make(chan struct{})}
 		test(t, &network{}, s)
 	})
--- a/internal/syncer/restart_of_all_test.go
+++ b/internal/syncer/restart_of_all_test.go
@@ -16,7 +16,7 @@
 	sh := shape{entries: 60, regions: 3, agents: 100, upstreams: 230, seeds: seeds, onTime: 2, seedsLater: later, table: true,
 		storeDelay: 4 * time.Millisecond, linkRate: link}
 	synctest.Test(t, func(t *testing.T) {
-		t.Cleanup(func() { time.Sleep(connectortest.Settle) })
+		t.Cleanup(func() { time.Sleep(connectortest.SettleTime) })
 		began := time.Now()
 		f := newFleet(t, sh)
 		if fault != nil {
--- a/internal/syncer/start_together_test.go
+++ b/internal/syncer/start_together_test.go
@@ -23,7 +23,7 @@
 				sh := grownShape(delay)
 				sh.table, sh.upstreams, sh.seeds, sh.seedsLater = true, manyUpstreams, 3, later
 				synctest.Test(t, func(t *testing.T) {
-					t.Cleanup(func() { time.Sleep(connectortest.Settle) })
+					t.Cleanup(func() { time.Sleep(connectortest.SettleTime) })
 					began := time.Now()
 					f := newFleet(t, sh)
 					time.Sleep(within - time.Since(began))
@@ -47,7 +47,7 @@
 	sh := grownShape(4 * time.Millisecond)
 	sh.table, sh.upstreams, sh.seeds, sh.recordTime = true, manyUpstreams, 3, recordTime
 	synctest.Test(t, func(t *testing.T) {
-		t.Cleanup(func() { time.Sleep(connectortest.Settle) })
+		t.Cleanup(func() { time.Sleep(connectortest.SettleTime) })
 		f := newFleet(t, sh)
 		time.Sleep(within)
 		listed, without := f.starts()
