--- a/internal/configurer/agent.go
+++ b/internal/configurer/agent.go
@@ -6,7 +6,7 @@
 	"github.com/integrii/flaggy"
 )
 
-// Agent are the settings of `oriolecroft agent`.
+// Agent contains the settings of `oriolecroft agent`.
 type Agent struct {
 	Listen         string   `envconfig:"LISTEN"`
 	Operators      string   `envconfig:"OPERATORS"`
@@ -28,10 +28,10 @@
 // NewAgent reads the environment.
 func NewAgent() (*Agent, error) {
 	s := new(Agent)
-	return s, fromEnvironment(s)
+	return s, readEnvironment(s)
 }
 
-// Bind adds the flags, whose defaults are what the environment said.
+// Bind adds the flags, whose defaults are the values from the environment.
 func (s *Agent) Bind(sc *flaggy.Subcommand) {
 	sc.String(&s.Listen, "", "listen", "address for requests from entries and chunks to agents [OC_LISTEN]")
 	sc.String(&s.Operators, "", "operators", "address for status, metrics and health [OC_OPERATORS]")
@@ -41,16 +41,16 @@
 	sc.String(&s.ServiceAddress, "", "serviceAddress", "address of that service [OC_SERVICE_ADDRESS]")
 	sc.String(&s.WeightStore, "", "weightStore", "address of the weight store, asked before the origin [OC_WEIGHT_STORE]")
 	sc.String(&s.Origin, "", "origin", "address of the origin of weights, asked last [OC_ORIGIN]")
-	sc.String(&s.SourceRegion, "", "sourceRegion", "region of the weight store and origin; its agents draw for all [OC_SOURCE_REGION]")
-	sc.Int64(&s.Upload, "", "upload", "bytes a second for sending weights to other agents; 0 for no cap [OC_UPLOAD]")
+	sc.String(&s.SourceRegion, "", "sourceRegion", "region of the weight store and origin; its agents fetch weights for all [OC_SOURCE_REGION]")
+	sc.Int64(&s.Upload, "", "upload", "bytes a second for sending weights to other agents; 0 for no limit [OC_UPLOAD]")
 	sc.Int64(&s.Memory, "", "memory", "bytes of memory for weights [OC_MEMORY]")
-	sc.Int(&s.ColdLimit, "", "coldLimit", "how many requests at once a cold upstream bears [OC_COLD_LIMIT]")
-	sc.Int(&s.Limit, "", "limit", "how many requests at once a warm upstream bears [OC_LIMIT]")
-	sc.Int(&s.ReportTo, "", "reportTo", "how many entries are told [OC_REPORT_TO]")
+	sc.Int(&s.ColdLimit, "", "coldLimit", "how many concurrent requests a cold upstream may get [OC_COLD_LIMIT]")
+	sc.Int(&s.Limit, "", "limit", "how many concurrent requests a warm upstream may get [OC_LIMIT]")
+	sc.Int(&s.ReportTo, "", "reportTo", "how many entries get this agent's reports [OC_REPORT_TO]")
 	s.Common.Bind(sc)
 }
 
-// AgentAddresses are an agent's checked addresses; those not set are invalid.
+// AgentAddresses contains an agent's checked addresses; unset ones are invalid.
 type AgentAddresses struct {
 	Listen, Operators, Engine, Service, WeightStore, Origin netip.AddrPort
 	Entries                                                 []netip.AddrPort
@@ -69,33 +69,33 @@
 		Entries:     c.addresses("entrySeeds", s.Entries),
 	}
 	s.checkUpstream(c)
-	c.atLeast("entrySeeds", len(split(s.Entries)), 1)
+	c.atLeast("entrySeeds", len(splitList(s.Entries)), 1)
 	c.atLeast("coldLimit", s.ColdLimit, 1)
 	c.atLeast("limit", s.Limit, s.ColdLimit)
 	c.atLeast("reportTo", s.ReportTo, 1)
 	if s.Upload < 0 {
-		c.add("upload", "%d bytes a second is below zero; leave it out for no cap", s.Upload)
+		c.addFault("upload", "%d bytes a second is negative; omit it for no limit", s.Upload)
 	}
 	if s.Memory <= 0 {
-		c.add("memory", "%d bytes must be above zero", s.Memory)
+		c.addFault("memory", "%d bytes must be positive", s.Memory)
 	}
 	s.check(c, map[string]netip.AddrPort{"listen": a.Listen, "operators": a.Operators})
 	return a, c.err()
 }
 
-// checkUpstream wants exactly one upstream, and for an engine a place to draw
-// weights from.
+// checkUpstream requires exactly one upstream, and for an engine a source of
+// weights.
 func (s *Agent) checkUpstream(c *checker) {
 	switch {
 	case s.Engine != "" && s.Service != "":
-		c.add("engine", "give either an engine or a service, not both")
+		c.addFault("engine", "give either an engine or a service, not both")
 	case s.Engine != "":
 		if s.WeightStore == "" && s.Origin == "" {
-			c.add("origin", "an engine's agent needs --origin or --weightStore")
+			c.addFault("origin", "an engine's agent needs --origin or --weightStore")
 		}
 	case s.Service != "":
-		c.needed("serviceAddress", s.ServiceAddress, "127.0.0.1:9000")
+		c.required("serviceAddress", s.ServiceAddress, "127.0.0.1:9000")
 	default:
-		c.add("engine", "give --engine, or --service with --serviceAddress")
+		c.addFault("engine", "give --engine, or --service with --serviceAddress")
 	}
 }
--- a/internal/configurer/common.go
+++ b/internal/configurer/common.go
@@ -7,7 +7,7 @@
 	"github.com/integrii/flaggy"
 )
 
-// Common are the settings that both daemons have.
+// Common contains the settings that both daemons have.
 type Common struct {
 	ID            string        `envconfig:"ID"`
 	FailureDomain string        `envconfig:"FAILURE_DOMAIN"`
@@ -19,29 +19,29 @@
 	TLS
 }
 
-// Bind adds the flags, whose defaults are what the environment said.
+// Bind adds the flags, whose defaults are the values from the environment.
 func (s *Common) Bind(sc *flaggy.Subcommand) {
 	sc.String(&s.ID, "", "id", "name of this VM, unique in the deployment [OC_ID]")
 	sc.String(&s.FailureDomain, "", "failureDomain", "failure domain of this VM [OC_FAILURE_DOMAIN]")
 	sc.String(&s.Region, "", "region", "region of this VM [OC_REGION]")
-	sc.Duration(&s.FreshFor, "", "freshFor", "how old the word on the bundle may be before new work is refused [OC_FRESH_FOR]")
-	sc.Duration(&s.Heartbeat, "", "heartbeat", "how often our processes give each other a sign of life [OC_HEARTBEAT]")
+	sc.Duration(&s.FreshFor, "", "freshFor", "how old the last confirmation of the bundle may be before new work is refused [OC_FRESH_FOR]")
+	sc.Duration(&s.Heartbeat, "", "heartbeat", "how often processes send each other heartbeats [OC_HEARTBEAT]")
 	sc.Int(&s.Verbosity, "", "verbosity", "how much is logged: 0 decisions, 1 failures of peers, 2 every message [OC_VERBOSITY]")
 	s.Signers.Bind(sc)
 	s.TLS.Bind(sc)
 }
 
-// check looks at what both daemons need; listens are the addresses on which our
-// own processes and operators connect, by setting.
+// check checks the settings of both daemons; listens has the listen addresses for
+// other processes and operators, by setting.
 func (s *Common) check(c *checker, listens map[string]netip.AddrPort) {
-	c.needed("id", s.ID, "vm-7")
-	c.needed("failureDomain", s.FailureDomain, "huon-a")
-	c.needed("region", s.Region, "huon")
+	c.required("id", s.ID, "vm-7")
+	c.required("failureDomain", s.FailureDomain, "huon-a")
+	c.required("region", s.Region, "huon")
 	c.positive("freshFor", s.FreshFor)
 	c.positive("heartbeat", s.Heartbeat)
 	c.atLeast("verbosity", s.Verbosity, 0)
 	if s.Heartbeat > 0 && s.FreshFor < 3*s.Heartbeat {
-		c.add("freshFor", "%v must be at least three heartbeats of %v, or one lost message stops new work", s.FreshFor, s.Heartbeat)
+		c.addFault("freshFor", "%v must be at least three heartbeats of %v, or one lost message stops new work", s.FreshFor, s.Heartbeat)
 	}
 	s.Signers.check(c)
 	s.TLS.check(c, listens)
--- a/internal/configurer/configurer.go
+++ b/internal/configurer/configurer.go
@@ -1,6 +1,6 @@
-// Package configurer reads the settings of the daemons: first the environment,
-// then the command line, which wins. All faults are reported at once, each with
-// what would be right.
+// Package configurer reads the settings of the daemons from the environment and from
+// the command line, which takes precedence. It reports all faults at once, each with
+// its remedy.
 package configurer
 
 import (
@@ -15,18 +15,18 @@
 	"github.com/oriolecroft/oriolecroft/pkg/bundler"
 )
 
-// EnvironmentPrefix stands before the name of each environment variable: the
-// flag --failureDomain is OC_FAILURE_DOMAIN.
+// EnvironmentPrefix is the prefix of all environment variables: the flag
+// --failureDomain is OC_FAILURE_DOMAIN.
 const EnvironmentPrefix = "OC"
 
-// Fault is one setting that can not be used.
+// Fault is one invalid setting.
 type Fault struct {
 	// Setting is the flag's name without dashes.
 	Setting string
 	Problem string
 }
 
-// FaultsError reports every unusable setting.
+// FaultsError reports all invalid settings.
 type FaultsError struct {
 	Faults []Fault
 }
@@ -44,7 +44,7 @@
 	faults []Fault
 }
 
-func (c *checker) add(setting, format string, args ...any) {
+func (c *checker) addFault(setting, format string, args ...any) {
 	c.faults = append(c.faults, Fault{Setting: setting, Problem: fmt.Sprintf(format, args...)})
 }
 
@@ -55,35 +55,35 @@
 	return &FaultsError{Faults: c.faults}
 }
 
-func (c *checker) needed(setting, value, example string) {
+func (c *checker) required(setting, value, example string) {
 	if value == "" {
-		c.add(setting, "must be given, such as %s", example)
+		c.addFault(setting, "is required, such as %s", example)
 	}
 }
 
 func (c *checker) positive(setting string, d time.Duration) {
 	if d <= 0 {
-		c.add(setting, "%v must be above zero", d)
+		c.addFault(setting, "%v must be positive", d)
 	}
 }
 
-func (c *checker) atLeast(setting string, n, least int) {
-	if n < least {
-		c.add(setting, "%d must be at least %d", n, least)
+func (c *checker) atLeast(setting string, n, minimum int) {
+	if n < minimum {
+		c.addFault(setting, "%d must be at least %d", n, minimum)
 	}
 }
 
-// address parses an IP number and port. Names are refused: our processes talk by
-// IP numbers, so that no resolver's outage is ours.
+// address parses an IP address and port. Host names are refused: processes connect by
+// IP address, so that an outage of a resolver does not affect them.
 func (c *checker) address(setting, value string) netip.AddrPort {
 	a, err := netip.ParseAddrPort(value)
 	if err != nil {
-		c.add(setting, "%q is no IP number and port, such as 127.0.0.1:7001", value)
+		c.addFault(setting, "%q is not an IP address and port, such as 127.0.0.1:7001", value)
 	}
 	return a
 }
 
-// optionalAddress is address, but lets the empty string pass.
+// optionalAddress is address, but accepts the empty string.
 func (c *checker) optionalAddress(setting, value string) netip.AddrPort {
 	if value == "" {
 		return netip.AddrPort{}
@@ -93,14 +93,14 @@
 
 func (c *checker) addresses(setting string, values []string) []netip.AddrPort {
 	as := make([]netip.AddrPort, 0, len(values))
-	for _, v := range split(values) {
+	for _, v := range splitList(values) {
 		as = append(as, c.address(setting, v))
 	}
 	return as
 }
 
-// split takes lists written with commas as well as repeated flags.
-func split(values []string) []string {
+// splitList splits lists with commas and joins repeated flags.
+func splitList(values []string) []string {
 	var all []string
 	for _, v := range values {
 		for _, p := range strings.Split(v, ",") {
@@ -112,7 +112,7 @@
 	return all
 }
 
-// Signers are the settings that say whose sign-off counts.
+// Signers contains the settings of whose sign-offs count.
 type Signers struct {
 	Keys       []string `envconfig:"KEYS"`
 	Signatures int      `envconfig:"SIGNATURES" default:"1"`
@@ -124,19 +124,19 @@
 	sc.Int(&s.Signatures, "", "signatures", "how many of them must sign a bundle [OC_SIGNATURES]")
 }
 
-// Keyring is what bundles are checked against.
+// Keyring returns the keyring against which bundles are checked.
 func (s *Signers) Keyring() bundler.Keyring {
-	return bundler.Keyring{Keys: split(s.Keys), Threshold: s.Signatures}
+	return bundler.Keyring{Keys: splitList(s.Keys), Threshold: s.Signatures}
 }
 
 func (s *Signers) check(c *checker) {
 	if err := s.Keyring().Validate(); err != nil {
-		c.add("keys", "%s", strings.ReplaceAll(err.Error(), "\n", "; "))
+		c.addFault("keys", "%s", strings.ReplaceAll(err.Error(), "\n", "; "))
 	}
 }
 
-// fromEnvironment fills a settings struct and its defaults.
-func fromEnvironment(settings any) error {
+// readEnvironment fills a settings struct from the environment and its defaults.
+func readEnvironment(settings any) error {
 	if err := envconfig.Process(EnvironmentPrefix, settings); err != nil {
 		return fmt.Errorf("environment: %w", err)
 	}
--- a/internal/configurer/configurer_test.go
+++ b/internal/configurer/configurer_test.go
@@ -14,7 +14,7 @@
 	"github.com/oriolecroft/oriolecroft/pkg/bundler"
 )
 
-// parse gives an agent's settings from the environment and a command line.
+// parse returns an agent's settings from the environment and a command line.
 func parse(t *testing.T, args ...string) *configurer.Agent {
 	t.Helper()
 	s, err := configurer.NewAgent()
@@ -27,8 +27,8 @@
 	return s
 }
 
-// good are flags that pass, with more after them.
-func good(t *testing.T, more ...string) []string {
+// validArgs returns valid flags, with more after them.
+func validArgs(t *testing.T, more ...string) []string {
 	t.Helper()
 	public, _, err := bundler.GenerateKey()
 	must.NoError(t, err)
@@ -39,8 +39,8 @@
 	}, more...)
 }
 
-// faults are the names of all settings that are at fault.
-func faults(t *testing.T, err error) []string {
+// faultySettings returns the names of all faulty settings.
+func faultySettings(t *testing.T, err error) []string {
 	t.Helper()
 	var f *configurer.FaultsError
 	must.True(t, errors.As(err, &f), must.Sprint(err))
@@ -52,20 +52,20 @@
 	return names
 }
 
-func TestGoodSettingsPass(t *testing.T) {
-	at, err := parse(t, good(t)...).Check()
+func TestValidSettingsPass(t *testing.T) {
+	addresses, err := parse(t, validArgs(t)...).Check()
 	must.NoError(t, err)
-	must.Eq(t, []netip.AddrPort{netip.MustParseAddrPort("127.0.0.1:2"), netip.MustParseAddrPort("127.0.0.1:3")}, at.Entries)
-	must.False(t, at.Service.IsValid())
+	must.Eq(t, []netip.AddrPort{netip.MustParseAddrPort("127.0.0.1:2"), netip.MustParseAddrPort("127.0.0.1:3")}, addresses.Entries)
+	must.False(t, addresses.Service.IsValid())
 }
 
-// An operator mistypes several settings at once. Told of one at a time, they would
-// start the process as often as there are faults, by night and in a hurry.
-func TestAllFaultsAreNamedAtOnce(t *testing.T) {
+// Guards against reporting only the first of several faulty settings: the operator
+// would have to start the process once for each fault.
+func TestAllFaultsAreReportedAtOnce(t *testing.T) {
 	s := parse(t, "--listen", "vm-7:1", "--service", "bookings", "--engine", "127.0.0.1:4", "--coldLimit", "0",
 		"--heartbeat", "0s", "--memory", "-1", "--tlsKey", "key.pem", "--keys", "short")
 	_, err := s.Check()
-	names := faults(t, err)
+	names := faultySettings(t, err)
 	for _, want := range []string{
 		"id", "failureDomain", "region", "listen", "engine", "entrySeeds", "coldLimit", "heartbeat", "memory",
 		"tlsCertificate", "keys",
@@ -74,9 +74,8 @@
 	}
 }
 
-// Half of the settings come from the VM's environment and one is set by hand on
-// the command line, which must win.
-func TestFlagsGoBeforeEnvironment(t *testing.T) {
+// Guards against an environment variable that overrides a flag.
+func TestFlagsOverrideEnvironment(t *testing.T) {
 	t.Setenv("OC_ID", "from-environment")
 	t.Setenv("OC_REGION", "from-environment")
 	t.Setenv("OC_LIMIT", "3")
@@ -89,7 +88,7 @@
 	must.Eq(t, 1, s.ColdLimit)
 }
 
-func TestEnvironmentThatCanNotBeReadIsAnError(t *testing.T) {
+func TestInvalidEnvironmentIsAnError(t *testing.T) {
 	t.Setenv("OC_HEARTBEAT", "soon")
 	_, err := configurer.NewAgent()
 	must.ErrorContains(t, err, "OC_HEARTBEAT")
@@ -97,27 +96,27 @@
 	must.ErrorContains(t, err, "OC_HEARTBEAT")
 }
 
-// A process listens where others can listen in, and no certificate is given. Anyone
-// there could sign off nothing, but order an agent to book.
-func TestOffLoopbackNeedsTLS(t *testing.T) {
+// Guards against a process that listens beyond loopback without a certificate: anyone
+// there could order an agent to book, though not sign off a bundle.
+func TestNonLoopbackAddressNeedsTLS(t *testing.T) {
 	for address, fault := range map[string]bool{
 		"127.0.0.1:1": false, "127.9.9.9:1": false, "[::1]:1": false,
 		"10.0.0.7:1": true, "0.0.0.0:1": true, "[::]:1": true, "[fe80::1]:1": true,
 	} {
-		_, err := parse(t, good(t, "--listen", address)...).Check()
+		_, err := parse(t, validArgs(t, "--listen", address)...).Check()
 		if !fault {
 			must.NoError(t, err, must.Sprint(address))
 			continue
 		}
-		must.Eq(t, []string{"listen"}, faults(t, err))
+		must.Eq(t, []string{"listen"}, faultySettings(t, err))
 		must.StrContains(t, err.Error(), "--tlsCertificate")
-		_, err = parse(t, good(t, "--listen", address,
+		_, err = parse(t, validArgs(t, "--listen", address,
 			"--tlsCertificate", "c", "--tlsKey", "k", "--tlsAuthority", "a")...).Check()
 		must.NoError(t, err)
 	}
 }
 
-func TestUpstreamIsOneOfBoth(t *testing.T) {
+func TestUpstreamSettingsAreChecked(t *testing.T) {
 	for change, want := range map[string]string{
 		"--engine=":                                   "engine",
 		"--origin=":                                   "origin",
@@ -130,20 +129,20 @@
 		"--entrySeeds=127.0.0.1:2,entry-1:7":          "entrySeeds",
 		"--tlsCertificate=c.pem --tlsAuthority=a.pem": "tlsCertificate",
 	} {
-		_, err := parse(t, good(t, strings.Fields(change)...)...).Check()
-		must.Eq(t, []string{want}, faults(t, err), must.Sprint(change))
+		_, err := parse(t, validArgs(t, strings.Fields(change)...)...).Check()
+		must.Eq(t, []string{want}, faultySettings(t, err), must.Sprint(change))
 	}
 }
 
-// An entry whose freshness ends before the next heartbeat would refuse everything
-// between two of them.
+// Guards against an entry whose FreshFor is too short for its heartbeats: it would refuse
+// all new work after one lost message.
 func TestEntryFaults(t *testing.T) {
 	s, err := configurer.NewEntry()
 	must.NoError(t, err)
 	s.FreshFor = 2 * s.Heartbeat
 	s.Entries = 0
 	_, err = s.Check()
-	names := faults(t, err)
+	names := faultySettings(t, err)
 	for _, want := range []string{"id", "failureDomain", "region", "callers", "peers", "operators", "store", "entries", "freshFor", "keys"} {
 		must.SliceContains(t, names, want)
 	}
--- a/internal/configurer/entry.go
+++ b/internal/configurer/entry.go
@@ -7,7 +7,7 @@
 	"github.com/integrii/flaggy"
 )
 
-// Entry are the settings of `oriolecroft entry`.
+// Entry contains the settings of `oriolecroft entry`.
 type Entry struct {
 	Callers     string        `envconfig:"CALLERS"`
 	Peers       string        `envconfig:"PEERS"`
@@ -29,10 +29,10 @@
 // NewEntry reads the environment.
 func NewEntry() (*Entry, error) {
 	s := new(Entry)
-	return s, fromEnvironment(s)
+	return s, readEnvironment(s)
 }
 
-// Bind adds the flags, whose defaults are what the environment said.
+// Bind adds the flags, whose defaults are the values from the environment.
 func (s *Entry) Bind(sc *flaggy.Subcommand) {
 	sc.String(&s.Callers, "", "callers", "address on which callers connect [OC_CALLERS]")
 	sc.String(&s.Peers, "", "peers", "address on which agents and other entries connect [OC_PEERS]")
@@ -40,18 +40,18 @@
 	sc.String(&s.Store, "", "store", "address of the platform's key-value service [OC_STORE]")
 	sc.String(&s.List, "", "list", "address of the platform's list of VMs [OC_LIST]")
 	sc.StringSlice(&s.Seeds, "", "seeds", "peer addresses of some other entries, with commas or repeated [OC_SEEDS]")
-	sc.String(&s.StoreRegion, "", "storeRegion", "region of the key-value service, whose entries witness its outages [OC_STORE_REGION]")
+	sc.String(&s.StoreRegion, "", "storeRegion", "region of the key-value service, whose entries detect its outages [OC_STORE_REGION]")
 	sc.Int(&s.Entries, "", "entries", "how many entries the deployment has [OC_ENTRIES]")
 	sc.Duration(&s.KeepFor, "", "keepFor", "how long callers may keep the list of entries [OC_KEEP_FOR]")
 	sc.Duration(&s.Deadline, "", "deadline", "longest time for one request [OC_DEADLINE]")
-	sc.Duration(&s.QueueFor, "", "queueFor", "longest time a request waits in line for a replica [OC_QUEUE_FOR]")
+	sc.Duration(&s.QueueFor, "", "queueFor", "longest time a request waits in the queue for a replica [OC_QUEUE_FOR]")
 	sc.Duration(&s.ResumeFor, "", "resumeFor", "how long a stream that was cut waits for its agent to return [OC_RESUME_FOR]")
-	sc.Duration(&s.StallFor, "", "stallFor", "how long an agent may bring nothing before an attempt is given up [OC_STALL_FOR]")
-	sc.Int(&s.Concurrent, "", "concurrent", "how many requests this entry carries at once [OC_CONCURRENT]")
+	sc.Duration(&s.StallFor, "", "stallFor", "how long an agent may send nothing before an attempt is given up [OC_STALL_FOR]")
+	sc.Int(&s.Concurrent, "", "concurrent", "how many concurrent requests this entry serves [OC_CONCURRENT]")
 	s.Common.Bind(sc)
 }
 
-// EntryAddresses are an entry's checked addresses.
+// EntryAddresses contains an entry's checked addresses.
 type EntryAddresses struct {
 	Callers, Peers, Operators, Store, List netip.AddrPort
 	Seeds                                  []netip.AddrPort
--- a/internal/configurer/tls.go
+++ b/internal/configurer/tls.go
@@ -9,7 +9,7 @@
 	"github.com/oriolecroft/oriolecroft/internal/certifier"
 )
 
-// TLS are the settings of certificates, the same for daemons and commands.
+// TLS contains the settings of certificates, the same for daemons and commands.
 type TLS struct {
 	Certificate string `envconfig:"TLS_CERTIFICATE"`
 	Key         string `envconfig:"TLS_KEY"`
@@ -23,7 +23,7 @@
 	sc.String(&s.Authority, "", "tlsAuthority", "PEM file with the deployment's authority [OC_TLS_AUTHORITY]")
 }
 
-// Certifier gives what the settings say: nil when none is given.
+// Certifier returns the certifier of the settings, nil if there is no certificate.
 func (s *TLS) Certifier() (*certifier.Certifier, error) {
 	if s.Certificate == "" {
 		return nil, nil
@@ -37,7 +37,7 @@
 	return c, c.Load()
 }
 
-// check wants all files or none, and none only where nobody else can listen in.
+// check requires all files or none, and allows none only on loopback.
 func (s *TLS) check(c *checker, listens map[string]netip.AddrPort) {
 	given := 0
 	for _, f := range []string{s.Certificate, s.Key, s.Authority} {
@@ -46,14 +46,14 @@
 		}
 	}
 	if given == 1 || given == 2 {
-		c.add("tlsCertificate", "give --tlsCertificate, --tlsKey and --tlsAuthority together, or none of them")
+		c.addFault("tlsCertificate", "give --tlsCertificate, --tlsKey and --tlsAuthority together, or none of them")
 	}
 	if given > 0 {
 		return
 	}
 	for setting, a := range listens {
 		if a.IsValid() && !a.Addr().IsLoopback() {
-			c.add(setting, "%v is not on loopback: give --tlsCertificate, --tlsKey and --tlsAuthority", a)
+			c.addFault(setting, "%v is not on loopback: give --tlsCertificate, --tlsKey and --tlsAuthority", a)
 		}
 	}
 }
