--- a/internal/lister/list.go
+++ b/internal/lister/list.go
@@ -1,5 +1,5 @@
-// Package lister meets the platform's list of VMs. The list lags: it may still
-// name a VM that has gone, and it learns late of one that has come.
+// Package lister is the client of the platform's list of VMs. The list lags: it may
+// still contain VMs that have been removed, and new ones appear late.
 package lister
 
 import (
@@ -21,13 +21,13 @@
 	RoleUpstream = "upstream"
 )
 
-// stateLeaving is the wire's word for a VM that is being taken away.
+// stateLeaving is the state, in the API, of a VM that is being removed.
 const stateLeaving = "leaving"
 
-// DefaultTimeout bounds a call when HTTP.Timeout is zero.
+// DefaultTimeout limits a call if HTTP.Timeout is zero.
 const DefaultTimeout = 2 * time.Second
 
-// maxAnswer bounds what is read of one answer, in bytes.
+// maxAnswer limits one response, in bytes.
 const maxAnswer = 64 << 20
 
 // VM is one machine of the deployment.
@@ -35,11 +35,11 @@
 	ID string
 	// Role is RoleEntry or RoleUpstream.
 	Role string
-	// Address is where our process on the VM listens.
+	// Address is the address of the entry or agent on the VM.
 	Address       netip.AddrPort
 	FailureDomain string
 	Region        string
-	// Leaving VMs are to get no new work.
+	// Leaving VMs must not get new work.
 	Leaving bool
 }
 
@@ -48,21 +48,21 @@
 	VMs(ctx context.Context) ([]VM, error)
 }
 
-// HTTP is the list behind its HTTP wire (docs/PEERS.md).
+// HTTP is a client of the list's HTTP API (docs/PEERS.md).
 type HTTP struct {
 	Address netip.AddrPort
-	// Timeout bounds each call from dial to the last byte.
+	// Timeout limits each call from dial to the last byte.
 	Timeout time.Duration
-	// Client makes the calls; nil means one of its own.
+	// Client makes the calls; nil means a client of its own.
 	Client *http.Client
 
-	once sync.Once
-	own  *http.Client
+	once          sync.Once
+	defaultClient *http.Client
 }
 
 var _ List = (*HTTP)(nil)
 
-// StatusError reports an answer other than success.
+// StatusError reports a response with a status other than 200.
 type StatusError struct {
 	// Status is the HTTP status.
 	Status int
@@ -132,7 +132,7 @@
 	h.once.Do(func() {
 		t := connector.NewTransport(connector.DialContext)
 		t.MaxIdleConnsPerHost, t.IdleConnTimeout = 1, time.Minute
-		h.own = &http.Client{Transport: t}
+		h.defaultClient = &http.Client{Transport: t}
 	})
-	return h.own
+	return h.defaultClient
 }
--- a/internal/lister/list_test.go
+++ b/internal/lister/list_test.go
@@ -36,16 +36,16 @@
 	must.Error(t, err)
 }
 
-// Guards against VMs that count as gone because the list was cut.
-func TestCutListIsNoList(t *testing.T) {
+// Guards against VMs that count as removed because the list was truncated.
+func TestTruncatedListIsAnError(t *testing.T) {
 	text := "HTTP/1.1 200 OK\r\nContent-Length: 900\r\n\r\n{\"vms\":[]}"
 	l := &lister.HTTP{Address: bodyreadertest.Serve(t, text, bodyreadertest.Close)}
 	_, err := l.VMs(t.Context())
 	must.Error(t, err)
 }
 
-// Guards against a list whose head has no end.
-func TestEndlessHeadIsNoList(t *testing.T) {
+// Guards against a list that sends endless response headers.
+func TestEndlessHeadIsAnError(t *testing.T) {
 	bodyreadertest.EndlessHeads(t, func(a netip.AddrPort) error {
 		_, err := (&lister.HTTP{Address: a}).VMs(t.Context())
 		return err
--- a/internal/storer/http.go
+++ b/internal/storer/http.go
@@ -20,25 +20,25 @@
 	"github.com/oriolecroft/oriolecroft/internal/connector"
 )
 
-// DefaultTimeout bounds a call when HTTP.Timeout is zero.
+// DefaultTimeout limits a call if HTTP.Timeout is zero.
 const DefaultTimeout = 2 * time.Second
 
-// maxAnswer bounds what is read of one answer, in bytes: a value of a megabyte
-// is 4/3 of that in base64, and a list has several.
+// maxAnswer limits one response, in bytes: a value of a megabyte takes 4/3 of that in
+// base64, and a list has several.
 const maxAnswer = 64 << 20
 
-// HTTP is the service behind its HTTP wire (docs/PEERS.md).
+// HTTP is a client of the service's HTTP API (docs/PEERS.md).
 type HTTP struct {
 	Address netip.AddrPort
-	// Timeout bounds each call from dial to the last byte; a watch gets its wait
-	// on top. A watch that dies without an error (the service forgot it, or a
-	// device on the path dropped the connection) would otherwise wait for ever.
+	// Timeout limits each call from dial to the last byte; for a watch, its wait is
+	// added. A watch that ends without an error (the service lost it, or a device on
+	// the path dropped the connection) would otherwise wait for ever.
 	Timeout time.Duration
-	// Client makes the calls; nil means one of its own.
+	// Client makes the calls; nil means a client of its own.
 	Client *http.Client
 
-	once sync.Once
-	own  *http.Client
+	once          sync.Once
+	defaultClient *http.Client
 }
 
 var _ Store = (*HTTP)(nil)
@@ -51,11 +51,11 @@
 	query   url.Values
 	body    []byte
 	wait    time.Duration
-	// write marks calls whose lost answer leaves the outcome unknown.
-	write bool
+	// isWrite is set for calls whose outcome is unknown if the response is lost.
+	isWrite bool
 }
 
-// answer is what came back, read to its end.
+// answer is a response, read to its end.
 type answer struct {
 	status int
 	body   []byte
@@ -92,7 +92,7 @@
 	if lease != "" {
 		q.Set("lease", lease)
 	}
-	c := call{op: "put", key: key, method: http.MethodPut, path: "/kv/" + key, query: q, body: value, write: true}
+	c := call{op: "put", key: key, method: http.MethodPut, path: "/kv/" + key, query: q, body: value, isWrite: true}
 	a, err := h.do(ctx, c)
 	if err != nil {
 		return 0, err
@@ -109,7 +109,7 @@
 // Delete implements Store.
 func (h *HTTP) Delete(ctx context.Context, key string, version uint64) error {
 	q := url.Values{"version": {strconv.FormatUint(version, 10)}}
-	_, err := h.do(ctx, call{op: "delete", key: key, method: http.MethodDelete, path: "/kv/" + key, query: q, write: true})
+	_, err := h.do(ctx, call{op: "delete", key: key, method: http.MethodDelete, path: "/kv/" + key, query: q, isWrite: true})
 	return err
 }
 
@@ -135,7 +135,7 @@
 
 // Grant implements Store.
 func (h *HTTP) Grant(ctx context.Context, ttl time.Duration) (string, error) {
-	c := call{op: "grant", method: http.MethodPost, path: "/leases", query: url.Values{"ttl": {ttl.String()}}, write: true}
+	c := call{op: "grant", method: http.MethodPost, path: "/leases", query: url.Values{"ttl": {ttl.String()}}, isWrite: true}
 	a, err := h.do(ctx, c)
 	if err != nil {
 		return "", err
@@ -151,7 +151,7 @@
 
 // Renew implements Store.
 func (h *HTTP) Renew(ctx context.Context, lease string) error {
-	_, err := h.do(ctx, call{op: "renew", key: lease, method: http.MethodPost, path: "/leases/" + lease + "/renew", write: true})
+	_, err := h.do(ctx, call{op: "renew", key: lease, method: http.MethodPost, path: "/leases/" + lease + "/renew", isWrite: true})
 	return err
 }
 
@@ -178,9 +178,9 @@
 	trace := &httptrace.ClientTrace{GotConn: func(httptrace.GotConnInfo) { connected = true }}
 	a, err := h.roundTrip(httptrace.WithClientTrace(ctx, trace), c)
 	if err != nil {
-		// Until there was a connection nothing can have been sent. After that,
-		// bytes may have reached the service even if writing them failed here.
-		if c.write && connected {
+		// Without a connection nothing can have been sent. After that, bytes may
+		// have reached the service even if the write failed.
+		if c.isWrite && connected {
 			return nil, &UnknownError{Op: c.op, Key: c.key, Err: err}
 		}
 		return nil, &UnavailableError{Op: c.op, Key: c.key, Err: err}
@@ -211,7 +211,7 @@
 	return &answer{status: res.StatusCode, body: data}, nil
 }
 
-// check turns an answer that is no success into an error.
+// check turns a response other than 2xx into an error.
 func (c call) check(a *answer) error {
 	if a.status/100 == 2 {
 		return nil
@@ -233,7 +233,7 @@
 		return &UnavailableError{Op: c.op, Key: c.key, Err: failure}
 	case a.status/100 == 4:
 		return &RefusedError{Op: c.op, Key: c.key, Status: a.status, Text: out.Error}
-	case c.write:
+	case c.isWrite:
 		return &UnknownError{Op: c.op, Key: c.key, Err: failure}
 	default:
 		return &UnavailableError{Op: c.op, Key: c.key, Err: failure}
@@ -254,7 +254,7 @@
 	h.once.Do(func() {
 		t := connector.NewTransport(connector.DialContext)
 		t.MaxIdleConnsPerHost, t.IdleConnTimeout = 4, time.Minute
-		h.own = &http.Client{Transport: t}
+		h.defaultClient = &http.Client{Transport: t}
 	})
-	return h.own
+	return h.defaultClient
 }
--- a/internal/storer/http_test.go
+++ b/internal/storer/http_test.go
@@ -18,7 +18,7 @@
 	"github.com/oriolecroft/oriolecroft/standins/imitator"
 )
 
-func inStore(t *testing.T, f func(t *testing.T, s *storer.HTTP, link *storertest.Transport, faults func(string))) {
+func runWithStore(t *testing.T, f func(t *testing.T, s *storer.HTTP, link *storertest.Transport, faults func(string))) {
 	synctest.Test(t, func(t *testing.T) {
 		kv := (&imitator.KV{Seed: 1}).Handler()
 		link := &storertest.Transport{Handler: kv}
@@ -32,7 +32,7 @@
 }
 
 func TestCompareAndSwap(t *testing.T) {
-	inStore(t, func(t *testing.T, s *storer.HTTP, _ *storertest.Transport, _ func(string)) {
+	runWithStore(t, func(t *testing.T, s *storer.HTTP, _ *storertest.Transport, _ func(string)) {
 		_, err := s.Get(t.Context(), "a/b c")
 		var missing *storer.NotFoundError
 		must.True(t, errors.As(err, &missing))
@@ -49,8 +49,8 @@
 	})
 }
 
-func TestLeaseLapses(t *testing.T) {
-	inStore(t, func(t *testing.T, s *storer.HTTP, _ *storertest.Transport, _ func(string)) {
+func TestLeaseExpires(t *testing.T) {
+	runWithStore(t, func(t *testing.T, s *storer.HTTP, _ *storertest.Transport, _ func(string)) {
 		lease, err := s.Grant(t.Context(), 5*time.Second)
 		must.NoError(t, err)
 		_, err = s.Put(t.Context(), "k", nil, 0, lease)
@@ -66,7 +66,7 @@
 }
 
 func TestWatch(t *testing.T) {
-	inStore(t, func(t *testing.T, s *storer.HTTP, _ *storertest.Transport, _ func(string)) {
+	runWithStore(t, func(t *testing.T, s *storer.HTTP, _ *storertest.Transport, _ func(string)) {
 		_, err := s.Watch(t.Context(), "k", 0, time.Second)
 		var unchanged *storer.UnchangedError
 		must.True(t, errors.As(err, &unchanged))
@@ -77,24 +77,24 @@
 	})
 }
 
-// A watch's connection dies without an error. Without a bound of its own the
-// caller would wait in it for good and never hear of a change again.
-func TestDeadWatchEnds(t *testing.T) {
-	inStore(t, func(t *testing.T, s *storer.HTTP, _ *storertest.Transport, faults func(string)) {
+// Guards against a watch without a timeout: if its connection fails without an error, the
+// caller would wait for ever and never learn of a change again.
+func TestUnresponsiveWatchTimesOut(t *testing.T) {
+	runWithStore(t, func(t *testing.T, s *storer.HTTP, _ *storertest.Transport, faults func(string)) {
 		faults(`{"deadWatches":true}`)
-		begin := time.Now()
+		start := time.Now()
 		_, err := s.Watch(t.Context(), "k", 0, 20*time.Second)
 		var unavailable *storer.UnavailableError
 		must.True(t, errors.As(err, &unavailable))
-		must.Eq(t, 20*time.Second+storer.DefaultTimeout, time.Since(begin))
+		must.Eq(t, 20*time.Second+storer.DefaultTimeout, time.Since(start))
 	})
 }
 
-// A write takes effect and its answer is lost, or the store says that it is down,
-// or it cannot be reached at all. Calling the first one "did not happen" makes an
-// operator undo or repeat what is in force.
+// Guards against errors that confuse a write that took effect but whose response was lost
+// with one that failed because the store was down or unreachable: an operator would undo
+// or repeat a change that is in force.
 func TestOutcomeOfFailedWrites(t *testing.T) {
-	inStore(t, func(t *testing.T, s *storer.HTTP, link *storertest.Transport, faults func(string)) {
+	runWithStore(t, func(t *testing.T, s *storer.HTTP, link *storertest.Transport, faults func(string)) {
 		var (
 			unknown     *storer.UnknownError
 			unavailable *storer.UnavailableError
@@ -119,8 +119,8 @@
 	})
 }
 
-// Guards against a store whose answers have heads without end.
-func TestEndlessHeadIsNoAnswer(t *testing.T) {
+// Guards against a store that sends endless response headers.
+func TestEndlessHeadIsAnError(t *testing.T) {
 	bodyreadertest.EndlessHeads(t, func(a netip.AddrPort) error {
 		_, err := (&storer.HTTP{Address: a}).Get(t.Context(), "k")
 		return err
--- a/internal/storer/store.go
+++ b/internal/storer/store.go
@@ -1,5 +1,5 @@
-// Package storer meets the platform's key-value service: compare-and-swap,
-// leases and watches, with errors that say whether a write can have taken effect.
+// Package storer is the client of the platform's key-value service: compare-and-swap,
+// leases and watches, with errors that state whether a write may have taken effect.
 package storer
 
 import (
@@ -18,22 +18,22 @@
 
 // Store is the key-value service. All methods are safe for concurrent use.
 type Store interface {
-	// Get reads one key; *NotFoundError when there is none.
+	// Get reads one key; *NotFoundError if it does not exist.
 	Get(ctx context.Context, key string) (Item, error)
 	// Put writes the key if its version is the given one; version 0 means that
-	// the key must not exist. The key goes with the lease, unless that is empty.
-	// It gives the new version, *ConflictError or *UnknownError.
+	// the key must not exist. The key is deleted when the lease expires, unless lease
+	// is empty. It returns the new version, *ConflictError or *UnknownError.
 	Put(ctx context.Context, key string, value []byte, version uint64, lease string) (uint64, error)
 	// Delete removes the key if its version is the given one.
 	Delete(ctx context.Context, key string, version uint64) error
 	// List reads all keys with the prefix.
 	List(ctx context.Context, prefix string) ([]Item, error)
 	// Watch waits until the key's version is above after; *UnchangedError once
-	// wait is over, *NotFoundError when the key was deleted.
+	// wait is over, *NotFoundError if the key was deleted.
 	Watch(ctx context.Context, key string, after uint64, wait time.Duration) (Item, error)
-	// Grant makes a lease that lapses after ttl unless renewed.
+	// Grant creates a lease that expires after ttl unless renewed.
 	Grant(ctx context.Context, ttl time.Duration) (string, error)
-	// Renew starts the lease's ttl again; *NotFoundError once it has lapsed.
+	// Renew restarts the lease's ttl; *NotFoundError once it has expired.
 	Renew(ctx context.Context, lease string) error
 }
 
@@ -47,7 +47,7 @@
 // ConflictError reports a write whose condition did not hold.
 type ConflictError struct {
 	Key string
-	// Version is the key's present one, 0 when it does not exist.
+	// Version is the key's current version, 0 if it does not exist.
 	Version uint64
 }
 
@@ -67,8 +67,8 @@
 
 func (e *UnavailableError) Unwrap() error { return e.Err }
 
-// UnknownError reports a write that may or may not have taken effect: it was
-// sent, and no answer came. Only reading the key again can tell.
+// UnknownError reports a write that may or may not have taken effect: it was sent, but
+// the response was lost. Only reading the key again resolves that.
 type UnknownError struct {
 	Op, Key string
 	Err     error
@@ -83,7 +83,7 @@
 // UnchangedError reports a watch that ended without a change.
 type UnchangedError struct {
 	Key string
-	// After is the version that the key has not passed.
+	// After is the version given to Watch.
 	After uint64
 }
 
@@ -91,8 +91,8 @@
 	return fmt.Sprintf("store: %q has not changed since version %d", e.Key, e.After)
 }
 
-// RefusedError reports a call that the service found wrong in itself, such as a
-// value above a megabyte. It did not take effect and repeating it is no use.
+// RefusedError reports a call that the service refused as invalid, such as a value
+// above a megabyte. It did not take effect, and a retry would fail as well.
 type RefusedError struct {
 	Op, Key string
 	// Status is the HTTP status.
@@ -104,10 +104,10 @@
 	return fmt.Sprintf("store: %s %q: refused (%d): %s", e.Op, e.Key, e.Status, e.Text)
 }
 
-// CompactedError reports a watch that asked for history which is no longer there. The
-// reader has to start anew from a list.
+// CompactedError reports a watch that requested history which the service has deleted.
+// The reader has to start again from a list.
 type CompactedError struct {
-	// After is the version from which it asked on.
+	// After is the version given to the watch.
 	After uint64
 }
 
--- a/internal/storer/storertest/transport.go
+++ b/internal/storer/storertest/transport.go
@@ -1,5 +1,5 @@
 // Package storertest connects a storer.HTTP to a handler in the same process, so
-// that tests run the real wire in virtual time, without sockets.
+// that tests run the real protocol in virtual time, without sockets.
 package storertest
 
 import (
@@ -10,13 +10,13 @@
 	"sync/atomic"
 )
 
-// Transport is an http.RoundTripper that calls a handler. A handler that aborts
-// looks to the client like a connection that broke.
+// Transport is an http.RoundTripper that calls a handler. To the client, a handler that
+// panics looks like a broken connection.
 type Transport struct {
 	Handler http.Handler
-	// Cut, if set and true, swallows each call until its context ends.
+	// Cut, if true, blocks each call until its context ends.
 	Cut atomic.Bool
-	// Calls counts the calls, the swallowed ones included.
+	// Calls counts the calls, including blocked ones.
 	Calls atomic.Int64
 }
 
