--- a/internal/certifier/certifier.go
+++ b/internal/certifier/certifier.go
@@ -1,6 +1,6 @@
-// Package certifier gives our processes their TLS: each proves itself to the other
-// by a certificate of the deployment's own authority. Files are read anew when
-// they change, so that certificates are replaced without a restart.
+// Package certifier provides mutual TLS between the processes of a deployment, with
+// certificates of the deployment's own authority. Files are reloaded when they
+// change, so that certificates can be replaced without a restart.
 package certifier
 
 import (
@@ -20,15 +20,15 @@
 	"github.com/oriolecroft/oriolecroft/internal/connector"
 )
 
-// reloadEvery is how often the files are looked at.
-const reloadEvery = 2 * time.Second
+// reloadInterval is how often the files are checked for changes.
+const reloadInterval = 2 * time.Second
 
-// dialTimeout is how long a peer may take to accept a connection. Regions are
-// milliseconds apart; one that takes longer is as good as gone.
+// dialTimeout limits the connection to a peer, and the handshake. Regions are
+// milliseconds apart, so a peer that takes longer counts as unreachable.
 const dialTimeout = 500 * time.Millisecond
 
-// Certifier holds a process's certificate and the authority that it trusts. A nil
-// one stands for plain connections, as between processes on one machine.
+// Certifier has a process's certificate and the authority that it trusts. A nil
+// Certifier means plain connections, as between processes on one machine.
 type Certifier struct {
 	// CertificateFile, KeyFile and AuthorityFile are PEM files.
 	CertificateFile, KeyFile, AuthorityFile string
@@ -38,16 +38,16 @@
 	current identity
 }
 
-// identity is what the files held when last read.
+// identity is the content of the files when last read.
 type identity struct {
 	certificate *tls.Certificate
 	authority   *x509.CertPool
-	changed     time.Time
+	modified    time.Time
 }
 
-// Load reads the files; it must have succeeded once before connections are made.
+// Load reads the files; it must have succeeded once before any connection is made.
 func (c *Certifier) Load() error {
-	changed, err := c.lastChange()
+	changed, err := c.lastModified()
 	if err != nil {
 		return oops.Wrapf(err, "TLS files")
 	}
@@ -65,12 +65,12 @@
 	}
 	c.mu.Lock()
 	defer c.mu.Unlock()
-	c.current = identity{certificate: &pair, authority: pool, changed: changed}
+	c.current = identity{certificate: &pair, authority: pool, modified: changed}
 	return nil
 }
 
-// lastChange is the newest time of change of the files.
-func (c *Certifier) lastChange() (time.Time, error) {
+// lastModified returns the latest modification time of the files.
+func (c *Certifier) lastModified() (time.Time, error) {
 	var last time.Time
 	for _, f := range []string{c.CertificateFile, c.KeyFile, c.AuthorityFile} {
 		info, err := os.Stat(f)
@@ -84,11 +84,11 @@
 	return last, nil
 }
 
-// Serve reads the files anew whenever they change, until the context ends. Files
-// that can't be used, such as a certificate whose key is yet to be written, leave
-// the ones in use as they are.
+// Serve reloads the files whenever they change, until the context ends. If they are
+// invalid, such as a certificate whose key is yet to be written, the previous ones
+// stay in use.
 func (c *Certifier) Serve(ctx context.Context) error {
-	t := c.Clock.NewTicker(reloadEvery)
+	t := c.Clock.NewTicker(reloadInterval)
 	defer t.Stop()
 	for {
 		select {
@@ -103,15 +103,15 @@
 func (c *Certifier) String() string { return "certificates" }
 
 func (c *Certifier) reload() {
-	changed, err := c.lastChange()
-	if err == nil && changed.Equal(c.identity().changed) {
+	changed, err := c.lastModified()
+	if err == nil && changed.Equal(c.identity().modified) {
 		return
 	}
 	if err := c.Load(); err != nil {
-		klog.ErrorS(err, "TLS files can not be used, going on with those before")
+		klog.ErrorS(err, "Failed to reload TLS files, keeping the previous ones")
 		return
 	}
-	klog.InfoS("TLS files read anew", "certificate", c.CertificateFile)
+	klog.InfoS("Reloaded TLS files", "certificate", c.CertificateFile)
 }
 
 func (c *Certifier) identity() identity {
@@ -120,8 +120,8 @@
 	return c.current
 }
 
-// Listen wraps a listener: only those with a certificate of the authority get
-// through. A nil certifier gives the listener back.
+// Listen wraps a listener so that only peers with a certificate of the authority can
+// connect. A nil certifier returns the listener itself.
 func (c *Certifier) Listen(l net.Listener) net.Listener {
 	if c == nil || l == nil {
 		return l
@@ -140,9 +140,9 @@
 	})
 }
 
-// Dial connects to a peer and makes sure that it is one. Every error is a
-// *net.OpError of the operation "dial": nothing was sent before the handshake had
-// ended, so that whatever was to be sent has certainly not run.
+// Dial connects to a peer and verifies its certificate. Every error is a
+// *net.OpError of the operation "dial": nothing is sent before the handshake ends, so
+// the request has certainly not run.
 func (c *Certifier) Dial(ctx context.Context, _, address string) (net.Conn, error) {
 	d := net.Dialer{Timeout: dialTimeout}
 	raw, err := d.DialContext(ctx, "tcp", address)
@@ -153,7 +153,7 @@
 	if c == nil {
 		return raw, nil
 	}
-	to, err := netip.ParseAddrPort(address)
+	peer, err := netip.ParseAddrPort(address)
 	if err != nil {
 		raw.Close()
 		return nil, dialError(raw, err)
@@ -161,7 +161,7 @@
 	i := c.identity()
 	conn := tls.Client(raw, &tls.Config{
 		MinVersion:   tls.VersionTLS13,
-		ServerName:   to.Addr().String(),
+		ServerName:   peer.Addr().String(),
 		Certificates: []tls.Certificate{*i.certificate},
 		RootCAs:      i.authority,
 	})
--- a/internal/certifier/certifier_test.go
+++ b/internal/certifier/certifier_test.go
@@ -110,13 +110,13 @@
 		return nil, err
 	}
 	t.Cleanup(func() { conn.Close() })
-	// A plain client waits for the server's byte, the server for its handshake.
+	// Without TLS the client waits for the server's byte and the server for a handshake.
 	must.NoError(t, conn.SetReadDeadline(time.Now().Add(time.Second)))
 	_, err = io.ReadFull(conn, make([]byte, 1))
 	return conn, err
 }
 
-func TestOnlyTheAuthoritysOwnGetThrough(t *testing.T) {
+func TestOtherAuthoritiesAreRefused(t *testing.T) {
 	a := newAuthority(t)
 	server := a.issue(t, t.TempDir(), 2)
 	must.NoError(t, server.Load())
@@ -136,10 +136,10 @@
 	must.Error(t, err)
 }
 
-// A peer is not one of ours, or its certificate has lapsed. Were the failed
-// handshake not told apart from a broken connection, an entry would have to call a
-// booking that it never sent "unknown".
-func TestFailedHandshakeIsAFailedDial(t *testing.T) {
+// Guards against a failed handshake, with a foreign peer or an expired certificate, that
+// looks like a broken connection: an entry would report "unknown" for a booking that it
+// never sent.
+func TestFailedHandshakeIsADialError(t *testing.T) {
 	server := newAuthority(t).issue(t, t.TempDir(), 2)
 	must.NoError(t, server.Load())
 	client := newAuthority(t).issue(t, t.TempDir(), 3)
@@ -150,7 +150,7 @@
 	must.Eq(t, "dial", o.Op)
 }
 
-func TestCertificateIsReplacedWithoutARestart(t *testing.T) {
+func TestCertificateIsReloadedWithoutRestart(t *testing.T) {
 	a := newAuthority(t)
 	dir := t.TempDir()
 	server := a.issue(t, dir, 2)
