--- a/internal/explainer/explainer.go
+++ b/internal/explainer/explainer.go
@@ -1,5 +1,5 @@
-// Package explainer tells from log lines what became of one request: the lines that
-// name it, in order of time, and what the processes involved believed meanwhile.
+// Package explainer shows the course of one request from log lines: the lines of the
+// request in order of time, and what the involved processes logged about its upstreams.
 package explainer
 
 import (
@@ -14,36 +14,36 @@
 	"time"
 )
 
-// maxLine bounds a log line in bytes; longer ones are passed over.
-const maxLine = 1 << 20
+// maxLineBytes limits a log line; Read fails at a longer one.
+const maxLineBytes = 1 << 20
 
-// around is how long before the first and after the last line of a request other
-// lines on the same upstream count as context.
-const around = 2 * time.Second
+// contextWindow is the time before the first and after the last line of a request in
+// which other lines about the same upstream are shown as context.
+const contextWindow = 2 * time.Second
 
 // Line is a log line.
 type Line struct {
 	Time time.Time
 	Msg  string
-	// Prefix is what stands before the JSON, such as a VM's name.
+	// Prefix is the text before the JSON, such as a VM's name.
 	Prefix string
-	// Fields are all but the time, the level and the message.
+	// Fields contains all fields but the time, the level and the message.
 	Fields map[string]any
 }
 
-// text gives a field as text; empty when it isn't there.
-func (l Line) text(name string) string {
+// field returns a field as text; empty if it is missing.
+func (l Line) field(name string) string {
 	if v, ok := l.Fields[name]; ok {
 		return fmt.Sprint(v)
 	}
 	return ""
 }
 
-// Read takes JSON log lines, each with anything before the first brace. It gives the
-// lines that it understood and the number of those that it did not.
+// Read parses JSON log lines, each with any text before the first brace. It returns the
+// parsed lines and the number of lines that could not be parsed.
 func Read(r io.Reader) (lines []Line, skipped int, err error) {
 	s := bufio.NewScanner(r)
-	s.Buffer(nil, maxLine)
+	s.Buffer(nil, maxLineBytes)
 	for s.Scan() {
 		l, ok := parse(s.Bytes())
 		if !ok {
@@ -56,33 +56,33 @@
 }
 
 func parse(text []byte) (Line, bool) {
-	at := bytes.IndexByte(text, '{')
-	if at < 0 {
+	start := bytes.IndexByte(text, '{')
+	if start < 0 {
 		return Line{}, false
 	}
-	l := Line{Prefix: strings.TrimSpace(string(text[:at]))}
-	if err := json.Unmarshal(text[at:], &l.Fields); err != nil {
+	l := Line{Prefix: strings.TrimSpace(string(text[:start]))}
+	if err := json.Unmarshal(text[start:], &l.Fields); err != nil {
 		return Line{}, false
 	}
-	t, err := time.Parse(time.RFC3339Nano, l.text("time"))
+	t, err := time.Parse(time.RFC3339Nano, l.field("time"))
 	if err != nil {
 		return Line{}, false
 	}
-	l.Time, l.Msg = t, l.text("msg")
+	l.Time, l.Msg = t, l.field("msg")
 	for _, name := range []string{"time", "level", "msg"} {
 		delete(l.Fields, name)
 	}
 	return l, true
 }
 
-// UnknownRequestError reports a request that no line names.
+// UnknownRequestError reports a request without any log line.
 type UnknownRequestError struct{ Request string }
 
 func (e *UnknownRequestError) Error() string {
 	return fmt.Sprintf("no line names request %q", e.Request)
 }
 
-// process is the last word before the line's JSON.
+// process returns the process that wrote the line: the last word before the JSON.
 func (l Line) process() string {
 	words := strings.Fields(l.Prefix)
 	if len(words) == 0 {
@@ -91,68 +91,68 @@
 	return words[len(words)-1]
 }
 
-// Explain writes the lines of a request and, marked by a dash, those on its upstreams
-// around it by the same processes, and their last words before it on their engines. All
-// others tell the same of an upstream.
+// Explain writes the lines of a request and, marked by a dash, those of the same processes
+// about its upstreams around that time, and their last gate changes before it. Other
+// processes log the same about an upstream, so their lines are left out.
 func Explain(w io.Writer, lines []Line, request string) error {
-	own := slices.DeleteFunc(slices.Clone(lines), func(l Line) bool { return l.text("request") != request })
-	if len(own) == 0 {
+	requestLines := slices.DeleteFunc(slices.Clone(lines), func(l Line) bool { return l.field("request") != request })
+	if len(requestLines) == 0 {
 		return &UnknownRequestError{Request: request}
 	}
 	byTime := func(a, b Line) int { return cmp.Compare(a.Time.UnixNano(), b.Time.UnixNano()) }
-	slices.SortStableFunc(own, byTime)
-	from, to := own[0].Time.Add(-around), own[len(own)-1].Time.Add(around)
+	slices.SortStableFunc(requestLines, byTime)
+	from, to := requestLines[0].Time.Add(-contextWindow), requestLines[len(requestLines)-1].Time.Add(contextWindow)
 	upstreams, processes := map[string]bool{}, map[string]bool{}
-	for _, l := range own {
+	for _, l := range requestLines {
 		processes[l.process()] = true
-		if u := l.text("upstream"); u != "" {
+		if u := l.field("upstream"); u != "" {
 			upstreams[u] = true
 		}
 	}
-	gates := lastGates(lines, processes, own[0].Time)
+	gates := lastGateChanges(lines, processes, requestLines[0].Time)
 	shown := slices.DeleteFunc(slices.Clone(lines), func(l Line) bool {
-		if l.text("request") == request || gates[l.process()].same(l) {
+		if l.field("request") == request || gates[l.process()].matches(l) {
 			return false
 		}
-		return l.text("request") != "" || !upstreams[l.text("upstream")] || !processes[l.process()] || l.Time.Before(from) || l.Time.After(to)
+		return l.field("request") != "" || !upstreams[l.field("upstream")] || !processes[l.process()] || l.Time.Before(from) || l.Time.After(to)
 	})
 	slices.SortStableFunc(shown, byTime)
 	for _, l := range shown {
-		if err := printLine(w, l, own[0].Time, l.text("request") == request); err != nil {
+		if err := printLine(w, l, requestLines[0].Time, l.field("request") == request); err != nil {
 			return err
 		}
 	}
-	_, err := fmt.Fprintf(w, "outcome: %s\n", outcome(own))
+	_, err := fmt.Fprintf(w, "outcome: %s\n", requestOutcome(requestLines))
 	return err
 }
 
-// gateLines are those by which an agent tells whether its engine takes requests.
-var gateLines = map[string]bool{"Engine opened": true, "Engine closed": true, "Engine ordered to load": true}
+// gateMessages are the messages with which an agent logs whether its engine accepts requests.
+var gateMessages = map[string]bool{"Engine opened": true, "Engine closed": true, "Engine ordered to load": true}
 
-// lastGates gives each process's last word on its engine before a moment, however long ago:
-// an agent that refuses says why it is closed, but not since when.
-func lastGates(lines []Line, processes map[string]bool, before time.Time) map[string]gate {
-	gates := map[string]gate{}
+// lastGateChanges returns each process's last gate change before a time, however long ago:
+// a refusal of an agent states why its engine is closed, but not since when.
+func lastGateChanges(lines []Line, processes map[string]bool, before time.Time) map[string]gateChange {
+	gates := map[string]gateChange{}
 	for _, l := range lines {
 		p := l.process()
-		if gateLines[l.Msg] && processes[p] && !l.Time.After(before) && !l.Time.Before(gates[p].at) {
-			gates[p] = gate{l.Time, l.Msg}
+		if gateMessages[l.Msg] && processes[p] && !l.Time.After(before) && !l.Time.Before(gates[p].time) {
+			gates[p] = gateChange{l.Time, l.Msg}
 		}
 	}
 	return gates
 }
 
-// gate is a process's word on its engine.
-type gate struct {
-	at  time.Time
-	msg string
+// gateChange is a line in which a process opened or closed its engine.
+type gateChange struct {
+	time time.Time
+	msg  string
 }
 
-func (g gate) same(l Line) bool { return l.Msg == g.msg && l.Time.Equal(g.at) }
+func (g gateChange) matches(l Line) bool { return l.Msg == g.msg && l.Time.Equal(g.time) }
 
-func printLine(w io.Writer, l Line, began time.Time, own bool) error {
+func printLine(w io.Writer, l Line, start time.Time, isRequestLine bool) error {
 	mark := "-"
-	if own {
+	if isRequestLine {
 		mark = " "
 	}
 	names := make([]string, 0, len(l.Fields))
@@ -166,11 +166,11 @@
 	for _, name := range names {
 		fmt.Fprintf(&b, " %s=%v", name, l.Fields[name])
 	}
-	_, err := fmt.Fprintf(w, "%s %+9.3fs %s %s%s\n", mark, l.Time.Sub(began).Seconds(), l.Prefix, l.Msg, b.String())
+	_, err := fmt.Fprintf(w, "%s %+9.3fs %s %s%s\n", mark, l.Time.Sub(start).Seconds(), l.Prefix, l.Msg, b.String())
 	return err
 }
 
-// outcomes gives the words for the lines that end a request.
+// outcomes explains the messages that end a request.
 var outcomes = map[string]string{
 	"Served":                "answered by an upstream",
 	"Refused":               "refused: it did not run; the reason stands in the line",
@@ -185,11 +185,11 @@
 	"Handler panicked": "a fault of the entry itself; the stack is in the line",
 }
 
-// outcome is what the last line that ends the request means.
-func outcome(own []Line) string {
-	for _, l := range slices.Backward(own) {
+// requestOutcome explains the last line that ends the request.
+func requestOutcome(lines []Line) string {
+	for _, l := range slices.Backward(lines) {
 		if text, ok := outcomes[l.Msg]; ok {
-			if late := l.text("lateMs"); late != "" {
+			if late := l.field("lateMs"); late != "" {
 				text += ", but " + late + " ms after the route's objective"
 			}
 			return l.Msg + ": " + text
--- a/internal/explainer/explainer_test.go
+++ b/internal/explainer/explainer_test.go
@@ -21,8 +21,8 @@
 {"time":"2026-01-01T00:00:03.2Z","level":"INFO","msg":"Failed","request":"r1","outcome":"unknown"}
 `
 
-// An on-call engineer has the id of a failed request and the lines of all processes,
-// in any order and with those of other requests between.
+// Guards against missing, unordered or unrelated lines, given the lines of all processes in
+// any order and mixed with those of other requests.
 func TestLinesOfOneRequest(t *testing.T) {
 	lines, skipped, err := explainer.Read(strings.NewReader(logs))
 	must.NoError(t, err)
@@ -44,9 +44,9 @@
 	must.True(t, errors.As(err, &unknown))
 }
 
-// An agent refuses because its engine is closed, and closed it a minute ago. The engineer
-// needs to see since when, and not every earlier turn.
-func TestLastWordOnTheEngineIsShown(t *testing.T) {
+// Guards against a refusal without the time at which the agent closed its engine, here a
+// minute before; earlier gate changes are left out.
+func TestLastGateChangeIsShown(t *testing.T) {
 	lines, _, err := explainer.Read(strings.NewReader(`
 side-1 {"time":"2026-01-01T00:00:01Z","msg":"Engine opened","agent":"side-1","version":1}
 side-1 {"time":"2026-01-01T00:00:02Z","msg":"Engine closed","agent":"side-1","why":"switching weights"}
--- a/internal/logger/logger.go
+++ b/internal/logger/logger.go
@@ -1,5 +1,5 @@
-// Package logger writes structured logs as JSON lines without ever holding up the
-// work that they tell of.
+// Package logger writes structured logs as JSON lines without ever blocking the code
+// that logs.
 package logger
 
 import (
@@ -13,27 +13,27 @@
 )
 
 const (
-	// queueLines is how many lines wait at most. A burst of refusals writes some
-	// hundred lines a second; ten seconds of that fit.
-	queueLines = 4096
-	// droppedEvery is how often the number of dropped lines is told.
-	droppedEvery = 5 * time.Second
+	// maxQueuedLines is the size of the queue. A burst of refusals writes some hundred
+	// lines a second; ten seconds of that fit.
+	maxQueuedLines = 4096
+	// dropReportInterval is how often the number of dropped lines is logged.
+	dropReportInterval = 5 * time.Second
 )
 
-// Writer hands lines to another goroutine and drops them while too many wait: a
-// reader of the log that has stopped reading would otherwise stop every request.
+// Writer passes lines to another goroutine and drops them while its queue is full: a
+// log reader that has stopped reading would otherwise block every request.
 type Writer struct {
 	to      io.Writer
 	lines   chan []byte
 	dropped atomic.Int64
 }
 
-// New makes a writer; Run does the writing.
+// New returns a writer; Run does the writing.
 func New(to io.Writer) *Writer {
-	return &Writer{to: to, lines: make(chan []byte, queueLines)}
+	return &Writer{to: to, lines: make(chan []byte, maxQueuedLines)}
 }
 
-// Write implements io.Writer. It never fails and never waits.
+// Write implements io.Writer. It never fails and never blocks.
 func (w *Writer) Write(line []byte) (int, error) {
 	select {
 	case w.lines <- append([]byte(nil), line...):
@@ -43,54 +43,54 @@
 	return len(line), nil
 }
 
-// Dropped is how many lines were dropped so far.
+// Dropped returns the number of lines dropped so far.
 func (w *Writer) Dropped() int64 { return w.dropped.Load() }
 
-// Run writes until the context ends, and then what still waits.
+// Run writes lines until the context ends, and then those still queued.
 func (w *Writer) Run(ctx context.Context) {
-	tick := time.NewTicker(droppedEvery)
+	tick := time.NewTicker(dropReportInterval)
 	defer tick.Stop()
-	told := int64(0)
+	reported := int64(0)
 	for {
 		select {
 		case line := <-w.lines:
-			w.put(line)
+			w.writeLine(line)
 		case <-tick.C:
-			if n := w.Dropped(); n != told {
+			if n := w.Dropped(); n != reported {
 				klog.InfoS("Log lines dropped", "total", n)
-				told = n
+				reported = n
 			}
 		case <-ctx.Done():
-			w.drain()
+			w.writeQueued()
 			return
 		}
 	}
 }
 
-func (w *Writer) drain() {
+func (w *Writer) writeQueued() {
 	for {
 		select {
 		case line := <-w.lines:
-			w.put(line)
+			w.writeLine(line)
 		default:
 			return
 		}
 	}
 }
 
-// Flush writes what waits now, for a process that is about to exit.
-func (w *Writer) Flush() { w.drain() }
+// Flush writes the queued lines, for a process that is about to exit.
+func (w *Writer) Flush() { w.writeQueued() }
 
-// put writes a line. There is nowhere to report a failure to.
-func (w *Writer) put(line []byte) { _, _ = w.to.Write(line) }
+// writeLine writes a line. Errors are ignored, as they cannot be logged.
+func (w *Writer) writeLine(line []byte) { _, _ = w.to.Write(line) }
 
-// Install makes klog write JSON lines to the writer, durations in milliseconds.
+// Install makes klog write JSON lines to the writer, with durations in milliseconds.
 func Install(w io.Writer) {
-	h := slog.NewJSONHandler(w, &slog.HandlerOptions{ReplaceAttr: shorten})
+	h := slog.NewJSONHandler(w, &slog.HandlerOptions{ReplaceAttr: replaceAttr})
 	klog.SetSlogLogger(slog.New(h))
 }
 
-func shorten(_ []string, a slog.Attr) slog.Attr {
+func replaceAttr(_ []string, a slog.Attr) slog.Attr {
 	if a.Value.Kind() == slog.KindDuration {
 		return slog.Float64(a.Key+"Ms", float64(a.Value.Duration().Microseconds())/1000)
 	}
--- a/internal/logger/logger_test.go
+++ b/internal/logger/logger_test.go
@@ -13,17 +13,17 @@
 	"github.com/oriolecroft/oriolecroft/internal/logger"
 )
 
-// stuck is a reader of the log that has stopped reading.
-type stuck struct{ release chan struct{} }
+// blockedWriter blocks like a log reader that has stopped reading, until released.
+type blockedWriter struct{ release chan struct{} }
 
-func (s stuck) Write(p []byte) (int, error) {
+func (s blockedWriter) Write(p []byte) (int, error) {
 	<-s.release
 	return len(p), nil
 }
 
-// Whoever reads the log stops. Every request writes a line, and all of them would hang.
-func TestStuckReaderHoldsUpNobody(t *testing.T) {
-	s := stuck{make(chan struct{})}
+// Guards against requests that hang because the log reader has stopped reading.
+func TestBlockedWriterDelaysNoRequest(t *testing.T) {
+	s := blockedWriter{make(chan struct{})}
 	w := logger.New(s)
 	ctx, stop := context.WithCancel(context.Background())
 	ended := make(chan struct{})
@@ -61,8 +61,8 @@
 	must.Eq(t, 1.5, line.RetryAfterMs)
 }
 
-// BenchmarkRequest is what the two lines of a served stream cost: that of the agent which
-// granted the place, and the entry's.
+// BenchmarkRequest measures the two lines of a served stream: that of the agent which
+// granted the slot, and the entry's.
 func BenchmarkRequest(b *testing.B) {
 	var written countingWriter
 	w := logger.New(&written)
