--- a/internal/bodyreader/reader.go
+++ b/internal/bodyreader/reader.go
@@ -60,7 +60,7 @@
 	return fmt.Sprintf("body framed by %v was cut: %v", e.Framing, e.Err)
 }
 
-// Unwrap gives the cause.
+// Unwrap returns the cause.
 func (e *CutError) Unwrap() error { return e.Err }
 
 // OversizeError reports a body, or a part of it, that is larger than its reader's limit.
--- a/internal/connector/connector_test.go
+++ b/internal/connector/connector_test.go
@@ -52,7 +52,7 @@
 		if err == nil {
 			return
 		}
-		must.True(t, expiry.Before(stopped), must.Sprint("deadline passed while suspended: ", err))
+		must.True(t, expiry.Before(stopped), must.Sprint("dial failed though its deadline passed while suspended: ", err))
 		t.Log("Deadline passed before the process was suspended, retrying")
 	}
 }
--- a/internal/driver/engine.go
+++ b/internal/driver/engine.go
@@ -124,7 +124,7 @@
 	return e.requestJSON(ctx, http.MethodDelete, "/generate/"+neturl.PathEscape(id), nil, nil)
 }
 
-// GenerateRequest asks for a stream of tokens.
+// GenerateRequest requests a stream of tokens.
 type GenerateRequest struct {
 	RequestID string `json:"requestId"`
 	Prompt    string `json:"prompt"`
--- a/internal/driver/errors.go
+++ b/internal/driver/errors.go
@@ -8,7 +8,7 @@
 
 func (e *NotSentError) Error() string { return fmt.Sprintf("not sent to the upstream: %v", e.Err) }
 
-// Unwrap gives the cause.
+// Unwrap returns the cause.
 func (e *NotSentError) Unwrap() error { return e.Err }
 
 // UnknownError reports a request without a reply that may have run.
@@ -16,7 +16,7 @@
 
 func (e *UnknownError) Error() string { return fmt.Sprintf("upstream gave no reply: %v", e.Err) }
 
-// Unwrap gives the cause.
+// Unwrap returns the cause.
 func (e *UnknownError) Unwrap() error { return e.Err }
 
 // RefusedError reports an engine that refused to run the request.
@@ -49,7 +49,7 @@
 	return fmt.Sprintf("reply cut after %d events: %v", e.Events, e.Err)
 }
 
-// Unwrap gives the cause.
+// Unwrap returns the cause.
 func (e *CutError) Unwrap() error { return e.Err }
 
 // RestartedError reports that an upstream has restarted since it was called.
@@ -80,5 +80,5 @@
 	return "upstream's wire: " + e.Problem
 }
 
-// Unwrap gives the cause.
+// Unwrap returns the cause.
 func (e *ProtocolError) Unwrap() error { return e.Err }
--- a/internal/publisher/publisher.go
+++ b/internal/publisher/publisher.go
@@ -66,7 +66,7 @@
 }
 
 func (e *RaceError) Error() string {
-	return fmt.Sprintf("revision %d (change %s) is in force; ours was made as revision %d",
+	return fmt.Sprintf("revision %d (change %s) is in force; the change to publish has revision %d",
 		e.Accepted.Revision, e.Accepted.ChangeID, e.Ours.Revision)
 }
 
@@ -77,7 +77,7 @@
 }
 
 func (e *GapError) Error() string {
-	return fmt.Sprintf("the store holds revision %d, so %d cannot be next; was the store rolled back?", e.Present, e.Ours)
+	return fmt.Sprintf("the store has revision %d, so revision %d cannot follow; the store may have been rolled back", e.Present, e.Ours)
 }
 
 // CorruptError reports a store whose current bundle cannot be read or lacks
@@ -322,8 +322,8 @@
 	return storedBundle{bundle: b, record: r, version: i.Version}, nil
 }
 
-// writeHistory adds a revision to the history unless it is there, and deletes the
-// oldest one. The history is only informational, so failures are only logged.
+// writeHistory adds a revision to the history unless it is there, and deletes the one
+// HistoryKept before it. The history is informational, so failures are only logged.
 func (p *Publisher) writeHistory(ctx context.Context, now storedBundle) {
 	if now.bundle == nil {
 		return
--- a/internal/storer/store.go
+++ b/internal/storer/store.go
@@ -42,7 +42,7 @@
 	Key string
 }
 
-func (e *NotFoundError) Error() string { return fmt.Sprintf("store: no %q", e.Key) }
+func (e *NotFoundError) Error() string { return fmt.Sprintf("store: %q does not exist", e.Key) }
 
 // ConflictError reports a write whose condition did not hold.
 type ConflictError struct {
