--- a/internal/agent/relay.go
+++ b/internal/agent/relay.go
@@ -59,7 +59,7 @@
 			return admitter.Cut, err
 		}
 		if s.order.Version != "" && e.Version != s.order.Version {
-			return admitter.Cut, &driver.MixedError{Want: s.order.Version, Got: e.Version}
+			return admitter.Cut, &driver.InconsistentError{Want: s.order.Version, Got: e.Version}
 		}
 		if err := s.runner.agent.digests.checkEvent(h, s.order.Adapter, e); err != nil {
 			s.runner.agent.switcher.markUntrusted(err)
--- a/internal/driver/errors.go
+++ b/internal/driver/errors.go
@@ -2,28 +2,28 @@
 
 import "fmt"
 
-// NotSentError reports a request for which no connection was had: it certainly
-// never reached the upstream.
+// NotSentError reports a request for which no connection was established: it
+// certainly never reached the upstream.
 type NotSentError struct{ Err error }
 
 func (e *NotSentError) Error() string { return fmt.Sprintf("not sent to the upstream: %v", e.Err) }
 
-// Unwrap gives the cause.
+// Unwrap returns the cause.
 func (e *NotSentError) Unwrap() error { return e.Err }
 
-// UnknownError reports a request that may have run, though no reply came.
+// UnknownError reports a request without a reply that may have run.
 type UnknownError struct{ Err error }
 
 func (e *UnknownError) Error() string { return fmt.Sprintf("upstream gave no reply: %v", e.Err) }
 
-// Unwrap gives the cause.
+// Unwrap returns the cause.
 func (e *UnknownError) Unwrap() error { return e.Err }
 
-// RefusedError reports an engine that answered that it does not run the request.
+// RefusedError reports an engine that refused to run the request.
 type RefusedError struct {
 	Status int
 	Text   string
-	// Fence is the engine's, when the refusal is about fencing.
+	// Fence is the engine's fence if the refusal is about fencing.
 	Fence uint64
 }
 
@@ -38,9 +38,9 @@
 	return fmt.Sprintf("order with fence %d is behind the engine's %d", e.Sent, e.Fence)
 }
 
-// CutError reports a reply that began and has no end.
+// CutError reports a reply that started but was not received to its end.
 type CutError struct {
-	// Events is how many events of a stream came before.
+	// Events is the number of events of a stream received before that.
 	Events int
 	Err    error
 }
@@ -49,25 +49,25 @@
 	return fmt.Sprintf("reply cut after %d events: %v", e.Events, e.Err)
 }
 
-// Unwrap gives the cause.
+// Unwrap returns the cause.
 func (e *CutError) Unwrap() error { return e.Err }
 
-// RestartedError reports another start of an upstream than the one that was called.
+// RestartedError reports that an upstream has restarted since it was called.
 type RestartedError struct{ Was, Is string }
 
 func (e *RestartedError) Error() string {
 	return fmt.Sprintf("start %s in the place of %s", e.Is, e.Was)
 }
 
-// MixedError reports a stream whose tokens are not all from the same weights, or
-// whose end does not match its tokens.
-type MixedError struct{ Want, Got string }
+// InconsistentError reports a stream whose tokens do not all come from the same weights,
+// or whose last event does not match its tokens.
+type InconsistentError struct{ Want, Got string }
 
-func (e *MixedError) Error() string {
+func (e *InconsistentError) Error() string {
 	return fmt.Sprintf("stream is not of one piece: want %s, got %s", e.Want, e.Got)
 }
 
-// ProtocolError reports an upstream that does not speak its wire.
+// ProtocolError reports an upstream that violates its protocol.
 type ProtocolError struct {
 	Problem string
 	Err     error
@@ -80,5 +80,5 @@
 	return "upstream's wire: " + e.Problem
 }
 
-// Unwrap gives the cause.
+// Unwrap returns the cause.
 func (e *ProtocolError) Unwrap() error { return e.Err }
--- a/internal/hoster/idle.go
+++ b/internal/hoster/idle.go
@@ -90,7 +90,7 @@
 	i.mu.Lock()
 	defer i.mu.Unlock()
 	for c := range i.conns {
-		if connector.Quiet(c.Conn) && !c.hasRead.Load() {
+		if connector.Reusable(c.Conn) && !c.hasRead.Load() {
 			c.Close()
 			delete(i.conns, c)
 		}
--- a/internal/messenger/arrival_test.go
+++ b/internal/messenger/arrival_test.go
@@ -45,7 +45,7 @@
 func querySlowPeer(t *testing.T, pieces, sent int) (batch registrar.Batch, elapsed time.Duration, err error) {
 	t.Helper()
 	synctest.Test(t, func(t *testing.T) {
-		t.Cleanup(func() { time.Sleep(connectortest.Settle) })
+		t.Cleanup(func() { time.Sleep(connectortest.SettleTime) })
 		var n connectortest.Network
 		l := n.Listen()
 		go writeSlowly(l, pieces, sent)
@@ -76,5 +76,5 @@
 		}
 		time.Sleep(pieceInterval)
 	}
-	time.Sleep(connectortest.Settle / 2)
+	time.Sleep(connectortest.SettleTime / 2)
 }
--- a/internal/messenger/timeout_test.go
+++ b/internal/messenger/timeout_test.go
@@ -23,7 +23,7 @@
 // agent would treat the entry's requests as ended.
 func TestTimeoutKeepsOtherCalls(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
-		t.Cleanup(func() { time.Sleep(connectortest.Settle) })
+		t.Cleanup(func() { time.Sleep(connectortest.SettleTime) })
 		var n connectortest.Network
 		var lost atomic.Int32
 		l := n.Listen()
@@ -51,7 +51,7 @@
 // Guards against further calls on a connection that has become permanently unresponsive.
 func TestUnresponsiveConnectionIsReplaced(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
-		t.Cleanup(func() { time.Sleep(connectortest.Settle) })
+		t.Cleanup(func() { time.Sleep(connectortest.SettleTime) })
 		var n connectortest.Network
 		var dials atomic.Int32
 		done := make(chan struct{})
--- a/internal/propagator/start_test.go
+++ b/internal/propagator/start_test.go
@@ -22,7 +22,7 @@
 // blames, because it pulls from one peer at a time and the first ones are unresponsive or don't listen yet.
 func TestStartedEntryPullsFromAllSeedsConcurrently(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
-		t.Cleanup(func() { time.Sleep(connectortest.Settle) })
+		t.Cleanup(func() { time.Sleep(connectortest.SettleTime) })
 		ctx, stop := context.WithCancel(t.Context())
 		t.Cleanup(stop)
 		c := clock.RealClock{}
--- a/internal/relayer/hedge.go
+++ b/internal/relayer/hedge.go
@@ -79,7 +79,7 @@
 	select {
 	case <-h.done:
 		return true
-	case <-time.After(connector.UnreadWithin):
+	case <-time.After(connector.ReadGrace):
 		return false
 	}
 }
--- a/internal/relayer/memory.go
+++ b/internal/relayer/memory.go
@@ -201,7 +201,7 @@
 
 // failedForMemory reports whether an attempt ended for lack of memory for its reply.
 func failedForMemory(err error) bool {
-	var full *bodyreader.RoomError
+	var full *bodyreader.MemoryError
 	return errors.As(err, &full)
 }
 
--- a/internal/relayer/pool.go
+++ b/internal/relayer/pool.go
@@ -91,7 +91,7 @@
 func (p *Pool) acquire(ctx context.Context, upstream string, a netip.AddrPort, fresh bool, limit int) (*connection, error) {
 	if !fresh {
 		for c := p.takeIdle(upstream); c != nil; c = p.takeIdle(upstream) {
-			if p.Clock.Now().Before(c.reusableUntil) && c.reader.Buffered() == 0 && connector.Quiet(c.Conn) {
+			if p.Clock.Now().Before(c.reusableUntil) && c.reader.Buffered() == 0 && connector.Reusable(c.Conn) {
 				c.reused = true
 				return c, nil
 			}
--- a/internal/relayer/stall.go
+++ b/internal/relayer/stall.go
@@ -35,7 +35,7 @@
 // readArrived reads the data that arrived by the read deadline. After a deadline net.Conn doesn't check the
 // socket, so an entry that was suspended would take its own pause for the upstream's.
 func (c *connection) readArrived(b []byte) (int, error) {
-	if err := c.SetReadDeadline(time.Now().Add(connector.UnreadWithin)); err != nil {
+	if err := c.SetReadDeadline(time.Now().Add(connector.ReadGrace)); err != nil {
 		return 0, err
 	}
 	n, err := c.Conn.Read(b)
--- a/internal/relayer/unread.go
+++ b/internal/relayer/unread.go
@@ -115,7 +115,7 @@
 	}
 	w.checks++
 	source := w.source.Load()
-	if w.recordBlocked() && source != nil && connector.Over(source.Conn) {
+	if w.recordBlocked() && source != nil && connector.IsClosed(source.Conn) {
 		// It fails for a connection that is closed already, whose write ends by itself.
 		_ = http.NewResponseController(w.ResponseWriter).SetWriteDeadline(time.Now())
 		return
--- a/internal/syncer/large_table_test.go
+++ b/internal/syncer/large_table_test.go
@@ -196,7 +196,7 @@
 			sh := grownShape(delay)
 			sh.hasTable = true
 			synctest.Test(t, func(t *testing.T) {
-				t.Cleanup(func() { time.Sleep(connectortest.Settle) })
+				t.Cleanup(func() { time.Sleep(connectortest.SettleTime) })
 				f := newFleet(t, sh)
 				time.Sleep(within)
 				listed, withoutTable := f.startCounts()
@@ -219,7 +219,7 @@
 			sh := grownShape(delay)
 			sh.hasTable, sh.partitioned = true, true
 			synctest.Test(t, func(t *testing.T) {
-				t.Cleanup(func() { time.Sleep(connectortest.Settle) })
+				t.Cleanup(func() { time.Sleep(connectortest.SettleTime) })
 				f := newFleet(t, sh)
 				time.Sleep(outage)
 				for _, n := range f.members {
--- a/internal/syncer/start_together_test.go
+++ b/internal/syncer/start_together_test.go
@@ -24,7 +24,7 @@
 				sh := grownShape(delay)
 				sh.hasTable, sh.upstreams, sh.seeds, sh.seedDelay = true, manyUpstreams, 3, later
 				synctest.Test(t, func(t *testing.T) {
-					t.Cleanup(func() { time.Sleep(connectortest.Settle) })
+					t.Cleanup(func() { time.Sleep(connectortest.SettleTime) })
 					began := time.Now()
 					f := newFleet(t, sh)
 					time.Sleep(within - time.Since(began))
@@ -48,7 +48,7 @@
 	sh := grownShape(4 * time.Millisecond)
 	sh.hasTable, sh.upstreams, sh.seeds, sh.recordTime = true, manyUpstreams, 3, recordTime
 	synctest.Test(t, func(t *testing.T) {
-		t.Cleanup(func() { time.Sleep(connectortest.Settle) })
+		t.Cleanup(func() { time.Sleep(connectortest.SettleTime) })
 		f := newFleet(t, sh)
 		time.Sleep(within)
 		listed, withoutTable := f.startCounts()
