--- a/internal/entry/exchange.go
+++ b/internal/entry/exchange.go
@@ -106,5 +106,5 @@
 	}
 	e.Limiter.Hear(x.State.ID, x.Asked)
 	e.Router.HearDemand(x.State.ID, x.Demand)
-	e.Tracker.Introduce(x.OriginFetchers)
+	e.Tracker.MergeOriginFetchers(x.OriginFetchers)
 }
--- a/internal/tracker/tracker.go
+++ b/internal/tracker/tracker.go
@@ -1,6 +1,6 @@
-// Package tracker keeps, in an entry, soft state of which agents hold or want
-// which weights, and introduces them to each other. All of it is relearned from
-// the agents' reports; nothing here must be exact.
+// Package tracker keeps, in an entry, soft state of which agents hold or want which
+// weights, and refers them to each other. All of it is rebuilt from the agents'
+// reports; none of it has to be exact.
 package tracker
 
 import (
@@ -20,21 +20,21 @@
 // Defaults and bounds.
 const (
 	DefaultStale = 15 * time.Second
-	// MaxHolders bounds the agents of its own region that one agent is named for
+	// MaxHolders bounds the agents of its own region that are listed to one agent for
 	// one manifest; MaxRemote bounds those of other regions.
 	MaxHolders = 16
 	MaxRemote  = 4 * planner.OriginFetchers
-	// sampled is how many agents are looked at for each one that is named.
-	sampled = 2
+	// samplesPerHolder is the number of agents examined for each one that is listed.
+	samplesPerHolder = 2
 )
 
-// Tracker knows the holders of each manifest. Set the exported fields before the
+// Tracker records the holders of each manifest. Set the exported fields before the
 // first call; all methods are safe for concurrent use.
 type Tracker struct {
 	Clock clock.PassiveClock
-	// Stale is the age from which an agent's last report counts for nothing.
+	// Stale is the age from which an agent's last report is ignored.
 	Stale time.Duration
-	// Seed makes the samples repeatable; 0 takes a random seed.
+	// Seed makes the samples repeatable; 0 selects a random seed.
 	Seed uint64
 
 	mu     sync.Mutex
@@ -44,78 +44,78 @@
 	groups map[string]map[string]*group
 }
 
-// agent is what was last heard of an agent.
+// agent is the last reported state of an agent.
 type agent struct {
 	state messenger.AgentState
-	heard time.Time
-	// introduced tells that another entry named the agent, and that it doesn't
-	// report here itself.
-	introduced bool
+	lastReport time.Time
+	// indirect is set when another entry listed the agent and the agent doesn't report
+	// to this entry itself.
+	indirect bool
 }
 
-// member is an agent's place in a group.
+// member is an agent's membership in a group.
 type member struct {
 	agent   *agent
 	holding messenger.Holding
 	count   int
 	score   uint64
-	// at is the member's index in its group.
-	at int
+	// index is the member's index in its group.
+	index int
 }
 
-// group is the agents of one region that hold or want one manifest.
+// group holds the agents of one region that hold or want one manifest.
 type group struct {
 	members []*member
 	byID    map[string]*member
 	// originFetchers are the members with the highest scores, highest first; nil when
-	// they must be found anew.
+	// they have to be recomputed.
 	originFetchers []*member
 }
 
-// Report notes an agent's state. A report that is older than the last one of the
-// same incarnation is dropped, and a leaving agent is forgotten.
+// Report records an agent's state. It drops a report that is older than the last one of
+// the same incarnation, and removes an agent that is shutting down.
 func (t *Tracker) Report(s messenger.AgentState) {
 	t.mu.Lock()
 	defer t.mu.Unlock()
 	t.setUp()
 	old := t.agents[s.ID]
-	if old != nil && !old.introduced && old.state.Incarnation == s.Incarnation && s.Sequence < old.state.Sequence {
+	if old != nil && !old.indirect && old.state.Incarnation == s.Incarnation && s.Sequence < old.state.Sequence {
 		return
 	}
 	if s.Leaving {
 		t.remove(s.ID)
 		return
 	}
-	if old == nil || old.introduced || old.state.Region != s.Region {
+	if old == nil || old.indirect || old.state.Region != s.Region {
 		t.remove(s.ID)
 		old = &agent{}
 		t.agents[s.ID] = old
 	}
-	t.leaveDropped(old, s)
-	old.state, old.heard = s, t.Clock.Now()
+	t.removeDroppedHoldings(old, s)
+	old.state, old.lastReport = s, t.Clock.Now()
 	for _, h := range s.Holdings {
 		t.group(h.Manifest, s.Region).put(old, h)
 	}
 }
 
-// leaveDropped takes an agent out of the groups of manifests that it no longer
-// names.
-func (t *Tracker) leaveDropped(a *agent, s messenger.AgentState) {
+// removeDroppedHoldings removes an agent from the groups of manifests that its new state
+// doesn't list.
+func (t *Tracker) removeDroppedHoldings(a *agent, s messenger.AgentState) {
 	for _, h := range a.state.Holdings {
-		kept := func(n messenger.Holding) bool { return n.Manifest == h.Manifest }
-		if !slices.ContainsFunc(s.Holdings, kept) {
-			t.leave(h.Manifest, a)
+		sameManifest := func(n messenger.Holding) bool { return n.Manifest == h.Manifest }
+		if !slices.ContainsFunc(s.Holdings, sameManifest) {
+			t.removeFromGroup(h.Manifest, a)
 		}
 	}
 }
 
-func (t *Tracker) leave(manifest string, a *agent) {
+func (t *Tracker) removeFromGroup(manifest string, a *agent) {
 	regions := t.groups[manifest]
 	g := regions[a.state.Region]
 	if g == nil {
 		return
 	}
-	g.drop(a.state.ID)
+	g.remove(a.state.ID)
 	if len(g.members) == 0 {
 		delete(regions, a.state.Region)
 	}
@@ -124,7 +124,7 @@
 	}
 }
 
-// Remove forgets an agent.
+// Remove deletes an agent.
 func (t *Tracker) Remove(id string) {
 	t.mu.Lock()
 	defer t.mu.Unlock()
@@ -137,7 +137,7 @@
 		return
 	}
 	for _, h := range a.state.Holdings {
-		t.leave(h.Manifest, a)
+		t.removeFromGroup(h.Manifest, a)
 	}
 	delete(t.agents, id)
 }
@@ -156,11 +156,10 @@
 	return g
 }
 
-// Holders names, for each wanted manifest, a handful of agents to fetch from:
-// the origin fetchers of the agent's region; a sample of that region in which those with
-// chunks that the agent lacks come first; and, when the agent is an origin fetcher itself,
-// the origin fetchers of the other regions. The work doesn't grow with the number of
-// agents.
+// Holders lists, for each wanted manifest, a few agents to fetch from: the origin
+// fetchers of the agent's region; a sample of that region in which those with chunks
+// that the agent lacks come first; and, when the agent is an origin fetcher itself, the
+// origin fetchers of the other regions. Its cost doesn't grow with the number of agents.
 func (t *Tracker) Holders(from messenger.AgentState, want []string) []messenger.Holder {
 	t.mu.Lock()
 	defer t.mu.Unlock()
@@ -174,25 +173,25 @@
 
 func (t *Tracker) holders(from messenger.AgentState, manifest string) []messenger.Holder {
 	now := t.Clock.Now()
-	p := &picks{asker: from.ID, fresh: func(m *member) bool { return now.Sub(m.agent.heard) <= t.Stale }}
+	p := &selection{requester: from.ID, isFresh: func(m *member) bool { return now.Sub(m.agent.lastReport) <= t.Stale }}
 	regions := t.groups[manifest]
 	if g := regions[from.Region]; g != nil {
-		p.add(MaxHolders, g.top(p.fresh)...)
-		draws := p.ranks(planner.Score(manifest, from.ID))
-		p.sample(t.rand, g, held(from, manifest), from.FailureDomain)
-		if !draws {
-			return p.list()
+		p.add(MaxHolders, g.cachedOriginFetchers(p.isFresh)...)
+		isOriginFetcher := p.wouldBeOriginFetcher(planner.Score(manifest, from.ID))
+		p.addSample(t.rand, g, heldChunks(from, manifest), from.FailureDomain)
+		if !isOriginFetcher {
+			return p.holders()
 		}
 	}
 	for _, r := range slices.Sorted(maps.Keys(regions)) {
 		if r != from.Region {
-			p.add(MaxHolders+MaxRemote, regions[r].top(p.fresh)...)
+			p.add(MaxHolders+MaxRemote, regions[r].cachedOriginFetchers(p.isFresh)...)
 		}
 	}
-	return p.list()
+	return p.holders()
 }
 
-func held(s messenger.AgentState, manifest string) planner.Bitmap {
+func heldChunks(s messenger.AgentState, manifest string) planner.Bitmap {
 	for _, h := range s.Holdings {
 		if h.Manifest == manifest {
 			return h.Have
@@ -201,8 +200,8 @@
 	return nil
 }
 
-// Counts tells how many agents hold the whole manifest, how many a part of it,
-// and the bytes of the reports' bitmaps kept for it.
+// Counts returns how many agents hold the whole manifest, how many hold a part of it,
+// and the size in bytes of the reported bitmaps kept for it.
 func (t *Tracker) Counts(manifest string) (whole, partial int, bytes int64) {
 	t.mu.Lock()
 	defer t.mu.Unlock()
@@ -242,62 +241,62 @@
 func (g *group) put(a *agent, h messenger.Holding) {
 	m := g.byID[a.state.ID]
 	if m == nil {
-		m = &member{agent: a, score: planner.Score(h.Manifest, a.state.ID), at: len(g.members)}
+		m = &member{agent: a, score: planner.Score(h.Manifest, a.state.ID), index: len(g.members)}
 		g.byID[a.state.ID] = m
 		g.members = append(g.members, m)
-		g.joined(m)
+		g.updateOriginFetchers(m)
 	}
 	m.holding, m.count = h, planner.Bitmap(h.Have).Count()
 }
 
-// joined keeps the origin fetchers right without looking at all members again.
-func (g *group) joined(m *member) {
+// updateOriginFetchers adds a new member to the origin fetchers without examining all members.
+func (g *group) updateOriginFetchers(m *member) {
 	if g.originFetchers != nil {
-		g.originFetchers = insert(g.originFetchers, m)
+		g.originFetchers = insertByScore(g.originFetchers, m)
 	}
 }
 
-func byScore(a, b *member) int { return cmp.Compare(b.score, a.score) }
+func compareScores(a, b *member) int { return cmp.Compare(b.score, a.score) }
 
-func (g *group) drop(id string) {
+func (g *group) remove(id string) {
 	m := g.byID[id]
 	if m == nil {
 		return
 	}
 	delete(g.byID, id)
 	last := g.members[len(g.members)-1]
-	g.members[m.at], last.at = last, m.at
+	g.members[m.index], last.index = last, m.index
 	g.members = g.members[:len(g.members)-1]
 	if slices.Contains(g.originFetchers, m) {
 		g.originFetchers = nil
 	}
 }
 
-// top gives the origin fetchers. Only when one among them is stale are they found anew:
-// all members are looked at once, and not at each call.
-func (g *group) top(fresh func(*member) bool) []*member {
+// cachedOriginFetchers returns the origin fetchers. It examines all members only when one
+// of the cached origin fetchers is stale, and not at each call.
+func (g *group) cachedOriginFetchers(fresh func(*member) bool) []*member {
 	stale := func(m *member) bool { return !fresh(m) }
 	if g.originFetchers == nil || slices.ContainsFunc(g.originFetchers, stale) {
-		g.originFetchers = g.best(fresh)
+		g.originFetchers = g.findOriginFetchers(fresh)
 	}
 	return g.originFetchers
 }
 
-// best finds the fresh members with the highest scores.
-func (g *group) best(fresh func(*member) bool) []*member {
+// findOriginFetchers returns the fresh members with the highest scores.
+func (g *group) findOriginFetchers(fresh func(*member) bool) []*member {
 	best := make([]*member, 0, planner.OriginFetchers+1)
 	for _, m := range g.members {
 		if fresh(m) {
-			best = insert(best, m)
+			best = insertByScore(best, m)
 		}
 	}
 	return best
 }
 
-// insert puts a member in its place by score, and lets the last one go when there
+// insertByScore inserts a member in order of score and drops the last member if there
 // are too many.
-func insert(ms []*member, m *member) []*member {
-	i, _ := slices.BinarySearchFunc(ms, m, byScore)
+func insertByScore(ms []*member, m *member) []*member {
+	i, _ := slices.BinarySearchFunc(ms, m, compareScores)
 	if i >= planner.OriginFetchers {
 		return ms
 	}
@@ -305,11 +304,11 @@
 	return ms[:min(len(ms), planner.OriginFetchers)]
 }
 
-// OriginFetchers names the origin fetchers of all manifests among the agents that report to this
-// entry, for other entries to Introduce. An entry knows only some agents of its
-// own region; without the others' origin fetchers each entry would elect its own, and each
-// region would draw its own copy from the origin. Bitmaps are left out: an origin fetcher
-// asks the others itself what they hold.
+// OriginFetchers lists the origin fetchers of all manifests among the agents that report to
+// this entry, as input for MergeOriginFetchers of other entries. Each entry receives reports
+// of only some agents of its region; without the others' origin fetchers each entry would
+// elect its own, and each region would fetch its own copy from the origin. Bitmaps are left
+// out: an origin fetcher requests the others' holdings itself.
 func (t *Tracker) OriginFetchers() []messenger.Holder {
 	t.mu.Lock()
 	defer t.mu.Unlock()
@@ -318,9 +317,9 @@
 	var hs []messenger.Holder
 	for _, manifest := range slices.Sorted(maps.Keys(t.groups)) {
 		for _, r := range slices.Sorted(maps.Keys(t.groups[manifest])) {
-			p := &picks{fresh: func(m *member) bool { return !m.agent.introduced && now.Sub(m.agent.heard) <= t.Stale }}
-			p.add(planner.OriginFetchers, t.groups[manifest][r].best(p.fresh)...)
-			hs = append(hs, p.list()...)
+			p := &selection{isFresh: func(m *member) bool { return !m.agent.indirect && now.Sub(m.agent.lastReport) <= t.Stale }}
+			p.add(planner.OriginFetchers, t.groups[manifest][r].findOriginFetchers(p.isFresh)...)
+			hs = append(hs, p.holders()...)
 		}
 	}
 	for i := range hs {
@@ -329,26 +328,26 @@
 	return hs
 }
 
-// Introduce takes in the origin fetchers that another entry named. An agent that reports
-// to this entry itself is known better, and passed over. What was introduced is
-// never introduced further: two entries would keep a dead agent alive by telling
-// each other of it. So a dead one lapses after twice Stale at most.
-func (t *Tracker) Introduce(hs []messenger.Holder) {
+// MergeOriginFetchers adds the origin fetchers that another entry listed, except agents that
+// report to this entry themselves. Agents learned from another entry are never passed on:
+// otherwise two entries would keep a dead agent alive by listing it to each other. A dead
+// agent thus expires after twice Stale at most.
+func (t *Tracker) MergeOriginFetchers(hs []messenger.Holder) {
 	t.mu.Lock()
 	defer t.mu.Unlock()
 	t.setUp()
 	now := t.Clock.Now()
 	for _, h := range hs {
 		a := t.agents[h.ID]
-		if a != nil && !a.introduced && now.Sub(a.heard) <= t.Stale {
+		if a != nil && !a.indirect && now.Sub(a.lastReport) <= t.Stale {
 			continue
 		}
-		if a == nil || !a.introduced || a.state.Region != h.Region {
+		if a == nil || !a.indirect || a.state.Region != h.Region {
 			t.remove(h.ID)
-			a = &agent{introduced: true}
+			a = &agent{indirect: true}
 			t.agents[h.ID] = a
 		}
-		a.heard = now
+		a.lastReport = now
 		a.state.ID, a.state.FailureDomain, a.state.Region, a.state.Address = h.ID, h.FailureDomain, h.Region, h.Address
 		a.state.Holdings = slices.DeleteFunc(a.state.Holdings, func(old messenger.Holding) bool { return old.Manifest == h.Holding.Manifest })
 		a.state.Holdings = append(a.state.Holdings, h.Holding)
--- a/internal/tracker/tracker_test.go
+++ b/internal/tracker/tracker_test.go
@@ -13,7 +13,7 @@
 	"github.com/oriolecroft/oriolecroft/internal/tracker"
 )
 
-// agent holds the chunks in a bitmap of eight.
+// agent returns the state of an agent that holds the chunks set in a bitmap of eight.
 func agent(n int, region string, have byte) messenger.AgentState {
 	return messenger.AgentState{
 		ID: fmt.Sprintf("vm-%03d", n), Incarnation: "i", Region: region, Sequence: 1,
@@ -34,9 +34,9 @@
 	return names
 }
 
-// Hundreds of agents want one version. Each must be told of a handful only, and
-// none of itself or of the same one twice, or the answers would grow with the fleet.
-func TestHoldersAreAHandful(t *testing.T) {
+// Hundreds of agents want one version. Each must receive a few holders only, without
+// itself and without duplicates, or the replies would grow with the fleet.
+func TestHoldersAreFew(t *testing.T) {
 	k, _ := newTracker()
 	for n := range 300 {
 		k.Report(agent(n, []string{"huon", "tamar"}[n%2], 0xff))
@@ -58,9 +58,9 @@
 	must.SliceEmpty(t, k.Holders(agent(0, "huon", 0), []string{"other"}))
 }
 
-// Most agents of the region hold nothing yet and a few hold all. The asker must
-// hear of one that can give it something.
-func TestUsefulHoldersAreNamed(t *testing.T) {
+// Most agents of the region hold nothing yet and a few hold all chunks. The requester must
+// receive at least one that holds chunks it lacks.
+func TestHoldersWithMissingChunksAreListed(t *testing.T) {
 	k, _ := newTracker()
 	for n := range 12 {
 		k.Report(agent(n, "huon", 0))
@@ -73,11 +73,11 @@
 	must.Eq(t, int64(13), bytes)
 }
 
-// Agents die, leave, drop a version, or are heard of by an old report on a slow
-// connection. Named on, they would cost each asker its patience.
-func TestGoneHoldersAreNotNamed(t *testing.T) {
-	asker := agent(60, "huon", 0)
-	for name, gone := range map[string]func(*tracker.Tracker, *clocktesting.FakePassiveClock){
+// Agents die, shut down, drop a version, or an old report arrives late on a slow
+// connection. If they were still listed, each requester would wait for them in turn.
+func TestUnavailableHoldersAreNotListed(t *testing.T) {
+	requester := agent(60, "huon", 0)
+	for name, removeAgent := range map[string]func(*tracker.Tracker, *clocktesting.FakePassiveClock){
 		"removed": func(k *tracker.Tracker, _ *clocktesting.FakePassiveClock) { k.Remove("vm-001") },
 		"silent": func(_ *tracker.Tracker, c *clocktesting.FakePassiveClock) {
 			c.SetTime(c.Now().Add(tracker.DefaultStale + time.Second))
@@ -97,16 +97,16 @@
 		t.Run(name, func(t *testing.T) {
 			k, c := newTracker()
 			k.Report(agent(1, "huon", 0xff))
-			must.SliceLen(t, 1, k.Holders(asker, []string{"m"}))
-			gone(k, c)
-			must.SliceEmpty(t, k.Holders(asker, []string{"m"}))
+			must.SliceLen(t, 1, k.Holders(requester, []string{"m"}))
+			removeAgent(k, c)
+			must.SliceEmpty(t, k.Holders(requester, []string{"m"}))
 		})
 	}
 }
 
-// An agent was replaced, and its successor counts its reports from one again. It
-// has nothing in memory, whatever the one before had.
-func TestReplacedAgentStartsAnew(t *testing.T) {
+// An agent was replaced, and its successor counts its reports from one. The successor holds
+// nothing in memory, regardless of its predecessor's holdings.
+func TestReplacedAgentHoldsNothing(t *testing.T) {
 	k, _ := newTracker()
 	a := agent(1, "huon", 0xff)
 	a.Sequence = 900
