--- a/cmd/oriolecroft/roll.go
+++ b/cmd/oriolecroft/roll.go
@@ -133,7 +133,7 @@
 // is shown below.
 func handOver(ctx context.Context, i inspector.Inspector, at []netip.AddrPort, record *bundler.Record) {
 	for _, a := range at {
-		if err := i.Offer(ctx, a, record); err != nil {
+		if err := i.SendBundle(ctx, a, record); err != nil {
 			fmt.Fprintf(os.Stderr, "bundle not handed to the entry at %v: %v\n", a, err)
 		}
 	}
--- a/internal/inspector/inspector.go
+++ b/internal/inspector/inspector.go
@@ -1,5 +1,5 @@
-// Package inspector asks entries, on the addresses kept for operators, how a
-// deployment stands, and works out how far a bundle has come into force.
+// Package inspector requests the status of a deployment from the operators' addresses of
+// its entries, and computes how far a bundle has come into force.
 package inspector
 
 import (
@@ -20,10 +20,10 @@
 	"github.com/oriolecroft/oriolecroft/pkg/bundler"
 )
 
-// timeout bounds the question to one entry.
+// timeout bounds the request to one entry.
 const timeout = 2 * time.Second
 
-// StatusError reports an entry that answered with something else than a status.
+// StatusError reports an entry that answered with an unexpected HTTP status.
 type StatusError struct {
 	Address netip.AddrPort
 	Status  int
@@ -33,27 +33,27 @@
 	return fmt.Sprintf("%v answered with status %d", e.Address, e.Status)
 }
 
-// maxStatus bounds a status, in bytes: it names all agents.
+// maxStatus bounds a status, in bytes: it lists all agents.
 const maxStatus = 64 << 20
 
-// Inspector asks entries. Certifier makes the connections; nil means plain ones.
+// Inspector sends requests to entries. Certifier makes the connections; nil means plain ones.
 type Inspector struct {
 	Certifier *certifier.Certifier
 }
 
-// client uses each connection once: a survey asks each entry once.
+// client uses each connection once: a survey sends one request to each entry.
 func (i Inspector) client() *http.Client {
 	t := connector.NewTransport(i.Certifier.Dial)
 	t.DisableKeepAlives = true
 	return &http.Client{Transport: t}
 }
 
-// Ask gets the status of one entry.
-func (i Inspector) Ask(ctx context.Context, at netip.AddrPort) (entry.Status, error) {
+// Status returns the status of one entry.
+func (i Inspector) Status(ctx context.Context, address netip.AddrPort) (entry.Status, error) {
 	var s entry.Status
 	ctx, cancel := context.WithTimeout(ctx, timeout)
 	defer cancel()
-	r, err := http.NewRequestWithContext(ctx, http.MethodGet, "http://"+at.String()+"/status", nil)
+	r, err := http.NewRequestWithContext(ctx, http.MethodGet, "http://"+address.String()+"/status", nil)
 	if err != nil {
 		return s, err
 	}
@@ -63,21 +63,21 @@
 	}
 	defer res.Body.Close()
 	if res.StatusCode != http.StatusOK {
-		return s, &StatusError{Address: at, Status: res.StatusCode}
+		return s, &StatusError{Address: address, Status: res.StatusCode}
 	}
 	body := bodyreader.Reader{Response: res}
 	return s, body.ReadJSON(maxStatus, &s)
 }
 
-// Offer hands an accepted bundle to one entry.
-func (i Inspector) Offer(ctx context.Context, at netip.AddrPort, record *bundler.Record) error {
+// SendBundle sends an accepted bundle to one entry.
+func (i Inspector) SendBundle(ctx context.Context, address netip.AddrPort, record *bundler.Record) error {
 	data, err := record.Encode()
 	if err != nil {
 		return err
 	}
 	ctx, cancel := context.WithTimeout(ctx, timeout)
 	defer cancel()
-	r, err := http.NewRequestWithContext(ctx, http.MethodPost, "http://"+at.String()+"/bundle", bytes.NewReader(data))
+	r, err := http.NewRequestWithContext(ctx, http.MethodPost, "http://"+address.String()+"/bundle", bytes.NewReader(data))
 	if err != nil {
 		return err
 	}
@@ -87,25 +87,25 @@
 	}
 	defer res.Body.Close()
 	if res.StatusCode != http.StatusOK {
-		return &StatusError{Address: at, Status: res.StatusCode}
+		return &StatusError{Address: address, Status: res.StatusCode}
 	}
 	return nil
 }
 
-// Deployment is what several entries said, put together.
+// Deployment is the combined status of several entries.
 type Deployment struct {
 	Entries []entry.Status         `json:"entries"`
 	Agents  []messenger.AgentState `json:"agents"`
-	// Silent are the addresses that gave no answer, with the reason.
+	// Silent are the addresses that gave no answer, with the error.
 	Silent map[string]string `json:"silent,omitempty"`
 }
 
-// Survey asks all given entries. Of each agent the newest account counts.
-func (i Inspector) Survey(ctx context.Context, at []netip.AddrPort) Deployment {
+// Survey requests the status of all given entries. It keeps the newest state of each agent.
+func (i Inspector) Survey(ctx context.Context, addresses []netip.AddrPort) Deployment {
 	d := Deployment{Silent: map[string]string{}}
 	agents := map[string]messenger.AgentState{}
-	for _, a := range at {
-		s, err := i.Ask(ctx, a)
+	for _, a := range addresses {
+		s, err := i.Status(ctx, a)
 		if err != nil {
 			d.Silent[a.String()] = err.Error()
 			continue
@@ -127,40 +127,40 @@
 // Progress is how far a bundle has come into force.
 type Progress struct {
 	Revision uint64 `json:"revision"`
-	// Entries and Agents have confirmed the revision, of All so many known.
+	// Entries and Agents have confirmed the revision, out of AllEntries and AllAgents known.
 	Entries    int `json:"entries"`
 	AllEntries int `json:"allEntries"`
 	Agents     int `json:"agents"`
 	AllAgents  int `json:"allAgents"`
-	// Ready engines serve the bundle's version of their model, of all that should.
+	// Ready engines serve the bundle's version of their model; AllReplicas counts those that should.
 	Ready       int `json:"ready"`
 	AllReplicas int `json:"allReplicas"`
-	// Bytes of weights are in the agents' memory, of AllBytes; what no manifest is
-	// known of yet is not counted.
+	// Bytes of weights are in the agents' memory, out of AllBytes; weights without a known
+	// manifest aren't counted.
 	Bytes    int64 `json:"bytes"`
 	AllBytes int64 `json:"allBytes"`
-	// Domains are those all of whose known agents have confirmed.
+	// Domains counts the failure domains whose known agents have all confirmed.
 	Domains    int `json:"domains"`
 	AllDomains int `json:"allDomains"`
-	// Missing names who has not confirmed.
+	// Missing lists the entries and agents that have not confirmed.
 	Missing []string `json:"missing,omitempty"`
 }
 
-// Confirmed tells whether everybody known has the revision, and nobody that was
-// asked stayed silent.
+// Confirmed reports whether all known entries and agents have the revision and each
+// entry answered.
 func (p Progress) Confirmed() bool { return len(p.Missing) == 0 }
 
-// AllReady tells whether all engines serve the bundle's versions too.
+// AllReady reports whether all engines serve the bundle's versions too.
 func (p Progress) AllReady() bool { return p.Confirmed() && p.Ready == p.AllReplicas }
 
 func (p Progress) String() string {
 	return fmt.Sprintf("revision %d: replicas %d of %d ready, weights %s of %s, entries %d of %d, agents %d of %d, failure domains %d of %d confirmed",
-		p.Revision, p.Ready, p.AllReplicas, size(p.Bytes), size(p.AllBytes), p.Entries, p.AllEntries,
+		p.Revision, p.Ready, p.AllReplicas, formatSize(p.Bytes), formatSize(p.AllBytes), p.Entries, p.AllEntries,
 		p.Agents, p.AllAgents, p.Domains, p.AllDomains)
 }
 
-// size writes bytes as a person reads them.
-func size(bytes int64) string {
+// formatSize formats a number of bytes with a decimal unit.
+func formatSize(bytes int64) string {
 	const unit = 1000
 	if bytes < unit {
 		return fmt.Sprintf("%d B", bytes)
@@ -177,8 +177,8 @@
 // Measure compares a deployment with the bundle that should be in force.
 func Measure(b *bundler.Bundle, d Deployment) Progress {
 	p := Progress{Revision: b.Revision, AllEntries: len(d.Entries) + len(d.Silent), AllAgents: len(d.Agents)}
-	for at := range d.Silent {
-		p.Missing = append(p.Missing, "entry at "+at)
+	for address := range d.Silent {
+		p.Missing = append(p.Missing, "entry at "+address)
 	}
 	for _, e := range d.Entries {
 		if e.State.Word.Revision >= b.Revision {
@@ -187,7 +187,7 @@
 		}
 		p.Missing = append(p.Missing, "entry "+e.State.ID)
 	}
-	p.weights(d)
+	p.addWeights(d)
 	behind := map[string]bool{}
 	for _, a := range d.Agents {
 		if a.Revision < b.Revision {
@@ -196,7 +196,7 @@
 		} else {
 			p.Agents++
 		}
-		p.engine(b, a)
+		p.addEngine(b, a)
 	}
 	p.AllDomains = len(b.FailureDomains)
 	for _, f := range b.FailureDomains {
@@ -208,24 +208,24 @@
 	return p
 }
 
-// weights takes of each manifest the account of the entry that knows most agents.
-func (p *Progress) weights(d Deployment) {
-	best := map[string]entry.WeightsStatus{}
+// addWeights uses, for each manifest, the status of the entry with reports of the most weights.
+func (p *Progress) addWeights(d Deployment) {
+	largest := map[string]entry.WeightsStatus{}
 	for _, e := range d.Entries {
 		for _, w := range e.Weights {
-			if old, ok := best[w.Manifest]; !ok || w.AllBytes > old.AllBytes {
-				best[w.Manifest] = w
+			if old, ok := largest[w.Manifest]; !ok || w.AllBytes > old.AllBytes {
+				largest[w.Manifest] = w
 			}
 		}
 	}
-	for _, w := range best {
+	for _, w := range largest {
 		p.Bytes += w.Bytes
 		p.AllBytes += w.AllBytes
 	}
 }
 
-// engine counts one engine among the replicas, unless its domain is drained.
-func (p *Progress) engine(b *bundler.Bundle, a messenger.AgentState) {
+// addEngine counts one engine among the replicas, unless its domain is drained.
+func (p *Progress) addEngine(b *bundler.Bundle, a messenger.AgentState) {
 	if a.Kind != messenger.KindEngine || !b.Serves(nil, a.FailureDomain) || len(b.ModelsIn(a.FailureDomain)) == 0 {
 		return
 	}
--- a/internal/inspector/inspector_test.go
+++ b/internal/inspector/inspector_test.go
@@ -26,7 +26,7 @@
 	Models:         []bundler.Model{{Name: "rota", Version: "v2", Manifest: "new", Share: 1}},
 }
 
-// engine is one that serves the bundle.
+// engine returns the state of an agent whose engine serves the bundle.
 func engine(id, domain string) messenger.AgentState {
 	return messenger.AgentState{
 		ID: id, FailureDomain: domain, Kind: messenger.KindEngine, Gate: messenger.GateOpen,
@@ -34,13 +34,13 @@
 	}
 }
 
-func entryAt(id string, revision uint64) entry.Status {
+func entryStatus(id string, revision uint64) entry.Status {
 	return entry.Status{State: messenger.EntryState{ID: id, Word: messenger.Word{Revision: revision}}}
 }
 
-// A roll is under way, and operators wait for its end before they touch a failure
-// domain. Counted as done too early, they would do so while an agent still serves
-// by the old bundle.
+// A roll is in progress, and operators wait for its end before they touch a failure domain.
+// If it were reported as done too early, they would do so while an agent still serves by
+// the old bundle.
 func TestMeasure(t *testing.T) {
 	behind := engine("vm-2", "b")
 	behind.Revision = 2
@@ -50,11 +50,11 @@
 	old.Manifest = "old"
 	service := messenger.AgentState{ID: "vm-5", FailureDomain: "a", Kind: messenger.KindService, Revision: 3}
 	drained := engine("vm-6", "c")
-	knowsMore, knowsLess := entryAt("entry-1", 3), entryAt("entry-2", 2)
-	knowsMore.Weights = []entry.WeightsStatus{{Manifest: "new", Bytes: 1500, AllBytes: 3_000_000}}
-	knowsLess.Weights = []entry.WeightsStatus{{Manifest: "new", Bytes: 900, AllBytes: 1_000_000}}
+	mostAgents, fewerAgents := entryStatus("entry-1", 3), entryStatus("entry-2", 2)
+	mostAgents.Weights = []entry.WeightsStatus{{Manifest: "new", Bytes: 1500, AllBytes: 3_000_000}}
+	fewerAgents.Weights = []entry.WeightsStatus{{Manifest: "new", Bytes: 900, AllBytes: 1_000_000}}
 	p := inspector.Measure(bundle, inspector.Deployment{
-		Entries: []entry.Status{knowsMore, knowsLess, entryAt("entry-3", 4)},
+		Entries: []entry.Status{mostAgents, fewerAgents, entryStatus("entry-3", 4)},
 		Agents:  []messenger.AgentState{engine("vm-1", "a"), behind, closed, old, service, drained},
 		Silent:  map[string]string{"10.0.0.4:80": "refused"},
 	})
@@ -70,66 +70,66 @@
 
 func TestMeasureDone(t *testing.T) {
 	p := inspector.Measure(bundle, inspector.Deployment{
-		Entries: []entry.Status{entryAt("entry-1", 3)},
+		Entries: []entry.Status{entryStatus("entry-1", 3)},
 		Agents:  []messenger.AgentState{engine("vm-1", "a"), engine("vm-2", "b")},
 	})
 	must.True(t, p.Confirmed())
 	must.True(t, p.AllReady())
 }
 
-// serve is an entry's address for operators.
-func serve(t *testing.T, s entry.Status) netip.AddrPort {
+// serveStatus starts an operators' server of an entry with a status.
+func serveStatus(t *testing.T, s entry.Status) netip.AddrPort {
 	h := reporter.Handler(func() any { return s }, func() error { return nil }, metrics.NewRegistry())
 	server := httptest.NewServer(h)
 	t.Cleanup(server.Close)
 	return netip.MustParseAddrPort(server.Listener.Addr().String())
 }
 
-// The store was restored old and an entry raised an alarm. It has to reach the
-// operator with its reason: an error that is an interface has no form in JSON.
+// The store was restored to an old state and an entry raised an alarm. The alarm must reach
+// the operator with its reason: an error stored as an interface isn't encoded in JSON.
 func TestAlarmSurvivesStatus(t *testing.T) {
-	s := entryAt("entry-1", 3)
+	s := entryStatus("entry-1", 3)
 	s.Alarms = []reporter.Alarm{{
 		Kind: gossiper.AlarmRolledBack, Problem: "store holds revision 2", Count: 4,
 		Last: time.Date(2026, 12, 2, 0, 0, 0, 0, time.UTC),
 	}}
-	got, err := inspector.Inspector{}.Ask(t.Context(), serve(t, s))
+	got, err := inspector.Inspector{}.Status(t.Context(), serveStatus(t, s))
 	must.NoError(t, err)
 	must.Eq(t, s, got)
 }
 
-// Two entries tell of one agent, one of them from old news, and a third entry is
-// gone. The newest word counts, and the silent entry is named.
+// Two entries report one agent, one of them an old state, and a third entry is down. The
+// newest state counts, and the entry without an answer is listed.
 func TestSurvey(t *testing.T) {
-	now, before := engine("vm-1", "a"), engine("vm-1", "a")
-	now.Sequence, before.Sequence, before.Revision = 7, 6, 2
-	first, second := entryAt("entry-1", 3), entryAt("entry-2", 3)
-	first.Agents = []messenger.AgentState{now}
-	second.Agents = []messenger.AgentState{before, engine("vm-0", "b")}
+	newer, older := engine("vm-1", "a"), engine("vm-1", "a")
+	newer.Sequence, older.Sequence, older.Revision = 7, 6, 2
+	first, second := entryStatus("entry-1", 3), entryStatus("entry-2", 3)
+	first.Agents = []messenger.AgentState{newer}
+	second.Agents = []messenger.AgentState{older, engine("vm-0", "b")}
 	broken := httptest.NewServer(http.NotFoundHandler())
 	t.Cleanup(broken.Close)
-	gone := netip.MustParseAddrPort(broken.Listener.Addr().String())
-	d := inspector.Inspector{}.Survey(t.Context(), []netip.AddrPort{serve(t, first), serve(t, second), gone})
-	must.Eq(t, []messenger.AgentState{engine("vm-0", "b"), now}, d.Agents)
+	failing := netip.MustParseAddrPort(broken.Listener.Addr().String())
+	d := inspector.Inspector{}.Survey(t.Context(), []netip.AddrPort{serveStatus(t, first), serveStatus(t, second), failing})
+	must.Eq(t, []messenger.AgentState{engine("vm-0", "b"), newer}, d.Agents)
 	must.SliceLen(t, 2, d.Entries)
-	must.MapContainsKey(t, d.Silent, gone.String())
-	_, err := inspector.Inspector{}.Ask(t.Context(), gone)
+	must.MapContainsKey(t, d.Silent, failing.String())
+	_, err := inspector.Inspector{}.Status(t.Context(), failing)
 	var s *inspector.StatusError
 	must.True(t, errors.As(err, &s))
 	must.Eq(t, http.StatusNotFound, s.Status)
 }
 
-// Guards against an entry that counts as confirmed by a status that was cut.
-func TestCutStatusIsNoStatus(t *testing.T) {
+// Guards against counting an entry as confirmed by a truncated status.
+func TestTruncatedStatusIsRejected(t *testing.T) {
 	text := "HTTP/1.1 200 OK\r\nContent-Length: 900\r\n\r\n{\"state\":{}}"
-	_, err := inspector.Inspector{}.Ask(t.Context(), bodyreadertest.Serve(t, text, bodyreadertest.Close))
+	_, err := inspector.Inspector{}.Status(t.Context(), bodyreadertest.Serve(t, text, bodyreadertest.Close))
 	must.Error(t, err)
 }
 
-// Guards against an entry whose status has a head without end.
-func TestEndlessHeadIsNoStatus(t *testing.T) {
+// Guards against an entry whose status has an endless header.
+func TestEndlessHeaderIsRejected(t *testing.T) {
 	bodyreadertest.EndlessHeads(t, func(a netip.AddrPort) error {
-		_, err := inspector.Inspector{}.Ask(t.Context(), a)
+		_, err := inspector.Inspector{}.Status(t.Context(), a)
 		return err
 	})
 }
--- a/internal/notifier/broadcast.go
+++ b/internal/notifier/broadcast.go
@@ -1,16 +1,16 @@
-// Package notifier wakes all who wait for a change.
+// Package notifier signals changes to all goroutines that wait for them.
 package notifier
 
 import "sync"
 
-// Broadcast wakes everybody who waits, each time anew. The zero value is ready.
+// Broadcast signals each change to all waiting goroutines. The zero value is ready.
 type Broadcast struct {
 	mu   sync.Mutex
 	next chan struct{}
 }
 
-// Wait gives a channel that is closed at the next Wake. Take it before looking at
-// what may change, or a change in between is missed.
+// Wait returns a channel that is closed at the next Notify. Call it before reading the state
+// that may change, or a change in between is missed.
 func (b *Broadcast) Wait() <-chan struct{} {
 	b.mu.Lock()
 	defer b.mu.Unlock()
@@ -20,8 +20,8 @@
 	return b.next
 }
 
-// Wake wakes all who wait.
-func (b *Broadcast) Wake() {
+// Notify unblocks all waiting goroutines.
+func (b *Broadcast) Notify() {
 	b.mu.Lock()
 	defer b.mu.Unlock()
 	if b.next != nil {
--- a/internal/observer/observer.go
+++ b/internal/observer/observer.go
@@ -12,27 +12,27 @@
 )
 
 const (
-	// leastLimit is the lowest rate limit, in requests a second over all entries, that is kept to. An
-	// upstream that gets no request can't state that its limit is over.
-	leastLimit = 0.1
-	// forgetAfter is how long an upstream may go unused before what it stated is forgotten.
-	forgetAfter = time.Minute
-	// doubtedFor is for how long a leaving holds of which it isn't certain whether the upstream's
-	// present start stated it.
-	doubtedFor = 10 * time.Second
-	// invalidPause is the pause between two log lines on an upstream's invalid statements, whose values may
-	// differ from reply to reply.
-	invalidPause = 10 * time.Second
+	// minLimit is the lowest rate limit, in requests a second over all entries, that is applied. An
+	// upstream that gets no request can't state that its limit has ended.
+	minLimit = 0.1
+	// retention is how long the statements of an unused upstream are kept.
+	retention = time.Minute
+	// uncertainLeavingFor is how long a statement of leaving holds that may be the upstream's former
+	// start's.
+	uncertainLeavingFor = 10 * time.Second
+	// invalidLogInterval is the least time between two log lines on an upstream's invalid statements, whose
+	// values may differ from reply to reply.
+	invalidLogInterval = 10 * time.Second
 )
 
-// Start is one start of an upstream.
+// Start identifies one start of an upstream.
 type Start struct {
 	ID string
 	// At is when it started, by its own clock; zero when unknown.
 	At time.Time
 }
 
-// Limit is a rate that an upstream states of itself.
+// Limit is a rate limit stated by an upstream.
 type Limit struct {
 	// Rate is in requests a second from all entries together; 0 for none.
 	Rate float64
@@ -40,173 +40,173 @@
 	Age time.Duration
 }
 
-// Terms are what an upstream asks of those who send to it.
+// Terms are the restrictions that an upstream puts on requests to it.
 type Terms struct {
-	// Leaving upstreams get nothing more.
+	// Leaving upstreams get no more requests.
 	Leaving bool
-	// Rest is for how much longer the upstream wants nothing from this process; 0 for no rest.
+	// Rest is the rest of the upstream's backoff for this process; 0 for no backoff.
 	Rest time.Duration
-	// Limit is what it last said of its rate limit; Limited is false if it never stated any.
+	// Limit is the last stated rate limit; Limited is false if none was ever stated.
 	Limit   Limit
 	Limited bool
 }
 
-// Reasons for which an upstream gets nothing.
+// Reasons for which an upstream gets no requests.
 const (
-	LeavingUpstream = "leaving"
-	RestingUpstream = "asked for rest"
+	UpstreamLeaving    = "leaving"
+	UpstreamBackingOff = "asked for rest"
 )
 
-// Closed is why the upstream gets nothing now; empty when it may.
-func (t Terms) Closed() string {
+// ClosedReason is why the upstream gets no requests now; empty when it gets them.
+func (t Terms) ClosedReason() string {
 	switch {
 	case t.Leaving:
-		return LeavingUpstream
+		return UpstreamLeaving
 	case t.Rest > 0:
-		return RestingUpstream
+		return UpstreamBackingOff
 	default:
 		return ""
 	}
 }
 
 // Observer keeps the terms of upstreams for one process. It is safe for concurrent use. Set the
-// exported fields before use; a nil Observer knows of none.
+// exported fields before use; a nil Observer has no terms.
 type Observer struct {
 	Clock clock.PassiveClock
 	// Metrics counts statements by kind; nil for no count.
 	Metrics metrics.Registry
 
-	mu    sync.Mutex
-	known map[string]*upstream
-	swept time.Time
+	mu        sync.Mutex
+	upstreams map[string]*upstream
+	lastSweep time.Time
 }
 
-// upstream is what one upstream has stated. The times of statements are zero for those never made.
+// upstream holds the statements of one upstream. The times of statements are zero for those never made.
 type upstream struct {
-	startedAt            time.Time
-	leftAt, leavingUntil time.Time
-	restedAt, restUntil  time.Time
-	limit                float64
-	limitedAt            time.Time
-	invalid              Invalid
-	invalidLoggedAt      time.Time
-	used                 time.Time
+	startedAt               time.Time
+	leavingAt, leavingUntil time.Time
+	backoffAt, backoffUntil time.Time
+	limit                   float64
+	limitedAt               time.Time
+	invalid                 Invalid
+	invalidLoggedAt         time.Time
+	lastUsed                time.Time
 }
 
-// Note takes in what a start of an upstream stated in a reply, nothing included.
-func (o *Observer) Note(of Start, statements Statements) {
+// Record records the statements of one reply, which may be none, by a start of an upstream.
+func (o *Observer) Record(start Start, statements Statements) {
 	if o == nil {
 		return
 	}
 	o.mu.Lock()
 	defer o.mu.Unlock()
 	now := o.Clock.Now()
-	o.sweep(now)
-	u := o.of(of, now)
+	o.removeUnused(now)
+	u := o.lookup(start, now)
 	if u == nil {
 		if len(statements) == 0 {
 			return
 		}
-		u = &upstream{startedAt: of.At, used: now}
-		if o.known == nil {
-			o.known = map[string]*upstream{}
+		u = &upstream{startedAt: start.At, lastUsed: now}
+		if o.upstreams == nil {
+			o.upstreams = map[string]*upstream{}
 		}
-		o.known[of.ID] = u
+		o.upstreams[start.ID] = u
 	}
-	if of.At.Before(u.startedAt) && !of.At.IsZero() {
-		// A late reply of a former start says nothing of the present one.
+	if start.At.Before(u.startedAt) && !start.At.IsZero() {
+		// A late reply of a former start doesn't apply to the present one.
 		return
 	}
 	limited := false
 	for _, s := range statements {
-		o.count(s)
+		o.countStatement(s)
 		switch s := s.(type) {
 		case RateLimit:
 			limited = true
-			u.limitTo(of.ID, max(s.PerSecond, leastLimit), now)
-		case Rest:
-			u.rest(of.ID, s.For, now)
+			u.setLimit(start.ID, max(s.PerSecond, minLimit), now)
+		case Backoff:
+			u.setBackoff(start.ID, s.For, now)
 		case Leaving:
-			u.leave(of.ID, now)
+			u.setLeaving(start.ID, now)
 		case Invalid:
-			u.ignore(of.ID, s, now)
+			u.handleInvalid(start.ID, s, now)
 		}
 	}
 	if !limited && !u.limitedAt.IsZero() {
-		u.limitTo(of.ID, 0, now)
+		u.setLimit(start.ID, 0, now)
 	}
 }
 
-// of is what is known of an upstream; nil for nothing. A later start than the one that stated it ends
-// that, but for what was stated since: the record of a start is learned later than its replies.
-func (o *Observer) of(s Start, now time.Time) *upstream {
-	u := o.known[s.ID]
+// lookup returns the state of an upstream; nil for none. A later start drops the statements of the former
+// one, except those since: the record of a start arrives later than its first replies.
+func (o *Observer) lookup(start Start, now time.Time) *upstream {
+	u := o.upstreams[start.ID]
 	if u == nil {
 		return nil
 	}
-	u.used = now
+	u.lastUsed = now
 	if u.startedAt.IsZero() {
-		u.startedAt = s.At
+		u.startedAt = start.At
 	}
-	if s.At.After(u.startedAt) {
-		u.restart(s.At, now)
+	if start.At.After(u.startedAt) {
+		u.handleRestart(start.At, now)
 	}
 	return u
 }
 
-func (u *upstream) restart(at, now time.Time) {
-	u.startedAt = at
-	if u.restedAt.Before(at) {
-		u.restedAt, u.restUntil = time.Time{}, time.Time{}
+func (u *upstream) handleRestart(startedAt, now time.Time) {
+	u.startedAt = startedAt
+	if u.backoffAt.Before(startedAt) {
+		u.backoffAt, u.backoffUntil = time.Time{}, time.Time{}
 	}
-	if u.limitedAt.Before(at) {
+	if u.limitedAt.Before(startedAt) {
 		u.limit, u.limitedAt = 0, time.Time{}
 	}
 	switch {
-	case u.leftAt.Before(at):
-		u.leftAt, u.leavingUntil = time.Time{}, time.Time{}
-	case !u.leftAt.IsZero():
-		// The clocks of two VMs may differ.
-		u.leavingUntil = now.Add(doubtedFor)
+	case u.leavingAt.Before(startedAt):
+		u.leavingAt, u.leavingUntil = time.Time{}, time.Time{}
+	case !u.leavingAt.IsZero():
+		// The clocks of two VMs may differ, so that the statement may be of either start.
+		u.leavingUntil = now.Add(uncertainLeavingFor)
 	}
 }
 
-func (u *upstream) limitTo(id string, perSecond float64, now time.Time) {
+func (u *upstream) setLimit(id string, perSecond float64, now time.Time) {
 	if perSecond != u.limit {
 		klog.InfoS("Upstream changed its rate limit", "upstream", id, "limited", perSecond > 0, "perSecond", perSecond)
 	}
 	u.limit, u.limitedAt = perSecond, now
 }
 
-// rest begins or extends a rest. A shorter one doesn't end a longer one that was asked for before.
-func (u *upstream) rest(id string, d time.Duration, now time.Time) {
+// setBackoff starts or extends a backoff. A shorter one doesn't end a longer one that was requested earlier.
+func (u *upstream) setBackoff(id string, d time.Duration, now time.Time) {
 	until := now.Add(d)
-	if !until.After(u.restUntil) {
+	if !until.After(u.backoffUntil) {
 		return
 	}
-	if !now.Before(u.restUntil) {
-		klog.InfoS("Upstream asked for rest", "upstream", id, "for", d)
+	if !now.Before(u.backoffUntil) {
+		klog.InfoS("Upstream requested backoff", "upstream", id, "for", d)
 	}
-	u.restedAt, u.restUntil = now, until
+	u.backoffAt, u.backoffUntil = now, until
 }
 
-func (u *upstream) leave(id string, now time.Time) {
-	if u.leftAt.IsZero() {
-		klog.InfoS("Upstream stated that it leaves", "upstream", id)
+func (u *upstream) setLeaving(id string, now time.Time) {
+	if u.leavingAt.IsZero() {
+		klog.InfoS("Upstream is leaving", "upstream", id)
 	}
-	u.leftAt, u.leavingUntil = now, time.Time{}
+	u.leavingAt, u.leavingUntil = now, time.Time{}
 }
 
-// ignore logs a value without sense once, and not with each reply that repeats it or has another one.
-func (u *upstream) ignore(id string, s Invalid, now time.Time) {
-	if u.invalid != s && now.Sub(u.invalidLoggedAt) >= invalidPause {
+// handleInvalid logs an invalid value, but not each reply that repeats it, and other values at intervals only.
+func (u *upstream) handleInvalid(id string, s Invalid, now time.Time) {
+	if u.invalid != s && now.Sub(u.invalidLoggedAt) >= invalidLogInterval {
 		u.invalidLoggedAt = now
-		klog.InfoS("Statement of an upstream ignored", "upstream", id, "header", s.Header, "value", s.Value)
+		klog.InfoS("Ignored invalid statement of an upstream", "upstream", id, "header", s.Header, "value", s.Value)
 	}
 	u.invalid = s
 }
 
-func (o *Observer) count(s Statement) {
+func (o *Observer) countStatement(s Statement) {
 	if o.Metrics == nil {
 		return
 	}
@@ -214,7 +214,7 @@
 	switch s.(type) {
 	case RateLimit:
 		kind = "rateLimit"
-	case Rest:
+	case Backoff:
 		kind = "rest"
 	case Leaving:
 		kind = "leaving"
@@ -224,15 +224,15 @@
 	metrics.GetOrRegisterCounter("statements."+kind, o.Metrics).Inc(1)
 }
 
-// Terms are what a start of an upstream asks for now.
-func (o *Observer) Terms(of Start) Terms {
+// Terms returns the present terms of a start of an upstream.
+func (o *Observer) Terms(start Start) Terms {
 	if o == nil {
 		return Terms{}
 	}
 	o.mu.Lock()
 	defer o.mu.Unlock()
 	now := o.Clock.Now()
-	u := o.of(of, now)
+	u := o.lookup(start, now)
 	if u == nil {
 		return Terms{}
 	}
@@ -240,8 +240,8 @@
 }
 
 func (u *upstream) terms(now time.Time) Terms {
-	t := Terms{Rest: max(0, u.restUntil.Sub(now))}
-	t.Leaving = !u.leftAt.IsZero() && (u.leavingUntil.IsZero() || now.Before(u.leavingUntil))
+	t := Terms{Rest: max(0, u.backoffUntil.Sub(now))}
+	t.Leaving = !u.leavingAt.IsZero() && (u.leavingUntil.IsZero() || now.Before(u.leavingUntil))
 	if !u.limitedAt.IsZero() {
 		t.Limited, t.Limit = true, Limit{Rate: u.limit, Age: now.Sub(u.limitedAt)}
 	}
@@ -254,7 +254,7 @@
 	Terms
 }
 
-// All lists the upstreams that ask for anything now, sorted by ID.
+// All lists the upstreams that restrict requests now, sorted by ID.
 func (o *Observer) All() []UpstreamTerms {
 	if o == nil {
 		return nil
@@ -263,8 +263,8 @@
 	defer o.mu.Unlock()
 	now := o.Clock.Now()
 	var all []UpstreamTerms
-	for id, u := range o.known {
-		if t := u.terms(now); t.Closed() != "" || t.Limit.Rate > 0 {
+	for id, u := range o.upstreams {
+		if t := u.terms(now); t.ClosedReason() != "" || t.Limit.Rate > 0 {
 			all = append(all, UpstreamTerms{ID: id, Terms: t})
 		}
 	}
@@ -272,15 +272,15 @@
 	return all
 }
 
-// sweep forgets upstreams that are gone. A rest is kept to its end.
-func (o *Observer) sweep(now time.Time) {
-	if now.Sub(o.swept) < forgetAfter {
+// removeUnused deletes upstreams that are unused. A backoff is kept to its end.
+func (o *Observer) removeUnused(now time.Time) {
+	if now.Sub(o.lastSweep) < retention {
 		return
 	}
-	o.swept = now
-	for id, u := range o.known {
-		if now.Sub(u.used) > forgetAfter && now.After(u.restUntil) {
-			delete(o.known, id)
+	o.lastSweep = now
+	for id, u := range o.upstreams {
+		if now.Sub(u.lastUsed) > retention && now.After(u.backoffUntil) {
+			delete(o.upstreams, id)
 		}
 	}
 }
--- a/internal/observer/observer_test.go
+++ b/internal/observer/observer_test.go
@@ -19,33 +19,33 @@
 	return &observer.Observer{Clock: c, Metrics: metrics.NewRegistry()}, c
 }
 
-// Guards against a rest that ends early, as by a shorter or a later one, or by a reply that asks for none.
-func TestRestLastsToItsEnd(t *testing.T) {
+// Guards against a backoff that is ended early by a shorter or a later one, or by a reply without one.
+func TestBackoffLastsToItsEnd(t *testing.T) {
 	o, c := newObserver()
 	u := observer.Start{ID: "u"}
 	must.Zero(t, o.Terms(u).Rest)
-	o.Note(u, statements{observer.Rest{For: 3 * time.Second}})
+	o.Record(u, statements{observer.Backoff{For: 3 * time.Second}})
 	c.Step(time.Second)
-	o.Note(u, statements{observer.Rest{For: time.Second}})
-	o.Note(u, nil)
+	o.Record(u, statements{observer.Backoff{For: time.Second}})
+	o.Record(u, nil)
 	must.Eq(t, 2*time.Second, o.Terms(u).Rest)
-	must.Eq(t, observer.RestingUpstream, o.Terms(u).Closed())
-	o.Note(u, statements{observer.Rest{For: 3 * time.Second}})
+	must.Eq(t, observer.UpstreamBackingOff, o.Terms(u).ClosedReason())
+	o.Record(u, statements{observer.Backoff{For: 3 * time.Second}})
 	must.Eq(t, 3*time.Second, o.Terms(u).Rest)
 	must.Zero(t, o.Terms(observer.Start{ID: "other"}).Rest)
 	c.Step(3 * time.Second)
-	must.Eq(t, "", o.Terms(u).Closed())
+	must.Eq(t, "", o.Terms(u).ClosedReason())
 	must.SliceEmpty(t, o.All())
 }
 
-// Guards against what a former start of an upstream stated binding the present one, and against what
-// the present one stated being lost when its record is heard.
-func TestUpstreamThatStartsAnewIsFreeOfWhatTheFormerStartStated(t *testing.T) {
-	all := statements{observer.Rest{For: 8 * time.Second}, observer.Leaving{}, observer.RateLimit{PerSecond: 2}}
+// Guards against applying the statements of an upstream's former start to the present one, and against
+// losing those of the present one when its record arrives.
+func TestRestartDropsStatementsOfFormerStart(t *testing.T) {
+	all := statements{observer.Backoff{For: 8 * time.Second}, observer.Leaving{}, observer.RateLimit{PerSecond: 2}}
 	for name, test := range map[string]struct {
-		// stated is how long before the new start's own begin the statements came.
-		stated time.Duration
-		kept   bool
+		// beforeStart is how long before the new start, by its own clock, the statements were made.
+		beforeStart time.Duration
+		kept        bool
 	}{
 		"stated by the former start":  {time.Second, false},
 		"stated by the present start": {-time.Second, true},
@@ -54,8 +54,8 @@
 			o, c := newObserver()
 			former := observer.Start{ID: "u", At: c.Now().Add(-time.Minute)}
 			o.Terms(former)
-			o.Note(former, all)
-			present := observer.Start{ID: "u", At: c.Now().Add(test.stated)}
+			o.Record(former, all)
+			present := observer.Start{ID: "u", At: c.Now().Add(test.beforeStart)}
 			c.Step(2 * time.Second)
 			terms := o.Terms(present)
 			must.Eq(t, test.kept, terms.Leaving)
@@ -63,25 +63,25 @@
 			must.Eq(t, test.kept, terms.Limited)
 
 			// A late reply of the former start changes nothing.
-			o.Note(former, all)
+			o.Record(former, all)
 			must.Eq(t, terms, o.Terms(present))
-			// A leaving that may be the former start's doesn't hold for good.
+			// A statement of leaving that may be the former start's expires.
 			c.Step(time.Minute)
-			must.Eq(t, "", o.Terms(present).Closed())
+			must.Eq(t, "", o.Terms(present).ClosedReason())
 		})
 	}
 }
 
-// Guards against an upstream that is used again although it stated that it leaves.
-func TestLeavingHoldsWhileTheUpstreamIsKnown(t *testing.T) {
+// Guards against requests to an upstream that stated that it is leaving.
+func TestLeavingLastsWhileTheUpstreamIsUsed(t *testing.T) {
 	o, c := newObserver()
 	u, other := observer.Start{ID: "u", At: c.Now()}, observer.Start{ID: "other"}
-	o.Note(u, statements{observer.Leaving{}})
+	o.Record(u, statements{observer.Leaving{}})
 	for range 200 {
 		c.Step(time.Second)
-		o.Note(u, nil)
-		o.Note(other, statements{observer.Rest{}})
-		must.Eq(t, observer.LeavingUpstream, o.Terms(u).Closed())
+		o.Record(u, nil)
+		o.Record(other, statements{observer.Backoff{}})
+		must.Eq(t, observer.UpstreamLeaving, o.Terms(u).ClosedReason())
 	}
 }
 
@@ -89,65 +89,65 @@
 func TestLimitEndsWithTheReplies(t *testing.T) {
 	o, c := newObserver()
 	u := observer.Start{ID: "u"}
-	o.Note(u, nil)
+	o.Record(u, nil)
 	must.False(t, o.Terms(u).Limited)
-	o.Note(u, statements{observer.RateLimit{PerSecond: 1.5}})
+	o.Record(u, statements{observer.RateLimit{PerSecond: 1.5}})
 	c.Step(time.Second)
 	terms := o.Terms(u)
 	must.True(t, terms.Limited)
 	must.Eq(t, observer.Limit{Rate: 1.5, Age: time.Second}, terms.Limit)
-	o.Note(u, statements{observer.Rest{For: time.Second}})
+	o.Record(u, statements{observer.Backoff{For: time.Second}})
 	terms = o.Terms(u)
-	must.True(t, terms.Limited, must.Sprint("its end is passed on"))
+	must.True(t, terms.Limited, must.Sprint("the end of the limit is passed on"))
 	must.Zero(t, terms.Limit.Rate)
 }
 
 // Guards against a limit of 0, which no reply could ever end.
-func TestLeastLimitLetsRepliesThrough(t *testing.T) {
+func TestMinLimitLetsRepliesThrough(t *testing.T) {
 	o, _ := newObserver()
 	u := observer.Start{ID: "u"}
-	o.Note(u, statements{observer.RateLimit{}})
+	o.Record(u, statements{observer.RateLimit{}})
 	must.Positive(t, o.Terms(u).Limit.Rate)
 }
 
-// Guards against values without sense that bind, or that aren't counted.
-func TestInvalidStatementsBindNobody(t *testing.T) {
+// Guards against invalid values that take effect, or that aren't counted.
+func TestInvalidStatementsHaveNoEffect(t *testing.T) {
 	o, _ := newObserver()
 	u := observer.Start{ID: "u"}
 	for range 3 {
-		o.Note(u, statements{observer.Invalid{Header: "h", Value: "-1"}})
+		o.Record(u, statements{observer.Invalid{Header: "h", Value: "-1"}})
 	}
 	must.Eq(t, observer.Terms{}, o.Terms(u))
 	must.Eq(t, 3, metrics.GetOrRegisterCounter("statements.invalid", o.Metrics).Count())
 }
 
-// Guards against memory that grows with all upstreams that ever were, and against a rest that is
-// forgotten before its end.
-func TestGoneUpstreamsAreForgotten(t *testing.T) {
+// Guards against memory that grows with the number of all upstreams ever seen, and against a backoff that
+// is dropped before its end.
+func TestUnusedUpstreamsAreRemoved(t *testing.T) {
 	o, c := newObserver()
-	resting := observer.Start{ID: "resting"}
-	o.Note(resting, statements{observer.Rest{For: 10 * time.Minute}})
+	backingOff := observer.Start{ID: "resting"}
+	o.Record(backingOff, statements{observer.Backoff{For: 10 * time.Minute}})
 	for i := range 100 {
-		o.Note(observer.Start{ID: fmt.Sprint(i)}, statements{observer.Leaving{}})
+		o.Record(observer.Start{ID: fmt.Sprint(i)}, statements{observer.Leaving{}})
 	}
 	must.Len(t, 101, o.All())
 	c.Step(5 * time.Minute)
-	o.Note(observer.Start{ID: "new"}, nil)
+	o.Record(observer.Start{ID: "new"}, nil)
 	must.Len(t, 1, o.All())
-	must.Eq(t, 5*time.Minute, o.Terms(resting).Rest)
+	must.Eq(t, 5*time.Minute, o.Terms(backingOff).Rest)
 }
 
-// Guards against a log that doesn't tell what an upstream stated.
+// Guards against a log that doesn't show the statements of an upstream.
 func TestStatementsAreReadable(t *testing.T) {
-	all := statements{observer.RateLimit{PerSecond: 1.5}, observer.Rest{For: 3 * time.Second}, observer.Leaving{}, observer.Invalid{Header: "h", Value: "-1"}}
+	all := statements{observer.RateLimit{PerSecond: 1.5}, observer.Backoff{For: 3 * time.Second}, observer.Leaving{}, observer.Invalid{Header: "h", Value: "-1"}}
 	must.Eq(t, `limit 1.5/s, rest 3s, leaving, invalid h "-1"`, all.String())
 	must.Eq(t, "", statements(nil).String())
 }
 
-// Guards against a process without an observer that fails.
-func TestNilObserverKnowsNothing(t *testing.T) {
+// Guards against a nil dereference in a process without an observer.
+func TestNilObserverHasNoTerms(t *testing.T) {
 	var o *observer.Observer
-	o.Note(observer.Start{ID: "u"}, statements{observer.Leaving{}})
+	o.Record(observer.Start{ID: "u"}, statements{observer.Leaving{}})
 	must.Eq(t, observer.Terms{}, o.Terms(observer.Start{ID: "u"}))
 	must.SliceEmpty(t, o.All())
 }
--- a/internal/relayer/liveness.go
+++ b/internal/relayer/liveness.go
@@ -58,7 +58,7 @@
 
 // alive tells whether an upstream still runs. One that wants no requests gets a connection at most.
 func (l *Relayer) alive(ctx context.Context, u *registrar.UpstreamView) bool {
-	if l.Placer.terms(u).Closed() != "" {
+	if l.Placer.terms(u).ClosedReason() != "" {
 		return NetworkLiveness{}.Alive(ctx, u.Upstream)
 	}
 	return l.Liveness.Alive(ctx, u.Upstream)
--- a/internal/relayer/liveness_test.go
+++ b/internal/relayer/liveness_test.go
@@ -139,11 +139,11 @@
 // Guards against questions to an upstream that asked for rest or leaves, and replies of it that are refused for want
 // of an answer.
 func TestUpstreamThatWantsNothingIsNotAsked(t *testing.T) {
-	for what, statement := range map[string]observer.Statement{"rests": observer.Rest{For: time.Minute}, "leaves": observer.Leaving{}} {
+	for what, statement := range map[string]observer.Statement{"rests": observer.Backoff{For: time.Minute}, "leaves": observer.Leaving{}} {
 		t.Run(what, func(t *testing.T) {
 			var w *world
 			u := newUpstream(t, "u", func(_ int, id string, conn net.Conn) bool {
-				w.relayer.Placer.Observer.Note(observer.Start{ID: "u"}, observer.Statements{statement})
+				w.relayer.Placer.Observer.Record(observer.Start{ID: "u"}, observer.Statements{statement})
 				return reply{framing: byConnection, ending: ends, sent: events(1, 3)}.write(id, conn)
 			})
 			w = newWorld(t, u)
--- a/internal/relayer/terms.go
+++ b/internal/relayer/terms.go
@@ -51,7 +51,7 @@
 // NoteStatements notes what an upstream states of itself in a reply.
 func (p *Placer) NoteStatements(u registrar.Upstream, stated observer.Statements) {
 	if !p.Without.Has(ablator.UpstreamTerms) {
-		p.Observer.Note(startOf(u), stated)
+		p.Observer.Record(startOf(u), stated)
 	}
 }
 
@@ -67,7 +67,7 @@
 // withhold tells whether a request that has a place must not be sent any more. Errors are
 // *WithheldError.
 func (p *Placer) withhold(u *registrar.UpstreamView) error {
-	if reason := p.terms(u).Closed(); reason != "" {
+	if reason := p.terms(u).ClosedReason(); reason != "" {
 		return &WithheldError{Reason: reason}
 	}
 	return nil
--- a/internal/reporter/alarm.go
+++ b/internal/reporter/alarm.go
@@ -6,7 +6,7 @@
 	"github.com/oriolecroft/oriolecroft/internal/gossiper"
 )
 
-// Alarm is something that operators have to look into, as /status shows it.
+// Alarm is a problem that operators have to investigate, as shown by /status.
 type Alarm struct {
 	Kind    gossiper.AlarmKind `json:"kind"`
 	Problem string             `json:"problem"`
@@ -14,7 +14,7 @@
 	Last    time.Time          `json:"last"`
 }
 
-// Alarms puts a state's alarms into the form that operators get.
+// Alarms converts a state's alarms to the form shown to operators.
 func Alarms(s *gossiper.State) []Alarm {
 	var as []Alarm
 	for _, a := range s.Alarms() {
--- a/internal/reporter/endless_request_test.go
+++ b/internal/reporter/endless_request_test.go
@@ -16,21 +16,21 @@
 )
 
 const (
-	// agentMemory is what the smallest VM of an agent has, in bytes.
-	agentMemory = 152 << 20
-	// keptOfHeader bounds what a server keeps of a request's header, in bytes: twenty without end at once must fit.
-	keptOfHeader = agentMemory / 20
-	// endless is how many bytes stand for bytes without end.
-	endless = 64 << 20
+	// agentMemoryBytes is the memory of the smallest VM of an agent.
+	agentMemoryBytes = 152 << 20
+	// maxHeaderMemory bounds the bytes that a server keeps of a request's header: twenty endless headers at once must fit.
+	maxHeaderMemory = agentMemoryBytes / 20
+	// endlessBytes is the length of a header that the test treats as endless.
+	endlessBytes = 64 << 20
 )
 
-func allocated() uint64 {
+func totalAllocated() uint64 {
 	var m runtime.MemStats
 	runtime.ReadMemStats(&m)
 	return m.TotalAlloc
 }
 
-// Guards against a request whose header has no end and fills the memory.
+// Guards against an endless request header that exhausts the memory.
 func TestEndlessHeaderIsRefused(t *testing.T) {
 	for name, part := range map[string]string{"field": "x", "fields": "a: b\r\n"} {
 		t.Run(name, func(t *testing.T) {
@@ -44,16 +44,16 @@
 			must.NoError(t, err)
 			defer conn.Close()
 			parts := strings.Repeat(part, 64<<10)
-			before := allocated()
+			before := totalAllocated()
 			_, err = io.WriteString(conn, "GET / HTTP/1.1\r\nHost: a\r\nLong: ")
 			for sent := 0; err == nil; {
-				must.Less(t, endless, sent)
+				must.Less(t, endlessBytes, sent)
 				var n int
 				n, err = io.WriteString(conn, parts)
 				sent += n
 			}
-			// All that was allocated bounds what is kept.
-			must.Less(t, keptOfHeader, int64(allocated()-before))
+			// All that was allocated is an upper bound of what is kept.
+			must.Less(t, maxHeaderMemory, int64(totalAllocated()-before))
 		})
 	}
 }
--- a/internal/reporter/handler.go
+++ b/internal/reporter/handler.go
@@ -8,8 +8,8 @@
 	"github.com/rcrowley/go-metrics"
 )
 
-// Handler serves operators: /status as JSON, /metrics as text that common
-// collectors read, /healthz (the process runs), /readyz (it takes new work) and
+// Handler serves operators: /status as JSON, /metrics in the Prometheus text format,
+// /healthz (the process runs), /readyz (it accepts new requests) and
 // /debug/pprof (Go's profiles).
 func Handler(status func() any, ready func() error, r metrics.Registry) http.Handler {
 	m := http.NewServeMux()
--- a/internal/reporter/metrics.go
+++ b/internal/reporter/metrics.go
@@ -10,12 +10,11 @@
 	"github.com/rcrowley/go-metrics"
 )
 
-// quantiles are those reported of histograms and timers.
+// quantiles are reported for histograms and timers.
 var quantiles = []float64{0.5, 0.95, 0.99}
 
-// writeMetrics writes a registry in the text format that common collectors read:
-// a line for each value, "name value" or `name{quantile="0.5"} value`. Timers are
-// in seconds.
+// writeMetrics writes a registry in the Prometheus text format: a line for each value,
+// "name value" or `name{quantile="0.5"} value`. Timers are in seconds.
 func writeMetrics(w io.Writer, r metrics.Registry) {
 	lines := map[string]any{}
 	r.Each(func(name string, v any) { lines[name] = v })
@@ -29,7 +28,7 @@
 	}
 }
 
-// metricName fits a registry's name to the format.
+// metricName converts a registry's name to the format's character set.
 func metricName(name string) string {
 	return "oriolecroft_" + strings.NewReplacer(".", "_", "-", "_").Replace(name)
 }
--- a/internal/reporter/reporter_test.go
+++ b/internal/reporter/reporter_test.go
@@ -21,17 +21,17 @@
 	"github.com/oriolecroft/oriolecroft/internal/suspender"
 )
 
-const patience = 10 * time.Second
+const timeout = 10 * time.Second
 
-// get asks a handler for operators.
+// get sends a request to a handler for operators.
 func get(h http.Handler, path string) *httptest.ResponseRecorder {
 	rec := httptest.NewRecorder()
 	h.ServeHTTP(rec, httptest.NewRequest(http.MethodGet, path, http.NoBody))
 	return rec
 }
 
-// A collector reads line by line, and drops the whole answer for one line that it
-// can't parse: then all the curves end at once, in the middle of the night.
+// Guards against a line that a collector can't parse: it drops the whole response for one
+// such line, and all metrics are missing.
 func TestMetricsTextForm(t *testing.T) {
 	r := metrics.NewRegistry()
 	metrics.GetOrRegisterCounter("requests.ran", r).Inc(3)
@@ -62,9 +62,9 @@
 	}
 }
 
-// A process runs but may take no new work. A collector that takes it for ready
-// would hide that from the operators.
-func TestHealthIsHonest(t *testing.T) {
+// A process runs but may accept no new requests. A collector that shows it as ready would
+// hide that from the operators.
+func TestReadinessIsSeparateFromHealth(t *testing.T) {
 	var problem error
 	h := reporter.Handler(func() any { return map[string]int{"running": 2} }, func() error { return problem }, metrics.NewRegistry())
 	must.Eq(t, http.StatusOK, get(h, "/readyz").Code)
@@ -76,13 +76,13 @@
 	must.Eq(t, "{\n  \"running\": 2\n}\n", get(h, "/status").Body.String())
 }
 
-// A process shuts down while it answers. The answer under way must be whole.
+// A process shuts down while it writes a response. That response must be complete.
 func TestShutdownFinishesRequests(t *testing.T) {
 	l, err := net.Listen("tcp", "127.0.0.1:0")
 	must.NoError(t, err)
 	ctx, cancel := context.WithCancel(t.Context())
 	started := make(chan struct{})
-	w := &reporter.Web{Listener: l, Grace: patience, Handler: http.HandlerFunc(func(w http.ResponseWriter, r *http.Request) {
+	w := &reporter.Web{Listener: l, Grace: timeout, Handler: http.HandlerFunc(func(w http.ResponseWriter, r *http.Request) {
 		close(started)
 		<-ctx.Done()
 		_, _ = io.WriteString(w, "whole")
@@ -90,7 +90,7 @@
 	ended := make(chan error, 1)
 	go func() { ended <- w.Serve(ctx) }()
 	go func() { <-started; cancel() }()
-	c := &http.Client{Timeout: patience}
+	c := &http.Client{Timeout: timeout}
 	res, err := c.Get("http://" + l.Addr().String())
 	must.NoError(t, err)
 	defer res.Body.Close()
@@ -100,11 +100,11 @@
 	must.ErrorIs(t, <-ended, context.Canceled)
 }
 
-func TestEveryWorksAtOnceAndAtEachTick(t *testing.T) {
+func TestEveryRunsAtOnceAndAtEachTick(t *testing.T) {
 	c := clocktesting.NewFakeClock(time.Unix(0, 0))
 	worked := make(chan struct{})
 	s := reporter.Every("work", c, time.Second, func(context.Context) { worked <- struct{}{} })
-	ctx, cancel := context.WithTimeout(t.Context(), patience)
+	ctx, cancel := context.WithTimeout(t.Context(), timeout)
 	defer cancel()
 	ended := make(chan error, 1)
 	go func() { ended <- s.Serve(ctx) }()
@@ -117,36 +117,36 @@
 	must.ErrorIs(t, <-ended, context.Canceled)
 }
 
-// A VM is frozen for seconds. Without a line of its own, whoever reads the log can't tell
-// it from a process that had nothing to say.
-func TestStandingStillIsCounted(t *testing.T) {
+// A VM is paused for seconds. Without a log line for the pause, the log looks like that of
+// a process without events.
+func TestPauseIsCounted(t *testing.T) {
 	c := clocktesting.NewFakeClock(time.Unix(0, 0))
 	r := metrics.NewRegistry()
-	stood := metrics.GetOrRegisterTimer("process.stoodStill", r)
-	ctx, cancel := context.WithTimeout(t.Context(), patience)
+	pauses := metrics.GetOrRegisterTimer("process.stoodStill", r)
+	ctx, cancel := context.WithTimeout(t.Context(), timeout)
 	defer cancel()
 	s := reporter.Stalls(c, r)
 	go func() { _ = s.Serve(ctx) }()
-	must.Wait(t, wait.InitialSuccess(wait.BoolFunc(c.HasWaiters), wait.Timeout(patience), wait.Gap(time.Millisecond)))
+	must.Wait(t, wait.InitialSuccess(wait.BoolFunc(c.HasWaiters), wait.Timeout(timeout), wait.Gap(time.Millisecond)))
 	c.Step(9 * time.Second)
-	must.Wait(t, wait.InitialSuccess(wait.BoolFunc(func() bool { return stood.Count() == 1 }), wait.Timeout(patience), wait.Gap(time.Millisecond)))
-	must.Eq(t, int64(8900*time.Millisecond), stood.Max())
+	must.Wait(t, wait.InitialSuccess(wait.BoolFunc(func() bool { return pauses.Count() == 1 }), wait.Timeout(timeout), wait.Gap(time.Millisecond)))
+	must.Eq(t, int64(8900*time.Millisecond), pauses.Max())
 }
 
-// A VM is suspended for seconds. Its steady clock doesn't count them, so that the process
-// looks as if it had never stopped, and whoever reads the log looks for the cause of late
-// answers elsewhere.
+// A VM is suspended for seconds. Its steady clock doesn't count them, so that without a log
+// line nothing shows the suspension, and operators search elsewhere for the cause of late
+// responses.
 func TestSuspensionIsCounted(t *testing.T) {
 	steady := clocktesting.NewFakeClock(time.Unix(0, 0))
 	vm := &suspender.VM{Steady: steady}
 	r := metrics.NewRegistry()
-	stood := metrics.GetOrRegisterTimer("process.stoodStill", r)
-	ctx, cancel := context.WithTimeout(t.Context(), patience)
+	pauses := metrics.GetOrRegisterTimer("process.stoodStill", r)
+	ctx, cancel := context.WithTimeout(t.Context(), timeout)
 	defer cancel()
 	s := reporter.Stalls(vm.Clock(), r)
 	vm.Suspend(9 * time.Second)
 	steady.Step(100 * time.Millisecond)
 	go func() { _ = s.Serve(ctx) }()
-	must.Wait(t, wait.InitialSuccess(wait.BoolFunc(func() bool { return stood.Count() == 1 }), wait.Timeout(patience), wait.Gap(time.Millisecond)))
-	must.Eq(t, int64(9*time.Second), stood.Max())
+	must.Wait(t, wait.InitialSuccess(wait.BoolFunc(func() bool { return pauses.Count() == 1 }), wait.Timeout(timeout), wait.Gap(time.Millisecond)))
+	must.Eq(t, int64(9*time.Second), pauses.Max())
 }
--- a/internal/reporter/service.go
+++ b/internal/reporter/service.go
@@ -1,5 +1,5 @@
-// Package reporter is the wire towards operators: status, metrics and health over
-// HTTP. It also holds the small services that both daemons run under suture.
+// Package reporter is the HTTP interface for operators: status, metrics and health. It also
+// holds the small services that both daemons run under suture.
 package reporter
 
 import (
@@ -14,14 +14,14 @@
 	"k8s.io/utils/clock"
 )
 
-// LogEvents writes what the supervisor does to the log.
+// LogEvents logs the events of the supervisor.
 func LogEvents(e suture.Event) {
 	klog.InfoS("Supervisor", "event", e.String())
 }
 
-// RunUntil keeps a daemon's parts running until the context ends, then lets it leave
-// while they still run, and stops them.
-func RunUntil(ctx context.Context, parts *suture.Supervisor, leave func(context.Context)) error {
+// RunUntil runs a daemon's parts until the context ends, then calls drain while they still
+// run, and stops them.
+func RunUntil(ctx context.Context, parts *suture.Supervisor, drain func(context.Context)) error {
 	work, stop := context.WithCancel(context.WithoutCancel(ctx))
 	defer stop()
 	done := parts.ServeBackground(work)
@@ -30,7 +30,7 @@
 		return err
 	case <-ctx.Done():
 	}
-	leave(work)
+	drain(work)
 	stop()
 	err := <-done
 	if errors.Is(err, context.Canceled) {
@@ -44,19 +44,19 @@
 	Name     string
 	Listener net.Listener
 	Handler  http.Handler
-	// Grace is how long requests under way may take once the context has ended.
+	// Grace is how long running requests may take once the context has ended.
 	Grace time.Duration
-	// AnswerTimeout bounds the writing of an answer to a client that reads slowly; 0 for no bound.
+	// AnswerTimeout bounds writing a response to a client that reads slowly; 0 for no bound.
 	AnswerTimeout time.Duration
 }
 
-// readHeaderTimeout frees a connection whose client opens it and then is silent.
+// readHeaderTimeout closes a connection whose client opens it and sends nothing.
 const readHeaderTimeout = 10 * time.Second
 
-// maxHeader bounds a request's header, in bytes. One for an agent holds an order with a caller's header.
+// maxHeader bounds a request's header, in bytes. A request to an agent may hold an order with a caller's header.
 const maxHeader = 256 << 10
 
-// Serve answers requests until the context ends.
+// Serve serves requests until the context ends.
 func (w *Web) Serve(ctx context.Context) error {
 	s := &http.Server{Handler: w.Handler, ReadHeaderTimeout: readHeaderTimeout, MaxHeaderBytes: maxHeader, WriteTimeout: w.AnswerTimeout}
 	finished := make(chan struct{})
@@ -81,8 +81,8 @@
 
 func (w *Web) String() string { return w.Name }
 
-// Every makes a service that does something at each tick, starting at once. A
-// tick that comes while the work is still under way is dropped.
+// Every returns a service that calls do at once and at each tick. A tick during a call is
+// dropped.
 func Every(name string, c clock.WithTicker, interval time.Duration, do func(context.Context)) suture.Service {
 	return &periodic{name: name, clock: c, interval: interval, do: do}
 }
--- a/internal/reporter/stall.go
+++ b/internal/reporter/stall.go
@@ -11,25 +11,25 @@
 )
 
 const (
-	// stallEvery is how often a process looks whether it stood still.
-	stallEvery = 100 * time.Millisecond
-	// stallFrom is the least time, beyond stallEvery, that counts as standing still: a busy
-	// processor delays a timer by some tens of milliseconds, a peer's patience with a silent
-	// process begins at a few hundred.
-	stallFrom = 300 * time.Millisecond
+	// stallCheckInterval is how often a process checks whether it was paused.
+	stallCheckInterval = 100 * time.Millisecond
+	// minStall is the least delay, beyond stallCheckInterval, that counts as a stall: a busy
+	// processor delays a timer by some tens of milliseconds, and peers treat a process as
+	// unresponsive after a few hundred at the earliest.
+	minStall = 300 * time.Millisecond
 )
 
-// Stalls makes a service that logs and counts when the process, or its VM, stood still. Such
-// a process writes nothing meanwhile, and what it believes is older than it looks; without
-// this line both have to be inferred from silence. The clock should count the time for which
-// the VM is suspended.
+// Stalls returns a service that logs and counts pauses of the process or its VM. A paused
+// process writes no log, and its state is older than it seems; without this line both have
+// to be inferred from a gap in the log. The clock should count the time for which the VM is
+// suspended.
 func Stalls(c clock.WithTicker, r metrics.Registry) suture.Service {
 	last := c.Now()
-	return Every("stalls", c, stallEvery, func(context.Context) {
+	return Every("stalls", c, stallCheckInterval, func(context.Context) {
 		now := c.Now()
-		if stood := now.Sub(last) - stallEvery; stood >= stallFrom {
-			klog.InfoS("Process stood still", "for", stood)
-			metrics.GetOrRegisterTimer("process.stoodStill", r).Update(stood)
+		if stall := now.Sub(last) - stallCheckInterval; stall >= minStall {
+			klog.InfoS("Process stalled", "for", stall)
+			metrics.GetOrRegisterTimer("process.stoodStill", r).Update(stall)
 		}
 		last = now
 	})
--- a/internal/roller/roller.go
+++ b/internal/roller/roller.go
@@ -1,10 +1,9 @@
 // Package roller permits agents to switch their engines to a new version a few
 // at a time, so that each model keeps most of its replicas while a bundle rolls.
 //
-// A permit is soft. Each entry grants from what it knows; two entries that grant
-// at once take more replicas out at the same time than wished, which costs
-// capacity for a while and never correctness: what an engine may serve is decided
-// by its own agent's gate.
+// A permit is advisory. Each entry grants by its own state; two entries that grant
+// at once take more replicas out of service than configured, which costs capacity for a
+// while but never correctness: the agent's own gate decides what its engine may serve.
 package roller
 
 import (
@@ -27,8 +26,8 @@
 	DefaultSilentFor      = 5 * time.Second
 )
 
-// headroom is how much of the present load must be left as capacity beyond the
-// load itself, for what comes while engines are out.
+// headroom is the share of the present load that must be left as capacity beyond the
+// load itself, for requests that arrive while engines are out of service.
 const headroom = 0.5
 
 // Roller grants permits. Set the exported fields before the first call; all
@@ -38,15 +37,15 @@
 	// MaxUnavailable is the share of a model's replicas that may be out of
 	// service because of a switch; at least one always may.
 	MaxUnavailable float64
-	// MaxIdle is the greater share that may be out while the rest could carry the
-	// present load with room to spare: a roll by night need not take as long as one
-	// in the rush.
+	// MaxIdle is the greater share that may be out of service while the remaining replicas
+	// have capacity for the present load and headroom: a roll at low load can be faster than
+	// one at peak load.
 	MaxIdle float64
 	// PermitFor is how long a permit counts against the share while its agent
 	// hasn't come back with the new version.
 	PermitFor time.Duration
-	// SilentFor is how long an agent and its permit count after its last report. One
-	// that was frozen or killed with a permit in hand would otherwise keep the
+	// SilentFor is how long an agent and its permit count after its last report.
+	// Otherwise an agent that was suspended or killed with a permit would keep the
 	// others from switching for all of PermitFor.
 	SilentFor time.Duration
 
@@ -56,19 +55,19 @@
 }
 
 type replica struct {
-	state messenger.AgentState
-	heard time.Time
+	state      messenger.AgentState
+	lastReport time.Time
 }
 
-// permit is a switch that was granted and isn't known to be over.
+// permit is a granted switch that isn't known to be complete.
 type permit struct {
 	model string
-	// weights are those permitted, from those that the engine held before.
-	weights, from string
-	until         time.Time
+	// weights are the permitted ones, oldWeights those that the engine held before.
+	weights, oldWeights string
+	expires             time.Time
 }
 
-// Report notes an agent's state. A leaving agent is forgotten.
+// Report records an agent's state. It removes an agent that is shutting down.
 func (r *Roller) Report(s messenger.AgentState) {
 	r.mu.Lock()
 	defer r.mu.Unlock()
@@ -78,15 +77,15 @@
 		delete(r.permits, s.ID)
 		return
 	}
-	r.replicas[s.ID] = replica{state: s, heard: r.Clock.Now()}
-	// An engine that is open with anything else than before is back, whatever it
-	// holds: a newer version may have overtaken the permitted one on the way.
-	if p, ok := r.permits[s.ID]; ok && s.Weights() != p.from && s.Gate == messenger.GateOpen {
+	r.replicas[s.ID] = replica{state: s, lastReport: r.Clock.Now()}
+	// An open engine with weights other than its old ones has completed its switch, even
+	// if they aren't the permitted ones: a newer version may have superseded those.
+	if p, ok := r.permits[s.ID]; ok && s.Weights() != p.oldWeights && s.Gate == messenger.GateOpen {
 		delete(r.permits, s.ID)
 	}
 }
 
-// Remove forgets an agent.
+// Remove deletes an agent and its permit.
 func (r *Roller) Remove(id string) {
 	r.mu.Lock()
 	defer r.mu.Unlock()
@@ -94,8 +93,8 @@
 	delete(r.permits, id)
 }
 
-// Permit tells whether the agent may put its engine to the model's version now.
-// A permit once given stays given until it lapses or the agent is back.
+// Permit reports whether the agent may switch its engine to the model's version now.
+// A granted permit lasts until it expires or the agent has completed its switch.
 func (r *Roller) Permit(agent messenger.AgentState, model bundler.Model) bool {
 	r.mu.Lock()
 	defer r.mu.Unlock()
@@ -104,62 +103,62 @@
 	if agent.Manifest == "" || agent.Weights() == model.Weights() {
 		return true
 	}
-	if p, ok := r.permits[agent.ID]; ok && p.weights == model.Weights() && now.Before(p.until) {
+	if p, ok := r.permits[agent.ID]; ok && p.weights == model.Weights() && now.Before(p.expires) {
 		return true
 	}
-	c := r.count(agent, now)
-	allowed := r.allowed(c)
-	granted := c.out < allowed
-	klog.V(1).InfoS("Switch asked", "agent", agent.ID, "model", agent.Model, "version", model.Version,
-		"granted", granted, "replicas", c.all, "out", c.out, "allowed", allowed)
+	c := r.countReplicas(agent, now)
+	allowed := r.maxUnavailable(c)
+	granted := c.unavailable < allowed
+	klog.V(1).InfoS("Switch requested", "agent", agent.ID, "model", agent.Model, "version", model.Version,
+		"granted", granted, "replicas", c.total, "out", c.unavailable, "allowed", allowed)
 	if granted {
-		r.permits[agent.ID] = permit{model: agent.Model, weights: model.Weights(), from: agent.Weights(), until: now.Add(r.PermitFor)}
+		r.permits[agent.ID] = permit{model: agent.Model, weights: model.Weights(), oldWeights: agent.Weights(), expires: now.Add(r.PermitFor)}
 	}
 	return granted
 }
 
-// census is what is known of the replicas of one model.
-type census struct {
-	// all are the replicas, out those of them out of service: permitted to switch,
-	// or not open.
-	all, out int
-	// running is the sum over all, limit over those in service.
+// replicaCounts summarizes the replicas of one model.
+type replicaCounts struct {
+	// total counts all replicas, unavailable those that are permitted to switch or not
+	// open.
+	total, unavailable int
+	// running is the sum over all replicas, limit the sum over those in service.
 	running, limit int
 }
 
-// allowed is how many replicas may be out at once.
-func (r *Roller) allowed(c census) int {
-	share := max(r.MaxUnavailable, min(r.MaxIdle, c.spare()))
-	return max(1, int(math.Floor(share*float64(c.all))))
+// maxUnavailable is how many replicas may be out of service at once.
+func (r *Roller) maxUnavailable(c replicaCounts) int {
+	share := max(r.MaxUnavailable, min(r.MaxIdle, c.spareShare()))
+	return max(1, int(math.Floor(share*float64(c.total))))
 }
 
-// spare is the share of the replicas that the present load leaves free, headroom
-// included; nothing when no load is known.
-func (c census) spare() float64 {
-	if c.limit == 0 || c.all == 0 {
+// spareShare is the share of the replicas that isn't needed for the present load and
+// headroom; 0 when no load is known.
+func (c replicaCounts) spareShare() float64 {
+	if c.limit == 0 || c.total == 0 {
 		return 0
 	}
-	inService := float64(c.all-c.out) / float64(c.all)
+	inService := float64(c.total-c.unavailable) / float64(c.total)
 	used := float64(c.running) / float64(c.limit) * inService
 	return 1 - used*(1+headroom)
 }
 
-func (r *Roller) count(agent messenger.AgentState, now time.Time) census {
-	c := census{all: 1, running: agent.Running, limit: agent.Limit}
+func (r *Roller) countReplicas(agent messenger.AgentState, now time.Time) replicaCounts {
+	c := replicaCounts{total: 1, running: agent.Running, limit: agent.Limit}
 	for id, v := range r.replicas {
-		if id == agent.ID || now.Sub(v.heard) > r.SilentFor {
+		if id == agent.ID || now.Sub(v.lastReport) > r.SilentFor {
 			continue
 		}
 		p, permitted := r.permits[id]
-		permitted = permitted && now.Before(p.until) && p.model == agent.Model
+		permitted = permitted && now.Before(p.expires) && p.model == agent.Model
 		if v.state.Model != agent.Model && !permitted {
 			continue
 		}
-		c.all++
-		// What an engine that leaves still runs goes to the others next.
+		c.total++
+		// The requests of an engine that goes out of service move to the others.
 		c.running += v.state.Running
 		if permitted || v.state.Gate != messenger.GateOpen {
-			c.out++
+			c.unavailable++
 			continue
 		}
 		c.limit += v.state.Limit
--- a/internal/roller/roller_test.go
+++ b/internal/roller/roller_test.go
@@ -22,8 +22,8 @@
 	}
 }
 
-// granted counts the permits that n engines get when all ask at once.
-func granted(r *roller.Roller, n, running int) int {
+// grantPermits counts the permits that n engines get when all request one at once.
+func grantPermits(r *roller.Roller, n, running int) int {
 	for i := range n {
 		r.Report(engine(i, running))
 	}
@@ -50,14 +50,14 @@
 	for _, c := range cases {
 		t.Run(c.name, func(t *testing.T) {
 			r := &roller.Roller{Clock: testclock.NewFakePassiveClock(time.Unix(0, 0))}
-			must.Eq(t, c.want, granted(r, c.engines, c.running))
+			must.Eq(t, c.want, grantPermits(r, c.engines, c.running))
 		})
 	}
 }
 
-// An agent is frozen with a permit in hand. The next version would wait for it for
-// half a minute on engines that have its weights in memory.
-func TestSilentAgentDoesNotHoldUpTheRoll(t *testing.T) {
+// An agent is suspended while it has a permit. The next version would wait for it for half
+// a minute on engines that have its weights in memory.
+func TestUnresponsiveAgentDoesNotBlockTheRoll(t *testing.T) {
 	c := testclock.NewFakeClock(time.Unix(0, 0))
 	r := &roller.Roller{Clock: c}
 	for i := range 3 {
@@ -71,21 +71,20 @@
 	must.True(t, r.Permit(engine(1, 9), next))
 }
 
-// A newer version overtakes the permitted one while the engine switches, and the
-// engine comes back with the newer. Its permit would keep the others from switching
-// until it lapses.
-func TestOvertakenPermitIsOver(t *testing.T) {
+// A newer version supersedes the permitted one while the engine switches, and the engine
+// loads the newer one. Its permit would keep the others from switching until it expires.
+func TestPermitEndsWhenNewerVersionIsLoaded(t *testing.T) {
 	r := &roller.Roller{Clock: testclock.NewFakePassiveClock(time.Unix(0, 0))}
-	must.Eq(t, 1, granted(r, 3, 9))
+	must.Eq(t, 1, grantPermits(r, 3, 9))
 	back := engine(0, 0)
 	back.Manifest = "newer"
 	r.Report(back)
 	must.True(t, r.Permit(engine(1, 9), bundler.Model{Name: "rota", Version: "v3", Manifest: "newer"}))
 }
 
-// Only an adapter changes, while the model's own weights stay. Every engine has to
-// be loaded anew all the same; were all permitted at once, nobody would be left to
-// serve the model.
+// Only an adapter changes, while the model's own weights stay. Every engine has to be
+// reloaded nevertheless; if all were permitted at once, no replica would be left to serve
+// the model.
 func TestAdaptersRollAFewAtATime(t *testing.T) {
 	r := &roller.Roller{Clock: testclock.NewFakePassiveClock(time.Unix(0, 0))}
 	withAdapter := bundler.Model{
--- a/internal/sequencer/mailbox.go
+++ b/internal/sequencer/mailbox.go
@@ -2,7 +2,7 @@
 
 import "time"
 
-// Mailbox hands items to one task. Set Sequencer before use.
+// Mailbox passes items to one task. Set Sequencer before use.
 type Mailbox[T any] struct {
 	Sequencer *Sequencer
 
@@ -10,7 +10,7 @@
 	waiter *task
 }
 
-// Put adds an item and wakes the task that waits for one.
+// Put adds an item and resumes the task that waits for one.
 func (m *Mailbox[T]) Put(item T) {
 	m.items = append(m.items, item)
 	t := m.waiter
@@ -18,11 +18,11 @@
 		return
 	}
 	m.waiter = nil
-	wait := t.wait
-	m.Sequencer.In(0, func() { m.Sequencer.wake(t, wait) })
+	waitNumber := t.waitNumber
+	m.Sequencer.In(0, func() { m.Sequencer.endWait(t, waitNumber) })
 }
 
-// Get gives the next item; false if none came within the limit.
+// Get returns the next item; false if none arrived within the limit.
 func (m *Mailbox[T]) Get(limit time.Duration) (T, bool) {
 	if len(m.items) == 0 {
 		m.waiter = m.Sequencer.current
--- a/internal/sequencer/sequencer.go
+++ b/internal/sequencer/sequencer.go
@@ -1,6 +1,6 @@
-// Package sequencer runs tasks in virtual time, one at a time and always in the same order.
+// Package sequencer runs tasks in virtual time, one at a time and in a deterministic order.
 // Tasks are written as if they ran in parallel on a real clock; a day of them takes
-// seconds, and the same tasks do the same each time.
+// seconds, and the same tasks give the same results each time.
 package sequencer
 
 import (
@@ -15,14 +15,14 @@
 // that wait suspend the task, and others run meanwhile. Set Start before use. It must be used
 // by one goroutine only, and by the tasks that it runs.
 type Sequencer struct {
-	// Start is the moment at which virtual time begins.
+	// Start is the time at which virtual time starts.
 	Start time.Time
 
 	elapsed time.Duration
-	agenda  agenda
-	// entered counts what was put on the agenda: of two at the same moment the earlier comes
-	// first.
-	entered uint64
+	queue   eventQueue
+	// pushed counts the events put on the queue: of two events at the same time the earlier
+	// pushed one runs first.
+	pushed  uint64
 	current *task
 }
 
@@ -32,8 +32,8 @@
 type task struct {
 	resume func() (struct{}, bool)
 	yield  func(struct{}) bool
-	// wait numbers its waits, so that a timer for one that is over does nothing.
-	wait uint64
+	// waitNumber counts its waits, so that a timer for one that is over does nothing.
+	waitNumber uint64
 }
 
 // Now implements clock.Clock.
@@ -42,61 +42,61 @@
 // Since implements clock.Clock.
 func (s *Sequencer) Since(t time.Time) time.Duration { return s.Now().Sub(t) }
 
-// In calls a function after a while. It must not wait for anything.
+// In calls a function after a delay. The function must not wait for anything.
 func (s *Sequencer) In(d time.Duration, do func()) {
-	s.entered++
-	heap.Push(&s.agenda, happening{at: s.elapsed + max(0, d), number: s.entered, do: do})
+	s.pushed++
+	heap.Push(&s.queue, event{due: s.elapsed + max(0, d), sequence: s.pushed, do: do})
 }
 
-// Go begins a task at the present moment.
+// Go starts a task at the present virtual time.
 func (s *Sequencer) Go(do func()) {
 	t := &task{}
 	t.resume, _ = iter.Pull(func(yield func(struct{}) bool) {
 		t.yield = yield
 		do()
 	})
-	s.In(0, func() { s.run(t) })
+	s.In(0, func() { s.resumeTask(t) })
 }
 
-// Run goes on until nothing is left to do.
+// Run processes events until none are left.
 func (s *Sequencer) Run() {
-	for len(s.agenda) > 0 {
-		h := heap.Pop(&s.agenda).(happening)
-		s.elapsed = h.at
+	for len(s.queue) > 0 {
+		h := heap.Pop(&s.queue).(event)
+		s.elapsed = h.due
 		h.do()
 	}
 }
 
-// run has a task go on until it waits or ends.
-func (s *Sequencer) run(t *task) {
-	before := s.current
+// resumeTask runs a task until it waits or ends.
+func (s *Sequencer) resumeTask(t *task) {
+	previous := s.current
 	s.current = t
 	t.resume()
-	s.current = before
+	s.current = previous
 }
 
-// suspend has the present task wait until it is woken, or for a limit.
+// suspend suspends the current task until its wait is ended, or for a limit.
 func (s *Sequencer) suspend(limit time.Duration) {
 	t := s.current
-	wait := t.wait
-	s.In(limit, func() { s.wake(t, wait) })
+	waitNumber := t.waitNumber
+	s.In(limit, func() { s.endWait(t, waitNumber) })
 	t.yield(struct{}{})
 }
 
-// wake has a task go on whose wait with that number is not over.
-func (s *Sequencer) wake(t *task, wait uint64) {
-	if t.wait != wait {
+// endWait resumes a task unless its wait with that number is over.
+func (s *Sequencer) endWait(t *task, waitNumber uint64) {
+	if t.waitNumber != waitNumber {
 		return
 	}
-	t.wait++
-	s.run(t)
+	t.waitNumber++
+	s.resumeTask(t)
 }
 
 // Sleep implements clock.Clock.
 func (s *Sequencer) Sleep(d time.Duration) { s.suspend(d) }
 
 // After implements clock.Clock. It suspends the task itself and returns when the time is over,
-// so that a select over the channel takes it at once.
+// so that a select on the channel receives at once.
 func (s *Sequencer) After(d time.Duration) <-chan time.Time {
 	s.suspend(d)
 	c := make(chan time.Time, 1)
@@ -104,15 +104,15 @@
 	return c
 }
 
-// NewTimer implements clock.Clock. Unlike After it doesn't suspend; receiving from it is for
-// the caller to time.
+// NewTimer implements clock.Clock. Unlike After it doesn't suspend; the caller must receive
+// from it only after the time is over.
 func (s *Sequencer) NewTimer(d time.Duration) clock.Timer {
 	t := &timer{sequencer: s, c: make(chan time.Time, 1)}
 	t.Reset(d)
 	return t
 }
 
-// Tick implements clock.Clock. Ticks go on for as long as anything else does.
+// Tick implements clock.Clock. Ticks continue while other events are queued.
 func (s *Sequencer) Tick(d time.Duration) <-chan time.Time {
 	c := make(chan time.Time, 1)
 	var tick func()
@@ -121,7 +121,7 @@
 		case c <- s.Now():
 		default:
 		}
-		if len(s.agenda) > 0 {
+		if len(s.queue) > 0 {
 			s.In(d, tick)
 		}
 	}
@@ -131,63 +131,63 @@
 
 // timer implements clock.Timer.
 type timer struct {
-	sequencer *Sequencer
-	c         chan time.Time
-	set       uint64
-	running   bool
+	sequencer  *Sequencer
+	c          chan time.Time
+	generation uint64
+	running    bool
 }
 
 func (t *timer) C() <-chan time.Time { return t.c }
 
 func (t *timer) Stop() bool {
-	was := t.running
+	wasRunning := t.running
 	t.running = false
-	t.set++
-	return was
+	t.generation++
+	return wasRunning
 }
 
 func (t *timer) Reset(d time.Duration) bool {
-	was := t.Stop()
+	wasRunning := t.Stop()
 	t.running = true
-	set := t.set
+	generation := t.generation
 	t.sequencer.In(d, func() {
-		if t.set != set {
+		if t.generation != generation {
 			return
 		}
 		t.running = false
 		t.c <- t.sequencer.Now()
 	})
-	return was
+	return wasRunning
 }
 
-// happening is a function that is called at a moment.
-type happening struct {
-	at     time.Duration
-	number uint64
-	do     func()
+// event is a function call at a virtual time.
+type event struct {
+	due      time.Duration
+	sequence uint64
+	do       func()
 }
 
-type agenda []happening
+type eventQueue []event
 
-func (a agenda) Len() int { return len(a) }
+func (a eventQueue) Len() int { return len(a) }
 
-func (a agenda) Less(i, j int) bool {
-	if a[i].at != a[j].at {
-		return a[i].at < a[j].at
+func (a eventQueue) Less(i, j int) bool {
+	if a[i].due != a[j].due {
+		return a[i].due < a[j].due
 	}
-	return a[i].number < a[j].number
+	return a[i].sequence < a[j].sequence
 }
 
-func (a agenda) Swap(i, j int) { a[i], a[j] = a[j], a[i] }
+func (a eventQueue) Swap(i, j int) { a[i], a[j] = a[j], a[i] }
 
 // Push implements heap.Interface.
-func (a *agenda) Push(x any) { *a = append(*a, x.(happening)) }
+func (a *eventQueue) Push(x any) { *a = append(*a, x.(event)) }
 
 // Pop implements heap.Interface.
-func (a *agenda) Pop() any {
+func (a *eventQueue) Pop() any {
 	old := *a
 	h := old[len(old)-1]
-	old[len(old)-1] = happening{}
+	old[len(old)-1] = event{}
 	*a = old[:len(old)-1]
 	return h
 }
--- a/internal/sequencer/sequencer_test.go
+++ b/internal/sequencer/sequencer_test.go
@@ -15,26 +15,26 @@
 func TestTasksTakeTurns(t *testing.T) {
 	s := &sequencer.Sequencer{Start: start}
 	var seen []string
-	note := func(what string) { seen = append(seen, what+" "+s.Since(start).String()) }
+	record := func(what string) { seen = append(seen, what+" "+s.Since(start).String()) }
 	for _, name := range []string{"a", "b"} {
 		s.Go(func() {
-			note(name)
+			record(name)
 			s.Sleep(time.Second)
-			note(name)
+			record(name)
 			select {
 			case <-context.Background().Done():
 			case <-s.After(time.Hour):
 			}
-			note(name)
+			record(name)
 		})
 	}
-	s.In(500*time.Millisecond, func() { note("between") })
+	s.In(500*time.Millisecond, func() { record("between") })
 	s.Run()
 	must.Eq(t, []string{"a 0s", "b 0s", "between 500ms", "a 1s", "b 1s", "a 1h0m1s", "b 1h0m1s"}, seen)
 }
 
-// A task waits for items with a limit that runs out, gets one just before the next limit, and
-// the timers of waits that are over wake it no more.
+// A task waits for items with a limit that expires, gets one just before the next limit, and
+// the timers of completed waits don't resume it.
 func TestMailbox(t *testing.T) {
 	s := &sequencer.Sequencer{Start: start}
 	m := &sequencer.Mailbox[int]{Sequencer: s}
--- a/internal/simulator/host.go
+++ b/internal/simulator/host.go
@@ -155,7 +155,7 @@
 func (h *host) reject(entry string, box *sequencer.Mailbox[part], way time.Duration) {
 	h.ask(entry, h.rest)
 	refusal := part{failure: h.failure(retrier.NotRun, http.StatusServiceUnavailable, "asks for rest")}
-	refusal.stated = append(h.stated(), observer.Rest{For: h.rest})
+	refusal.stated = append(h.stated(), observer.Backoff{For: h.rest})
 	h.later(box, way, refusal)
 }
 
--- a/internal/stager/stager.go
+++ b/internal/stager/stager.go
@@ -196,7 +196,7 @@
 }
 
 // Poll has the engine asked without waiting for the next turn.
-func (s *Stager) Poll() { s.poll.Wake() }
+func (s *Stager) Poll() { s.poll.Notify() }
 
 // EngineStart gives the start of the engine as it was last observed, and how long ago that was; a zero
 // start before the first time.
@@ -329,7 +329,7 @@
 	}
 	var resting *RestingError
 	if errors.As(err, &resting) {
-		s.closeGateUntil(observer.RestingUpstream, asked.Add(resting.Rest))
+		s.closeGateUntil(observer.UpstreamBackingOff, asked.Add(resting.Rest))
 		return false
 	}
 	if err != nil {
@@ -359,7 +359,7 @@
 func (s *Stager) decideGate(e *matcher.Engine, model string, held uint64) {
 	switch {
 	case s.report.Leaving:
-		s.closeGate(observer.LeavingUpstream)
+		s.closeGate(observer.UpstreamLeaving)
 	case held == 0:
 		s.closeGateUntil("no weights", s.opens(e, held))
 	case s.report.Busy || s.loading(held):
--- a/internal/surveyor/faults.go
+++ b/internal/surveyor/faults.go
@@ -7,16 +7,16 @@
 	"time"
 )
 
-// newest is the most that any process knew when all were asked.
-type newest struct {
+// newestState is the newest state among the surveyed processes.
+type newestState struct {
 	revision, table uint64
 	weights         map[string]uint64
 	upstreams       int
 	entries         int
 }
 
-func newestOf(ps []Process) newest {
-	n := newest{weights: map[string]uint64{}}
+func findNewestState(ps []Process) newestState {
+	n := newestState{weights: map[string]uint64{}}
 	for _, p := range ps {
 		st := p.Status
 		if st == nil {
@@ -26,7 +26,7 @@
 		for model, v := range st.Weights {
 			n.weights[model] = max(n.weights[model], v)
 		}
-		// Upstreams and entries come and go, so that the most is not the newest.
+		// Upstreams and entries are also removed, so that the largest count is not the newest.
 		if st.Revision > n.revision {
 			n.revision, n.upstreams, n.entries = st.Revision, 0, 0
 		}
@@ -37,35 +37,35 @@
 	return n
 }
 
-// faults says what is wrong with a process, in plain words.
-func (n newest) faults(p *Process) []string {
+// faults describes the faults of a process to operators.
+func (n newestState) faults(p *Process) []string {
 	st := p.Status
 	if st == nil {
 		return []string{fmt.Sprintf("no answer: %v", p.err)}
 	}
 	var fs []string
-	add := func(wrong bool, format string, args ...any) {
+	addIf := func(wrong bool, format string, args ...any) {
 		if wrong {
 			fs = append(fs, fmt.Sprintf(format, args...))
 		}
 	}
 	age := time.Duration(st.ConfirmedAgo * float64(time.Second))
-	add(!st.Known, "knows nothing yet")
-	add(st.Known && age > freshFor, "out of touch with the store for %v", age.Round(100*time.Millisecond))
-	add(st.Revision < n.revision, "behind: revision %d of %d", st.Revision, n.revision)
-	add(st.TableVersion < n.table, "old route table: version %d of %d", st.TableVersion, n.table)
+	addIf(!st.Known, "no state received yet")
+	addIf(st.Known && age > maxConfirmationAge, "no confirmation from the store for %v", age.Round(100*time.Millisecond))
+	addIf(st.Revision < n.revision, "behind: revision %d of %d", st.Revision, n.revision)
+	addIf(st.TableVersion < n.table, "old route table: version %d of %d", st.TableVersion, n.table)
 	for _, model := range slices.Sorted(maps.Keys(n.weights)) {
-		named, newest := st.Weights[model], n.weights[model]
-		add(named < newest, "did not hear that %s version %d was named", model, newest)
+		announced, newest := st.Weights[model], n.weights[model]
+		addIf(announced < newest, "missed the announcement of %s version %d", model, newest)
 	}
 	if st.Revision == n.revision {
-		add(st.Upstreams < n.upstreams, "knows %d of %d upstreams", st.Upstreams, n.upstreams)
-		add(st.Entries < n.entries, "knows %d of %d entries", st.Entries, n.entries)
+		addIf(st.Upstreams < n.upstreams, "has %d of %d upstreams", st.Upstreams, n.upstreams)
+		addIf(st.Entries < n.entries, "has %d of %d entries", st.Entries, n.entries)
 	}
 	if e := st.Engine; e != nil {
-		add(e.Held < n.weights[e.Model], "engine holds version %d of %d", e.Held, n.weights[e.Model])
-		add(e.Closed != "", "engine closed: %s", e.Closed)
+		addIf(e.Held < n.weights[e.Model], "engine holds version %d of %d", e.Held, n.weights[e.Model])
+		addIf(e.Closed != "", "engine closed: %s", e.Closed)
 	}
-	add(st.NotReady != "", "not ready: %s", st.NotReady)
+	addIf(st.NotReady != "", "not ready: %s", st.NotReady)
 	return fs
 }
--- a/internal/surveyor/surveyor_test.go
+++ b/internal/surveyor/surveyor_test.go
@@ -19,12 +19,12 @@
 	"github.com/oriolecroft/oriolecroft/internal/surveyor"
 )
 
-// process answers with the next of some statuses at each question, the last for good.
-func process(t *testing.T, statuses ...surveyor.Status) netip.AddrPort {
+// serveStatuses answers each request with the next of some statuses, and repeats the last.
+func serveStatuses(t *testing.T, statuses ...surveyor.Status) netip.AddrPort {
 	t.Helper()
-	var asked atomic.Int64
+	var requests atomic.Int64
 	return serve(t, func(w http.ResponseWriter, _ *http.Request) {
-		n := min(int(asked.Add(1)), len(statuses))
+		n := min(int(requests.Add(1)), len(statuses))
 		_ = json.NewEncoder(w).Encode(statuses[n-1])
 	})
 }
@@ -53,20 +53,20 @@
 	return s.Survey(context.Background(), addresses)
 }
 
-func TestProcessesInStep(t *testing.T) {
-	for _, p := range survey(t, process(t, entry("a")), process(t, agent("b"))) {
+func TestProcessesThatAgreeHaveNoFaults(t *testing.T) {
+	for _, p := range survey(t, serveStatuses(t, entry("a")), serveStatuses(t, agent("b"))) {
 		must.SliceEmpty(t, p.Faults)
 		must.NotNil(t, p.Status)
 	}
 }
 
-// One process was cut off and goes on by what it knew, another's engine has no new weights
-// yet, a third hangs. Callers get old answers from the one, and the operator who looks for
-// it must see which and why.
-func TestEachFaultIsNamed(t *testing.T) {
-	cut, old, starting := entry("cut"), agent("old"), entry("new")
-	cut.Revision, cut.ConfirmedAgo, cut.TableVersion, cut.Weights = 70, 12.5, 3, map[string]uint64{"m": 2}
-	old.Engine.Held, old.Engine.Closed = 2, "switching weights"
+// One process was partitioned and continues with its old state, another's engine lacks the
+// new weights, a third hangs. Callers get old replies from the first, and the operator must
+// see which process it is and why.
+func TestEachFaultIsReported(t *testing.T) {
+	partitioned, outdated, starting := entry("cut"), agent("old"), entry("new")
+	partitioned.Revision, partitioned.ConfirmedAgo, partitioned.TableVersion, partitioned.Weights = 70, 12.5, 3, map[string]uint64{"m": 2}
+	outdated.Engine.Held, outdated.Engine.Closed = 2, "switching weights"
 	starting.Revision, starting.Known, starting.NotReady = 0, false, "no route table yet"
 	fewer := entry("fewer")
 	fewer.Entries = 1
@@ -74,15 +74,15 @@
 	hangs := serve(t, func(http.ResponseWriter, *http.Request) { <-release })
 	defer close(release)
 	broken := serve(t, func(w http.ResponseWriter, _ *http.Request) { w.WriteHeader(http.StatusInternalServerError) })
-	began := time.Now()
-	ps := survey(t, process(t, entry("a")), process(t, cut), process(t, old), process(t, starting), process(t, fewer), hangs, broken)
-	must.Less(t, 4*time.Second, time.Since(began))
+	started := time.Now()
+	ps := survey(t, serveStatuses(t, entry("a")), serveStatuses(t, partitioned), serveStatuses(t, outdated), serveStatuses(t, starting), serveStatuses(t, fewer), hangs, broken)
+	must.Less(t, 4*time.Second, time.Since(started))
 	for i, words := range [][]string{
 		{},
-		{"out of touch with the store for 12.5s", "revision 70 of 90", "version 3 of 4", "did not hear that m version 3"},
+		{"no confirmation from the store for 12.5s", "revision 70 of 90", "version 3 of 4", "missed the announcement of m version 3"},
 		{"engine holds version 2 of 3", "engine closed: switching weights"},
-		{"knows nothing yet", "not ready: no route table yet"},
-		{"knows 1 of 2 entries"},
+		{"no state received yet", "not ready: no route table yet"},
+		{"has 1 of 2 entries"},
 		{"no answer"},
 		{"status 500"},
 	} {
@@ -94,25 +94,25 @@
 	}
 }
 
-// A change reaches processes one after the other. Asked in between, the later ones look as if
-// they were cut off, and an operator would look for a fault that isn't there.
-func TestChangeOnItsWayIsNoFault(t *testing.T) {
+// A change reaches processes one after the other. In between, the later ones look as if they
+// were partitioned, and an operator would search for a fault that doesn't exist.
+func TestPropagatingChangeIsNoFault(t *testing.T) {
 	before := entry("b")
 	before.Revision, before.Upstreams = 89, 11
-	for _, p := range survey(t, process(t, entry("a")), process(t, before, entry("b"))) {
+	for _, p := range survey(t, serveStatuses(t, entry("a")), serveStatuses(t, before, entry("b"))) {
 		must.SliceEmpty(t, p.Faults)
 	}
 }
 
-// Guards against a process that counts as in step by a status that was cut.
-func TestCutStatusIsNoStatus(t *testing.T) {
+// Guards against counting a process as in agreement by a truncated status.
+func TestTruncatedStatusIsRejected(t *testing.T) {
 	text := "HTTP/1.1 200 OK\r\nContent-Length: 900\r\n\r\n{\"vm\":\"a\"}"
 	p := survey(t, bodyreadertest.Serve(t, text, bodyreadertest.Close))[0]
 	must.Nil(t, p.Status)
 }
 
-// Guards against a process whose answer has a head without end.
-func TestEndlessHeadIsNoStatus(t *testing.T) {
+// Guards against a process whose answer has an endless header.
+func TestEndlessHeaderIsRejected(t *testing.T) {
 	bodyreadertest.EndlessHeads(t, func(a netip.AddrPort) error {
 		if p := survey(t, a)[0]; p.Status == nil {
 			return errors.New(strings.Join(p.Faults, "; "))
--- a/internal/suspender/suspender.go
+++ b/internal/suspender/suspender.go
@@ -1,4 +1,4 @@
-// Package suspender plays a VM that can be suspended, for tests.
+// Package suspender simulates a VM that can be suspended, for tests.
 package suspender
 
 import (
@@ -10,28 +10,28 @@
 	"github.com/oriolecroft/oriolecroft/internal/timekeeper"
 )
 
-// VM is a VM that may be suspended for a while. Set the exported fields before use; it is
+// VM is a simulated VM that may be suspended. Set the exported fields before use; it is
 // safe for concurrent use.
 type VM struct {
-	// Steady is the VM's steady clock, by which its timers run too. It doesn't count the
+	// Steady is the VM's monotonic clock, which also runs its timers. It doesn't count the
 	// time of a suspension.
 	Steady clock.WithTicker
 
 	mu        sync.Mutex
 	suspended time.Duration
-	// booted is the steady clock's time when the VM was first used.
+	// booted is the monotonic clock's time when the VM was first used.
 	booted time.Time
 }
 
-// Suspend lets time pass outside in which nothing on the VM goes on, its steady clock
-// included.
+// Suspend simulates a suspension: time passes, but the VM and its monotonic clock are
+// stopped.
 func (v *VM) Suspend(d time.Duration) {
 	v.mu.Lock()
 	defer v.mu.Unlock()
 	v.suspended += d
 }
 
-// Clock is what a daemon on the VM tells the ages of its beliefs by.
+// Clock returns the clock by which a daemon on the VM measures the age of its state.
 func (v *VM) Clock() clock.WithTicker {
 	v.mu.Lock()
 	defer v.mu.Unlock()
@@ -41,7 +41,7 @@
 	return &timekeeper.Clock{WithTicker: v.Steady, Elapsed: v.elapsed}
 }
 
-// elapsed is what the kernel of the VM tells.
+// elapsed is the uptime of the VM as its kernel reports it.
 func (v *VM) elapsed() time.Duration {
 	v.mu.Lock()
 	defer v.mu.Unlock()
--- a/internal/timekeeper/timekeeper.go
+++ b/internal/timekeeper/timekeeper.go
@@ -1,14 +1,14 @@
-// Package timekeeper tells how long ago something was, the time included for which the VM
-// was suspended.
+// Package timekeeper provides a clock that measures elapsed time including the time for which
+// the VM was suspended.
 //
-// The steady clock, by which the standard library tells elapsed time and runs timers,
-// stands still while a VM is suspended. The time of day goes on, but it may jump on its
-// own. Linux's CLOCK_BOOTTIME does neither.
+// The monotonic clock, by which the standard library measures elapsed time and runs timers,
+// stops while a VM is suspended. The time of day continues, but may be set at any time.
+// Linux's CLOCK_BOOTTIME does neither.
 //
-// Times of this clock count from the VM's start, as if that had been the beginning of 1970.
+// Times of this clock count from the VM's start, represented as the beginning of 1970.
 // Compare them with each other only. A deadline of a connection, of a context or of a
-// request is a time of the standard library's clock; between parts that use the one and
-// parts that use the other, durations are handed over and never times.
+// request is a time of the standard library's clock; code that uses the one and code that
+// uses the other exchange durations and never times.
 package timekeeper
 
 import (
@@ -19,30 +19,30 @@
 	"k8s.io/utils/clock"
 )
 
-// UnreadableError reports that the kernel does not tell a clock.
+// UnreadableError reports that the kernel doesn't provide a clock.
 type UnreadableError struct {
-	// Clock is the kernel's name of it.
+	// Clock is the kernel's name of the clock.
 	Clock string
 	Err   error
 }
 
 func (e *UnreadableError) Error() string { return fmt.Sprintf("read %s: %v", e.Clock, e.Err) }
 
-// Unwrap gives the kernel's error.
+// Unwrap returns the kernel's error.
 func (e *UnreadableError) Unwrap() error { return e.Err }
 
-// Clock counts suspended time in Now and Since. Its timers and tickers are those of the
-// clock that it embeds, and so leave out suspended time: one that is set when the VM is
-// suspended fires that much later. Set the exported fields before use; it is safe for
-// concurrent use.
+// Clock includes suspended time in Now and Since. Its timers and tickers are those of the
+// embedded clock and exclude suspended time: one that is set when the VM is suspended
+// fires that much later. Set the exported fields before use; it is safe for concurrent
+// use.
 type Clock struct {
 	clock.WithTicker
 	// Elapsed is the time since the VM's start, suspended time included.
 	Elapsed func() time.Duration
 }
 
-// New makes the clock of the VM on which the process runs. It fails where the kernel does
-// not tell suspended time.
+// New returns the clock of the VM on which the process runs. It fails where the kernel does
+// not measure suspended time.
 func New() (*Clock, error) {
 	if _, err := sinceBoot(); err != nil {
 		return nil, err
@@ -50,10 +50,10 @@
 	return &Clock{WithTicker: clock.RealClock{}, Elapsed: elapsed}, nil
 }
 
-// Now is the time since the VM's start, as a time of 1970.
+// Now returns the time since the VM's start, as a time of 1970.
 func (c *Clock) Now() time.Time { return time.Unix(0, int64(c.Elapsed())) }
 
-// Since is how long ago a time of this clock was.
+// Since returns the time elapsed since a time of this clock.
 func (c *Clock) Since(t time.Time) time.Duration { return c.Now().Sub(t) }
 
 func sinceBoot() (time.Duration, error) {
--- a/internal/timekeeper/timekeeper_test.go
+++ b/internal/timekeeper/timekeeper_test.go
@@ -15,8 +15,8 @@
 	"github.com/oriolecroft/oriolecroft/internal/timekeeper"
 )
 
-// kernelUptime is the time since the VM's start as the kernel tells it elsewhere, suspended
-// time included, in hundredths of a second.
+// kernelUptime is the time since the VM's start as in /proc/uptime, suspended time included,
+// in hundredths of a second.
 func kernelUptime(t *testing.T) time.Duration {
 	t.Helper()
 	text, err := os.ReadFile("/proc/uptime")
@@ -26,9 +26,9 @@
 	return time.Duration(seconds * float64(time.Second))
 }
 
-// Were the daemons' clock the steady one after all, nothing would be seen of it until a VM
-// is suspended: callers then get old weights. On a VM that was suspended before, the
-// kernel's uptime differs from the steady clock by just that time.
+// If the daemons used the monotonic clock, the fault would show only after a VM is suspended:
+// callers then get old weights. On a VM that was suspended before, the kernel's uptime
+// differs from the monotonic clock by that time.
 func TestClockOfThisVMCountsSinceItsStart(t *testing.T) {
 	c, err := timekeeper.New()
 	must.NoError(t, err)
@@ -37,29 +37,29 @@
 	after := kernelUptime(t)
 	must.GreaterEq(t, before, now)
 	must.LessEq(t, after+10*time.Millisecond, now)
-	began := c.Now()
+	started := c.Now()
 	time.Sleep(20 * time.Millisecond)
-	must.GreaterEq(t, 20*time.Millisecond, c.Since(began))
+	must.GreaterEq(t, 20*time.Millisecond, c.Since(started))
 }
 
-// A timer runs by the steady clock, and the age beside it by the time that passed outside.
-func TestAgesCountASuspensionAndTimersDoNot(t *testing.T) {
+// A timer runs by the monotonic clock, and the age beside it includes the suspended time.
+func TestAgesIncludeSuspensionAndTimersDoNot(t *testing.T) {
 	steady := clocktest.NewFakeClock(time.Unix(1000, 0))
 	vm := &suspender.VM{Steady: steady}
 	c := vm.Clock()
-	began := c.Now()
-	over := c.After(time.Second)
+	started := c.Now()
+	fired := c.After(time.Second)
 	vm.Suspend(9 * time.Second)
-	must.Eq(t, 9*time.Second, c.Since(began))
-	must.Eq(t, 0, len(over))
+	must.Eq(t, 9*time.Second, c.Since(started))
+	must.Eq(t, 0, len(fired))
 	steady.Step(time.Second)
-	must.Eq(t, 10*time.Second, c.Since(began))
-	must.Eq(t, 1, len(over))
+	must.Eq(t, 10*time.Second, c.Since(started))
+	must.Eq(t, 1, len(fired))
 }
 
-// A time of this clock that gets among those of the standard library must show at once: it
-// lies decades before them, so that a deadline made of it is over.
-func TestTimesDoNotPassForTimesOfDay(t *testing.T) {
+// A time of this clock that is mixed up with those of the standard library must be obvious:
+// it lies decades before them, so that a deadline derived from it has passed.
+func TestTimesLieBeforeTimesOfDay(t *testing.T) {
 	c, err := timekeeper.New()
 	must.NoError(t, err)
 	must.True(t, c.Now().Add(24*time.Hour).Before(time.Now()))
--- a/internal/tracker/selection.go
+++ b/internal/tracker/selection.go
@@ -11,9 +11,9 @@
 
 // selection collects the agents to return in one reply.
 type selection struct {
-	requester   string
+	requester string
 	isFresh   func(*member) bool
-	members []*member
+	members   []*member
 }
 
 // add appends agents other than the requester while there are fewer than limit.
@@ -43,8 +43,8 @@
 func (p *selection) addSample(r *rand.Rand, g *group, have planner.Bitmap, domain string) {
 	type candidate struct {
 		*member
-		missing int
-		sameDomain   bool
+		missing    int
+		sameDomain bool
 	}
 	free := MaxHolders - len(p.members)
 	var cs []candidate
--- a/internal/tracker/tracker.go
+++ b/internal/tracker/tracker.go
@@ -46,7 +46,7 @@
 
 // agent is the last reported state of an agent.
 type agent struct {
-	state messenger.AgentState
+	state      messenger.AgentState
 	lastReport time.Time
 	// indirect is set when another entry listed the agent and the agent doesn't report
 	// to this entry itself.
--- a/proofs/bundle_test.go
+++ b/proofs/bundle_test.go
@@ -38,7 +38,7 @@
 	must.NoError(t, d.accept(r))
 	d.store.fault(faults{Down: true})
 	// What `bundle roll` does next, with the one entry that it reaches.
-	must.NoError(t, inspector.Inspector{}.Offer(t.Context(), d.entries[1].operators, r))
+	must.NoError(t, inspector.Inspector{}.SendBundle(t.Context(), d.entries[1].operators, r))
 	d.mustBeInForce()
 	d.store.fault(faults{})
 
@@ -212,7 +212,7 @@
 	d := r.deployment
 	throughout(t, span, "no process reverts", func() bool {
 		for _, e := range d.entries {
-			s, err := inspector.Inspector{}.Ask(t.Context(), e.operators)
+			s, err := inspector.Inspector{}.Status(t.Context(), e.operators)
 			if err == nil && !r.note(e.id, s.State.Word.Revision) {
 				return false
 			}
--- a/proofs/deployment_test.go
+++ b/proofs/deployment_test.go
@@ -442,7 +442,7 @@
 			}
 		}
 		for _, e := range d.entries {
-			s, err := inspector.Inspector{}.Ask(d.t.Context(), e.operators)
+			s, err := inspector.Inspector{}.Status(d.t.Context(), e.operators)
 			if err != nil || !s.Fresh || len(s.Agents) < len(d.agents()) || !all(s.Agents, wide) {
 				return false
 			}
@@ -486,7 +486,7 @@
 
 // revision is the one that an entry holds; 0 while it does not answer.
 func (e *entry) revision() uint64 {
-	s, err := inspector.Inspector{}.Ask(context.Background(), e.operators)
+	s, err := inspector.Inspector{}.Status(context.Background(), e.operators)
 	if err != nil {
 		return 0
 	}
@@ -495,7 +495,7 @@
 
 // running is how many callers' requests an entry carries.
 func (e *entry) running() int {
-	s, _ := inspector.Inspector{}.Ask(context.Background(), e.operators)
+	s, _ := inspector.Inspector{}.Status(context.Background(), e.operators)
 	return s.Running
 }
 
--- a/proofs/drain_test.go
+++ b/proofs/drain_test.go
@@ -71,7 +71,7 @@
 	d.engines[1].pause()
 	f := startTraffic(t, waiting, inTurn(d.callers()[1:]))
 	eventually(t, patience, "requests wait for the agent", func() bool {
-		s, err := inspector.Inspector{}.Ask(t.Context(), d.entries[1].operators)
+		s, err := inspector.Inspector{}.Status(t.Context(), d.entries[1].operators)
 		return err == nil && s.Running >= waiting
 	})
 	d.entries[1].pause()
@@ -116,7 +116,7 @@
 // either refuse too or know a bundle by which they send nothing there.
 func (d *deployment) closed(domain string) bool {
 	for _, e := range d.entries {
-		s, err := inspector.Inspector{}.Ask(d.t.Context(), e.operators)
+		s, err := inspector.Inspector{}.Status(d.t.Context(), e.operators)
 		if err != nil || e.domain == domain && s.Fresh && s.State.Word.Revision < d.bundle.Revision {
 			return false
 		}
