--- a/internal/ablator/ablator.go
+++ b/internal/ablator/ablator.go
@@ -1,5 +1,5 @@
 // Package ablator names the mechanisms of the deciding code that an experiment may switch off,
-// to measure what each contributes. Daemons run with all of them.
+// to measure the contribution of each. Daemons run with all of them.
 package ablator
 
 import (
@@ -19,9 +19,9 @@
 	QueueingBudget Mechanism = "queueingBudget"
 	// EqualBudgets has all kinds of request queue for equally long under contention.
 	EqualBudgets Mechanism = "equalBudgets"
-	// LateShare leaves requests that are late already a part of the slots only.
+	// LateShare limits requests that are late already to a part of the slots.
 	LateShare Mechanism = "lateShare"
-	// ColdLimit bounds what a cold engine gets.
+	// ColdLimit bounds the requests to a cold engine.
 	ColdLimit Mechanism = "coldLimit"
 	// Locality prefers near engines.
 	Locality Mechanism = "locality"
@@ -31,21 +31,21 @@
 	TieBreaking Mechanism = "tieBreaking"
 	// FailureEjection ranks engines behind others after failed attempts.
 	FailureEjection Mechanism = "failureEjection"
-	// FullBackoff doesn't ask an engine again right after it had no slot.
+	// FullBackoff delays the next reservation at an engine that had no slot.
 	FullBackoff Mechanism = "fullBackoff"
-	// UnresponsiveBackoff doesn't ask an agent again right after a timeout.
+	// UnresponsiveBackoff delays the next reservation at an agent after a timeout.
 	UnresponsiveBackoff Mechanism = "unresponsiveBackoff"
 	// UngrantedSends uses engines whose agents are unresponsive within a quota.
 	UngrantedSends Mechanism = "ungrantedSends"
 	// AdmissionWait looks for a slot for a part of the objective before it refuses.
 	AdmissionWait Mechanism = "admissionWait"
-	// LateWait has late requests of callers that came back wait for a slot while such waits get one.
+	// LateWait has late requests of callers that came back wait for a slot while such waits succeed.
 	LateWait Mechanism = "lateWait"
-	// UpstreamTerms keeps to what upstreams state of themselves in their replies.
+	// UpstreamTerms applies the restrictions that upstreams state in their replies.
 	UpstreamTerms Mechanism = "upstreamTerms"
 	// PromptBlame refuses prompts with a part that crashes engines.
 	PromptBlame Mechanism = "promptBlame"
-	// SlowStart limits what an upstream gets that has just started or recovered.
+	// SlowStart limits the requests to an upstream that has just started or recovered.
 	SlowStart Mechanism = "slowStart"
 	// RetryJitter spreads the Retry-After of callers that are refused together.
 	RetryJitter Mechanism = "retryJitter"
@@ -59,7 +59,7 @@
 	WorkspaceShare Mechanism = "workspaceShare"
 	// PriorityBudgets has the most urgent requests queue for as long as their own objective allows.
 	PriorityBudgets Mechanism = "priorityBudgets"
-	// PriorityRetry gives more urgent requests an earlier time to come back.
+	// PriorityRetry gives more urgent requests an earlier retry time.
 	PriorityRetry Mechanism = "priorityRetry"
 	// PaceFeedback predicts and ranks by the momentary pace that upstreams state in their replies, and ranks engines by
 	// the pace that they report.
@@ -83,7 +83,7 @@
 	}
 }
 
-// UnknownError reports a name that is no mechanism's.
+// UnknownError reports a name that belongs to no mechanism.
 type UnknownError struct{ Name string }
 
 func (e *UnknownError) Error() string {
@@ -94,7 +94,7 @@
 	return fmt.Sprintf("unknown mechanism %q, known are %s", e.Name, strings.Join(known, ", "))
 }
 
-// Parse gives the mechanism of a name. Its error is a *UnknownError.
+// Parse returns the mechanism of a name. Its error is a *UnknownError.
 func Parse(name string) (Mechanism, error) {
 	m := Mechanism(name)
 	if !slices.Contains(All(), m) {
@@ -106,5 +106,5 @@
 // Set holds the mechanisms that are switched off; nil for none.
 type Set []Mechanism
 
-// Has tells whether a mechanism is switched off.
+// Has reports whether a mechanism is switched off.
 func (s Set) Has(m Mechanism) bool { return slices.Contains(s, m) }
--- a/internal/agent/links.go
+++ b/internal/agent/links.go
@@ -55,7 +55,7 @@
 }
 
 // announce makes all links report at once.
-func (l *links) announce() { l.due.Notify() }
+func (l *links) announce() { l.due.NotifyAll() }
 
 // adjust opens links to the chosen entries and closes the others. Until an entry
 // has answered, the seeds from the settings are all there is.
--- a/internal/emulator/engine.go
+++ b/internal/emulator/engine.go
@@ -1,6 +1,6 @@
-// Package emulator is a model engine without an engine: it computes from the figures of
-// the route table when each request's events come. It has no clock and no socket; the
-// caller tells moments and asks what happens next.
+// Package emulator emulates a model engine: it computes from the figures of the route
+// table when each request's events come. It has no clock and no socket; the caller passes
+// the time and requests the end of each pass.
 package emulator
 
 import (
@@ -10,17 +10,17 @@
 	"github.com/oriolecroft/oriolecroft/internal/matcher"
 )
 
-// firstExtra is what a reply's first event takes beyond the pass that makes it. Lone
-// requests at idle engines on a recorded day needed 15.7 ms beyond their reading: a step of
-// 9.3 ms, 2.4 ms for the way, and this.
-const firstExtra = 4 * time.Millisecond
+// firstEventDelay is the time of a reply's first event beyond the pass that makes it. Lone
+// requests at idle engines on a recorded day took 15.7 ms beyond reading their prompts: a step
+// of 9.3 ms, 2.4 ms of network delay, and this.
+const firstEventDelay = 4 * time.Millisecond
 
-// Request is what an engine is asked for.
+// Request is a request to an engine.
 type Request struct {
 	ID string
 	// Prompt and Answer are its size in tokens.
 	Prompt, Answer int
-	// Priority orders those that wait, the smallest first.
+	// Priority orders the waiting requests, the smallest first.
 	Priority int
 }
 
@@ -32,78 +32,78 @@
 	First, Last bool
 }
 
-// Prediction is what would become of a request that came now.
+// Prediction is the predicted course of a request that arrives now.
 type Prediction struct {
 	// First is how long its first event takes.
 	First time.Duration
-	// Pause is the longest pause that its reading makes for those who write. Their usual
-	// one is a pass in which nothing is read.
+	// Pause is the longest pause that reading its prompt causes in running replies. Their usual
+	// pause is a pass in which nothing is read.
 	Pause time.Duration
 }
 
-// Report is an engine's own word on its load.
+// Report is the load as the engine reports it.
 type Report struct {
 	Running, Waiting int
-	// Tokens are those that lie in its memory.
+	// Tokens are those that occupy its memory.
 	Tokens int
 }
 
 // Engine works in passes. In each it reads prompts, up to a chunk for each step, and then
-// takes its steps: one if nobody writes yet, else as many as its stride. Whoever has been
-// read takes part in the steps of the same pass; who comes during a pass waits for the next.
+// takes its steps: one if no request is writing yet, else as many as its stride. A request whose
+// prompt is read takes part in the steps of the same pass; one that arrives during a pass waits.
 //
 // Set the exported fields before use. It is not safe for concurrent use.
 type Engine struct {
 	Figures *matcher.Engine
-	// Pace is how much slower than its figures it works; 0 is as told.
+	// Pace is the factor by which it is slower than its figures; 0 for their pace.
 	Pace float64
-	// Momentary is by what factor it is slower than that at the moment; 0 for the normal pace.
+	// Momentary is a further factor by which it is slower at present; 0 for the normal pace.
 	Momentary float64
-	// Memory is how many tokens it holds; 0 for any number. When it runs out the newest
-	// request gives way and is read again later.
+	// Memory is how many tokens it holds; 0 for any number. When it is exhausted the newest
+	// request is evicted and read again later.
 	Memory int
-	// Lag is how old its reports are.
+	// Lag is the age of its reports.
 	Lag time.Duration
 
-	// waiting came and are not in the batch, running are, in the order in which they came.
-	waiting, running []*member
-	// until is the end of the pass under way; zero when there is none.
-	until   time.Time
-	reports []datedReport
+	// waiting requests are not in the batch yet, running ones are, both in order of arrival.
+	waiting, running []*job
+	// passEnd is the end of the current pass; zero when there is none.
+	passEnd time.Time
+	reports []timedReport
 }
 
-// member is a request at the engine.
-type member struct {
+// job is a request at the engine.
+type job struct {
 	Request
-	// read are the tokens read so far, events those made.
-	read, events int
-	// writes tells that it took part in the steps of the pass under way.
-	writes bool
+	// tokensRead are the tokens read so far, events those made.
+	tokensRead, events int
+	// writing is set if it took part in the steps of the current pass.
+	writing bool
 }
 
-type datedReport struct {
+type timedReport struct {
 	Report
-	at time.Time
+	madeAt time.Time
 }
 
-// whole is how many tokens have to be read before it goes on writing: its prompt, and after
-// a loss of its memory what it had written.
-func (m *member) whole(stride int) int { return m.Prompt + m.events*stride }
+// requiredTokens is how many tokens have to be read before it continues writing: its prompt,
+// and after an eviction the part of the answer already written.
+func (m *job) requiredTokens(stride int) int { return m.Prompt + m.events*stride }
 
-// Add brings a request. It is false for one that is larger than the engine's memory.
+// Add adds a request. It returns false for one that is larger than the engine's memory.
 func (e *Engine) Add(r Request, now time.Time) bool {
 	if e.Memory > 0 && r.Prompt+r.Answer > e.Memory {
 		return false
 	}
-	e.enqueue(&member{Request: r})
-	if e.until.IsZero() {
-		e.begin(now)
+	e.enqueue(&job{Request: r})
+	if e.passEnd.IsZero() {
+		e.startPass(now)
 	}
 	return true
 }
 
-// enqueue has a request wait behind those that are as urgent or more.
-func (e *Engine) enqueue(m *member) {
+// enqueue inserts a request behind the waiting ones of the same or a more urgent priority.
+func (e *Engine) enqueue(m *job) {
 	i := len(e.waiting)
 	for i > 0 && e.waiting[i-1].Priority > m.Priority {
 		i--
@@ -111,70 +111,70 @@
 	e.waiting = slices.Insert(e.waiting, i, m)
 }
 
-// Remove takes a request away, as when its caller has left. The pass under way goes on.
+// Remove removes a request, as when its caller has left. The current pass continues.
 func (e *Engine) Remove(id string) {
-	is := func(m *member) bool { return m.ID == id }
-	e.waiting = slices.DeleteFunc(e.waiting, is)
-	e.running = slices.DeleteFunc(e.running, is)
+	matches := func(m *job) bool { return m.ID == id }
+	e.waiting = slices.DeleteFunc(e.waiting, matches)
+	e.running = slices.DeleteFunc(e.running, matches)
 }
 
-// Waiting is how many requests are not in the batch yet.
+// Waiting returns how many requests are not in the batch yet.
 func (e *Engine) Waiting() int { return len(e.waiting) }
 
-// Next is the end of the pass under way, and false when the engine is idle.
-func (e *Engine) Next() (time.Time, bool) { return e.until, !e.until.IsZero() }
+// PassEnd returns the end of the current pass, and false when the engine is idle.
+func (e *Engine) PassEnd() (time.Time, bool) { return e.passEnd, !e.passEnd.IsZero() }
 
-// Finish ends the pass under way, begins the next, and gives the events that were made.
-func (e *Engine) Finish() []Event {
-	if e.until.IsZero() {
+// FinishPass ends the current pass, starts the next, and returns the events that were made.
+func (e *Engine) FinishPass() []Event {
+	if e.passEnd.IsZero() {
 		return nil
 	}
-	now := e.until
+	now := e.passEnd
 	var events []Event
-	left := e.running[:0]
+	remaining := e.running[:0]
 	for _, m := range e.running {
-		if !m.writes {
-			left = append(left, m)
+		if !m.writing {
+			remaining = append(remaining, m)
 			continue
 		}
-		// What it wrote is in the engine's memory and need not be read.
+		// The tokens just written are in the engine's memory and need not be read.
 		m.events++
-		m.read += e.stride()
-		v := Event{ID: m.ID, At: now, First: m.events == 1, Last: m.events >= e.eventsOf(m.Answer)}
+		m.tokensRead += e.stride()
+		v := Event{ID: m.ID, At: now, First: m.events == 1, Last: m.events >= e.eventCount(m.Answer)}
 		if v.First {
-			v.At = now.Add(firstExtra)
+			v.At = now.Add(firstEventDelay)
 		}
 		events = append(events, v)
 		if !v.Last {
-			left = append(left, m)
+			remaining = append(remaining, m)
 		}
 	}
-	clear(e.running[len(left):])
-	e.running = left
-	e.begin(now)
+	clear(e.running[len(remaining):])
+	e.running = remaining
+	e.startPass(now)
 	return events
 }
 
-// eventsOf is in how many events an answer comes, one for each pass.
-func (e *Engine) eventsOf(answer int) int {
+// eventCount is the number of events of an answer, one for each pass.
+func (e *Engine) eventCount(answer int) int {
 	stride := e.stride()
 	return max(1, (answer+stride-1)/stride)
 }
 
 func (e *Engine) stride() int { return max(1, e.Figures.Stride) }
 
-// begin begins a pass, or leaves the engine idle if there is nothing to do.
-func (e *Engine) begin(now time.Time) {
-	e.until = time.Time{}
-	e.admit()
-	e.note(now)
+// startPass starts a pass, or leaves the engine idle if there are no requests.
+func (e *Engine) startPass(now time.Time) {
+	e.passEnd = time.Time{}
+	e.admitWaiting()
+	e.recordLoad(now)
 	if len(e.running) == 0 {
 		return
 	}
 	writers := 0
 	for _, m := range e.running {
-		m.writes = m.events > 0 && m.read >= m.whole(e.stride())
-		if m.writes {
+		m.writing = m.events > 0 && m.tokensRead >= m.requiredTokens(e.stride())
+		if m.writing {
 			writers++
 		}
 	}
@@ -182,62 +182,62 @@
 	if writers > 0 {
 		steps = e.stride()
 	}
-	reading := e.readPart(steps)
-	e.until = now.Add(e.scaled(reading + time.Duration(steps)*e.step()))
+	readDuration := e.readPrompts(steps)
+	e.passEnd = now.Add(e.scaled(readDuration + time.Duration(steps)*e.stepTime()))
 }
 
-// admit fills the batch, and empties it again as far as memory is short.
-func (e *Engine) admit() {
+// admitWaiting fills the batch, and evicts requests from it while memory is short.
+func (e *Engine) admitWaiting() {
 	for len(e.waiting) > 0 && len(e.running) < max(1, e.Figures.Slots) {
 		m := e.waiting[0]
-		if e.Memory > 0 && e.tokens()+m.whole(e.stride()) > e.Memory {
+		if e.Memory > 0 && e.usedTokens()+m.requiredTokens(e.stride()) > e.Memory {
 			break
 		}
 		e.waiting = e.waiting[1:]
 		e.running = append(e.running, m)
 	}
-	for e.Memory > 0 && len(e.running) > 1 && e.tokens() > e.Memory {
+	for e.Memory > 0 && len(e.running) > 1 && e.usedTokens() > e.Memory {
 		last := len(e.running) - 1
 		m := e.running[last]
-		m.read, m.writes = 0, false
+		m.tokensRead, m.writing = 0, false
 		e.running = e.running[:last]
 		e.waiting = slices.Insert(e.waiting, 0, m)
 	}
 }
 
-// readPart reads what one pass with so many steps reads, and tells how long that takes.
-func (e *Engine) readPart(steps int) time.Duration {
-	left := steps * e.Figures.Chunk
-	if left <= 0 {
-		left = e.tokensUnread()
+// readPrompts reads prompts in a pass of so many steps, and returns how long that takes.
+func (e *Engine) readPrompts(steps int) time.Duration {
+	budget := steps * e.Figures.Chunk
+	if budget <= 0 {
+		budget = e.unreadTokens()
 	}
-	took := time.Duration(0)
+	duration := time.Duration(0)
 	for _, m := range e.running {
-		if left <= 0 {
+		if budget <= 0 {
 			break
 		}
-		n := min(left, m.whole(e.stride())-m.read)
+		n := min(budget, m.requiredTokens(e.stride())-m.tokensRead)
 		if n <= 0 {
 			continue
 		}
-		took += readTime(e.Figures, m.read, m.read+n)
-		m.read += n
-		left -= n
-		m.writes = m.read >= m.whole(e.stride())
+		duration += readTime(e.Figures, m.tokensRead, m.tokensRead+n)
+		m.tokensRead += n
+		budget -= n
+		m.writing = m.tokensRead >= m.requiredTokens(e.stride())
 	}
-	return took
+	return duration
 }
 
-func (e *Engine) tokensUnread() int {
+func (e *Engine) unreadTokens() int {
 	n := 0
 	for _, m := range e.running {
-		n += m.whole(e.stride()) - m.read
+		n += m.requiredTokens(e.stride()) - m.tokensRead
 	}
 	return n
 }
 
-// readTime is how long a part of a prompt takes: each of its tokens is compared with all
-// before it.
+// readTime is how long reading a part of a prompt takes: each of its tokens is compared with
+// all before it.
 func readTime(f *matcher.Engine, from, to int) time.Duration {
 	if f.ReadPerSecond <= 0 {
 		return 0
@@ -247,16 +247,16 @@
 	return time.Duration(linear + millionPairs*float64(f.PerMillionPairs))
 }
 
-// step is how long a token step takes with those who write in this pass.
-func (e *Engine) step() time.Duration {
+// stepTime is how long a token step takes with the requests that write in this pass.
+func (e *Engine) stepTime() time.Duration {
 	f := e.Figures
-	took := f.Step
+	duration := f.Step
 	for _, m := range e.running {
-		if m.writes {
-			took += f.PerRequest + time.Duration(float64(m.whole(e.stride()))/1000*float64(f.PerThousand))
+		if m.writing {
+			duration += f.PerRequest + time.Duration(float64(m.requiredTokens(e.stride()))/1000*float64(f.PerThousand))
 		}
 	}
-	return took
+	return duration
 }
 
 func (e *Engine) scaled(d time.Duration) time.Duration {
@@ -269,31 +269,31 @@
 	return d
 }
 
-// tokens are those for which memory is taken: prompts with what was written.
-func (e *Engine) tokens() int {
+// usedTokens are those that occupy memory: prompts and the written parts of answers.
+func (e *Engine) usedTokens() int {
 	n := 0
 	for _, m := range e.running {
-		n += m.whole(e.stride())
+		n += m.requiredTokens(e.stride())
 	}
 	return n
 }
 
-// note keeps the load for later reports.
-func (e *Engine) note(now time.Time) {
-	r := datedReport{Report{Running: len(e.running), Waiting: len(e.waiting), Tokens: e.tokens()}, now}
+// recordLoad keeps the present load for later reports.
+func (e *Engine) recordLoad(now time.Time) {
+	r := timedReport{Report{Running: len(e.running), Waiting: len(e.waiting), Tokens: e.usedTokens()}, now}
 	e.reports = append(e.reports, r)
 	old := 0
-	for old+1 < len(e.reports) && !e.reports[old+1].at.After(now.Add(-e.Lag)) {
+	for old+1 < len(e.reports) && !e.reports[old+1].madeAt.After(now.Add(-e.Lag)) {
 		old++
 	}
 	e.reports = slices.Delete(e.reports, 0, old)
 }
 
-// Report is the load as the engine tells it, older than now by its lag.
+// Report returns the load as the engine reports it, older than now by its lag.
 func (e *Engine) Report(now time.Time) Report {
 	var found Report
 	for _, r := range e.reports {
-		if r.at.After(now.Add(-e.Lag)) {
+		if r.madeAt.After(now.Add(-e.Lag)) {
 			break
 		}
 		found = r.Report
@@ -301,11 +301,11 @@
 	return found
 }
 
-// Predict tells when a request's first event would come if it came now, and what pause
-// its reading would make for the others. Nobody else comes until then.
+// Predict returns the time until a request's first event if it arrived now, and the pause
+// that reading its prompt would cause for the others. It assumes no other arrivals until then.
 func (e *Engine) Predict(r Request, now time.Time) Prediction {
 	c := e.clone()
-	writing := c.writing()
+	writing := c.writingIDs()
 	last := map[string]time.Time{}
 	for id := range writing {
 		last[id] = now
@@ -313,10 +313,10 @@
 	if !c.Add(r, now) {
 		return Prediction{}
 	}
-	// Pauses count from the pass under way, whose beginning is not known here.
+	// Pauses are counted from the end of the current pass, as its start is not known here.
 	var p Prediction
 	for counted := false; ; counted = true {
-		for _, v := range c.Finish() {
+		for _, v := range c.FinishPass() {
 			if counted && writing[v.ID] {
 				p.Pause = max(p.Pause, v.At.Sub(last[v.ID]))
 			}
@@ -329,8 +329,8 @@
 	}
 }
 
-// writing are the requests that have had their first event.
-func (e *Engine) writing() map[string]bool {
+// writingIDs are the requests that have had their first event.
+func (e *Engine) writingIDs() map[string]bool {
 	ids := map[string]bool{}
 	for _, m := range e.running {
 		if m.events > 0 {
@@ -343,12 +343,12 @@
 func (e *Engine) clone() *Engine {
 	c := *e
 	c.reports = nil
-	c.waiting, c.running = copies(e.waiting), copies(e.running)
+	c.waiting, c.running = cloneJobs(e.waiting), cloneJobs(e.running)
 	return &c
 }
 
-func copies(ms []*member) []*member {
-	cs := make([]*member, 0, len(ms))
+func cloneJobs(ms []*job) []*job {
+	cs := make([]*job, 0, len(ms))
 	for _, m := range ms {
 		c := *m
 		cs = append(cs, &c)
--- a/internal/emulator/engine_test.go
+++ b/internal/emulator/engine_test.go
@@ -27,8 +27,8 @@
 
 var start = time.Unix(1000, 0)
 
-// recorded is a request that an agent granted a place, with the times that the entry's log
-// line told.
+// recorded is a request that was granted a slot by an agent, with the times in the entry's
+// log.
 type recorded struct {
 	AskedMs          float64 `json:"askedMs"`
 	OtherRegion      bool    `json:"otherRegion"`
@@ -39,8 +39,8 @@
 	LongestPauseMs   float64 `json:"longestPauseMs"`
 	WholeMs          float64 `json:"wholeMs"`
 	firstMs, pauseMs float64
-	// toldMs is the first event as predicted when the request came.
-	toldMs float64
+	// predictedMs is the first event as predicted when the request arrived.
+	predictedMs float64
 }
 
 func load(t *testing.T, name string) []*recorded {
@@ -55,18 +55,18 @@
 }
 
 const (
-	// wayNear and wayFar are the time from the agent's grant to the engine: the answer to the
-	// entry, a new connection, and the request.
-	wayNear = 2 * time.Millisecond
-	wayFar  = 10 * time.Millisecond
-	// backNear and backFar are an event's way to the entry.
-	backNear = 200 * time.Microsecond
-	backFar  = 2 * time.Millisecond
+	// nearRequestDelay and farRequestDelay are the time from the agent's grant to the engine: the
+	// reply to the entry, a new connection, and the request.
+	nearRequestDelay = 2 * time.Millisecond
+	farRequestDelay  = 10 * time.Millisecond
+	// nearEventDelay and farEventDelay are an event's delay to the entry.
+	nearEventDelay = 200 * time.Microsecond
+	farEventDelay  = 2 * time.Millisecond
 )
 
 func milliseconds(d time.Duration) float64 { return float64(d) / float64(time.Millisecond) }
 
-// replay has an engine do what one did on a recorded day, and fills in the model's times.
+// replay replays the requests of a recorded day on an emulated engine, and sets the emulated times.
 func replay(requests []*recorded) {
 	type arrival struct {
 		*recorded
@@ -76,11 +76,11 @@
 	var arrivals []arrival
 	byID := map[string]*recorded{}
 	for i, r := range requests {
-		way := wayNear
+		delay := nearRequestDelay
 		if r.OtherRegion {
-			way = wayFar
+			delay = farRequestDelay
 		}
-		at := start.Add(time.Duration(r.AskedMs*float64(time.Millisecond)) + way)
+		at := start.Add(time.Duration(r.AskedMs*float64(time.Millisecond)) + delay)
 		arrivals = append(arrivals, arrival{r, at, fmt.Sprint(i)})
 		byID[fmt.Sprint(i)] = r
 	}
@@ -88,14 +88,14 @@
 	e := &emulator.Engine{Figures: figures()}
 	last := map[string]time.Time{}
 	finish := func() {
-		for _, v := range e.Finish() {
+		for _, v := range e.FinishPass() {
 			r := byID[v.ID]
-			back := backNear
+			delay := nearEventDelay
 			if r.OtherRegion {
-				back = backFar
+				delay = farEventDelay
 			}
 			if v.First {
-				r.firstMs = milliseconds(v.At.Add(back).Sub(start)) - r.AskedMs
+				r.firstMs = milliseconds(v.At.Add(delay).Sub(start)) - r.AskedMs
 			} else {
 				r.pauseMs = max(r.pauseMs, milliseconds(v.At.Sub(last[v.ID])))
 			}
@@ -103,22 +103,22 @@
 		}
 	}
 	for _, a := range arrivals {
-		for at, busy := e.Next(); busy && !at.After(a.at); at, busy = e.Next() {
+		for at, busy := e.PassEnd(); busy && !at.After(a.at); at, busy = e.PassEnd() {
 			finish()
 		}
 		request := emulator.Request{ID: a.id, Prompt: a.Prompt, Answer: a.Events * figures().Stride}
-		a.toldMs = milliseconds(a.at.Add(e.Predict(request, a.at).First).Sub(start)) - a.AskedMs
+		a.predictedMs = milliseconds(a.at.Add(e.Predict(request, a.at).First).Sub(start)) - a.AskedMs
 		e.Add(request, a.at)
 	}
-	for _, busy := e.Next(); busy; _, busy = e.Next() {
+	for _, busy := e.PassEnd(); busy; _, busy = e.PassEnd() {
 		finish()
 	}
 }
 
-// summary is how far values lie from those recorded.
+// summary is the deviation of values from the recorded ones.
 type summary struct {
-	count                        int
-	mean, absolute, median, most float64
+	count                       int
+	mean, meanSize, median, p90 float64
 }
 
 func summarize(errors []float64) summary {
@@ -126,87 +126,87 @@
 	var sizes []float64
 	for _, e := range errors {
 		s.mean += e / float64(len(errors))
-		s.absolute += max(e, -e) / float64(len(errors))
+		s.meanSize += max(e, -e) / float64(len(errors))
 		sizes = append(sizes, max(e, -e))
 	}
 	slices.Sort(errors)
 	slices.Sort(sizes)
-	s.median, s.most = errors[len(errors)/2], sizes[len(sizes)*9/10]
+	s.median, s.p90 = errors[len(errors)/2], sizes[len(sizes)*9/10]
 	return s
 }
 
 func (s summary) String() string {
-	return fmt.Sprintf("%d, mean %+.1f ms, median %+.1f ms, mean size %.1f ms, nine in ten within %.1f ms", s.count, s.mean, s.median, s.absolute, s.most)
+	return fmt.Sprintf("%d, mean %+.1f ms, median %+.1f ms, mean size %.1f ms, nine in ten within %.1f ms", s.count, s.mean, s.median, s.meanSize, s.p90)
 }
 
-// The model is held against one engine of a quiet day and one of a day with more load than
-// the engines bear. Requests that come just around the end of a pass are in the one or in
-// the next, a usual pass of 47 ms apart.
-func TestModelMeetsRecordedTimes(t *testing.T) {
+// The emulation is compared with one engine of a quiet day and one of a day with more load
+// than the engines can serve. Requests that arrive near the end of a pass are in this or in
+// the next one, a usual pass of 47 ms apart.
+func TestModelMatchesRecordedTimes(t *testing.T) {
 	const pass = 47.0
 	for _, name := range []string{"quiet", "overloaded"} {
 		requests := load(t, name)
 		replay(requests)
-		var first, pause, told, ledger []float64
+		var first, pause, predicted, ledger []float64
 		for _, r := range requests {
 			if r.AskedMs+r.WholeMs > requests[len(requests)-1].AskedMs {
-				// What came to the engine after the recording is not known.
+				// Requests that reached the engine after the recording are unknown.
 				continue
 			}
 			first = append(first, r.firstMs-r.FirstEventMs)
-			told = append(told, r.toldMs-r.FirstEventMs)
-			ledger = append(ledger, r.PredictedWaitMs+milliseconds(readAlone(r.Prompt))-r.FirstEventMs)
+			predicted = append(predicted, r.predictedMs-r.FirstEventMs)
+			ledger = append(ledger, r.PredictedWaitMs+milliseconds(firstEventAlone(r.Prompt))-r.FirstEventMs)
 			if r.Events > 2 {
 				pause = append(pause, r.pauseMs-r.LongestPauseMs)
 			}
 		}
-		f, p, q := summarize(first), summarize(pause), summarize(told)
+		f, p, q := summarize(first), summarize(pause), summarize(predicted)
 		t.Logf("%s: first event %v", name, f)
 		t.Logf("%s: longest pause %v", name, p)
 		t.Logf("%s: for comparison, the ledger's wait and the reading alone: %v", name, summarize(ledger))
 		t.Logf("%s: predicted when it came: %v", name, q)
 		must.Between(t, -10, f.mean, 10)
 		must.Between(t, -5, f.median, 5)
-		must.LessEq(t, pass*0.6, f.absolute)
-		must.LessEq(t, pass*1.2, f.most)
+		must.LessEq(t, pass*0.6, f.meanSize)
+		must.LessEq(t, pass*1.2, f.p90)
 		must.Between(t, -30, q.mean, 5)
-		must.LessEq(t, pass*0.8, q.absolute)
+		must.LessEq(t, pass*0.8, q.meanSize)
 		must.Between(t, -5, p.median, 5)
-		must.LessEq(t, pass*0.4, p.absolute)
+		must.LessEq(t, pass*0.4, p.meanSize)
 	}
 }
 
-func readAlone(prompt int) time.Duration {
+func firstEventAlone(prompt int) time.Duration {
 	p := (&emulator.Engine{Figures: figures()}).Predict(emulator.Request{ID: "a", Prompt: prompt, Answer: 5}, start)
 	return p.First
 }
 
-// Lone requests at an idle engine took 15.7 ms beyond their reading, 2.4 ms of it on the way.
+// Lone requests at an idle engine took 15.7 ms beyond reading their prompts, 2.4 ms of it network delay.
 func TestLoneRequest(t *testing.T) {
-	must.Between(t, 36200*time.Microsecond, readAlone(473)+backNear+wayNear, 38800*time.Microsecond)
-	must.Between(t, 220*time.Millisecond, readAlone(3920)+backNear+wayNear, 225*time.Millisecond)
+	must.Between(t, 36200*time.Microsecond, firstEventAlone(473)+nearEventDelay+nearRequestDelay, 38800*time.Microsecond)
+	must.Between(t, 220*time.Millisecond, firstEventAlone(3920)+nearEventDelay+nearRequestDelay, 225*time.Millisecond)
 }
 
-// A long prompt comes to an engine at which others write. These wait while it is read, and
-// a prediction tells both how long they do and when the newcomer begins.
-func TestPredictionIsWhatHappens(t *testing.T) {
+// A long prompt arrives at an engine that writes other replies. These pause while it is read,
+// and a prediction must give both the length of their pause and the first event of the new request.
+func TestPredictionMatchesExecution(t *testing.T) {
 	e := &emulator.Engine{Figures: figures()}
 	for i := range 8 {
 		e.Add(emulator.Request{ID: fmt.Sprint(i), Prompt: 500, Answer: 400}, start)
 	}
 	now := start
 	for range 10 {
-		now, _ = e.Next()
-		e.Finish()
+		now, _ = e.PassEnd()
+		e.FinishPass()
 	}
 	now = now.Add(5 * time.Millisecond)
 	long := emulator.Request{ID: "long", Prompt: 3500, Answer: 50}
-	told := e.Predict(long, now)
-	must.Eq(t, told, e.Predict(long, now), must.Sprint("predicting changes nothing"))
+	predicted := e.Predict(long, now)
+	must.Eq(t, predicted, e.Predict(long, now), must.Sprint("predicting changes nothing"))
 	e.Add(long, now)
 	last, longest := time.Time{}, time.Duration(0)
 	for {
-		for _, v := range e.Finish() {
+		for _, v := range e.FinishPass() {
 			if v.ID == "0" {
 				if !last.IsZero() {
 					longest = max(longest, v.At.Sub(last))
@@ -214,8 +214,8 @@
 				last = v.At
 			}
 			if v.ID == "long" && v.First {
-				must.Eq(t, told.First, v.At.Sub(now))
-				must.Eq(t, told.Pause, longest)
+				must.Eq(t, predicted.First, v.At.Sub(now))
+				must.Eq(t, predicted.Pause, longest)
 				must.Between(t, 220*time.Millisecond, longest, 240*time.Millisecond)
 				return
 			}
@@ -223,7 +223,7 @@
 	}
 }
 
-// When memory runs out the newest request gives way, is read once more, and all of its
+// When memory is exhausted the newest request is evicted, read once more, and all of its
 // events come exactly once.
 func TestMemoryRunsOut(t *testing.T) {
 	e := &emulator.Engine{Figures: figures(), Memory: 2100}
@@ -233,8 +233,8 @@
 	for _, id := range []string{"a", "b"} {
 		must.True(t, e.Add(emulator.Request{ID: id, Prompt: 1000, Answer: 200}, start))
 	}
-	for _, busy := e.Next(); busy; _, busy = e.Next() {
-		for _, v := range e.Finish() {
+	for _, busy := e.PassEnd(); busy; _, busy = e.PassEnd() {
+		for _, v := range e.FinishPass() {
 			counts[v.ID]++
 			if v.First {
 				firsts[v.ID]++
@@ -246,8 +246,8 @@
 	must.Eq(t, map[string]int{"a": 1, "b": 1}, firsts)
 }
 
-// Reports tell of the engine as it was a while ago. Whoever takes them for the present sees
-// an idle engine just when a burst has filled it.
+// Reports describe an earlier state of the engine. Taken as the present one, they show an
+// idle engine just when a burst has filled it.
 func TestReportsLag(t *testing.T) {
 	e := &emulator.Engine{Figures: figures(), Lag: 200 * time.Millisecond}
 	e.Add(emulator.Request{ID: "a", Prompt: 100, Answer: 400}, start)
@@ -255,22 +255,22 @@
 	must.Eq(t, 1, e.Report(start.Add(200*time.Millisecond)).Running)
 }
 
-// A slow engine takes longer for all that it does.
+// A slow engine takes longer for all of its work.
 func TestSlowEngine(t *testing.T) {
 	slow := &emulator.Engine{Figures: figures(), Pace: 3}
-	took := slow.Predict(emulator.Request{ID: "a", Prompt: 1000, Answer: 5}, start).First
-	must.Between(t, 2*readAlone(1000), took, 3*readAlone(1000))
+	duration := slow.Predict(emulator.Request{ID: "a", Prompt: 1000, Answer: 5}, start).First
+	must.Between(t, 2*firstEventAlone(1000), duration, 3*firstEventAlone(1000))
 }
 
-// Callers leave in the middle of a pass. The pass goes on, nothing more is made for them,
-// and their places are free in the next.
-func TestRemovedRequestMakesNothing(t *testing.T) {
+// Callers leave in the middle of a pass. The pass continues, makes no events for them, and
+// their slots are free in the next.
+func TestRemovedRequestMakesNoEvents(t *testing.T) {
 	e := &emulator.Engine{Figures: figures()}
 	for i := range 17 {
 		e.Add(emulator.Request{ID: fmt.Sprint(i), Prompt: 100, Answer: 50}, start)
 	}
 	e.Remove("0")
-	for _, v := range e.Finish() {
+	for _, v := range e.FinishPass() {
 		must.NotEq(t, "0", v.ID)
 	}
 	must.Eq(t, 16, e.Report(start.Add(time.Hour)).Running)
--- a/internal/emulator/priority_test.go
+++ b/internal/emulator/priority_test.go
@@ -9,8 +9,8 @@
 	"github.com/oriolecroft/oriolecroft/internal/emulator"
 )
 
-// Guards against a model of an engine that admits in order of arrival: urgent requests that are granted a place in
-// its queue would look no better off than others.
+// Guards against an emulated engine that admits in order of arrival: urgent requests that are granted a slot in
+// its queue would get no earlier answers than others.
 func TestMoreUrgentRequestsAreAdmittedFirst(t *testing.T) {
 	e := &emulator.Engine{Figures: figures()}
 	e.Figures.Slots = 1
@@ -19,7 +19,7 @@
 	}
 	var ended []string
 	for len(ended) < 5 {
-		for _, v := range e.Finish() {
+		for _, v := range e.FinishPass() {
 			if v.Last {
 				ended = append(ended, v.ID)
 			}
--- a/internal/entry/members.go
+++ b/internal/entry/members.go
@@ -258,4 +258,4 @@
 }
 
 // wake makes links exchange at once.
-func (m *members) wake() { m.due.Notify() }
+func (m *members) wake() { m.due.NotifyAll() }
--- a/internal/notifier/broadcast.go
+++ b/internal/notifier/broadcast.go
@@ -9,7 +9,7 @@
 	next chan struct{}
 }
 
-// Wait returns a channel that is closed at the next Notify. Call it before reading the state
+// Wait returns a channel that is closed at the next NotifyAll. Call it before reading the state
 // that may change, or a change in between is missed.
 func (b *Broadcast) Wait() <-chan struct{} {
 	b.mu.Lock()
@@ -20,8 +20,8 @@
 	return b.next
 }
 
-// Notify unblocks all waiting goroutines.
-func (b *Broadcast) Notify() {
+// NotifyAll unblocks all waiting goroutines.
+func (b *Broadcast) NotifyAll() {
 	b.mu.Lock()
 	defer b.mu.Unlock()
 	if b.next != nil {
--- a/internal/registrar/outage.go
+++ b/internal/registrar/outage.go
@@ -140,7 +140,7 @@
 	}
 	r.noteLongOutage(r.outage)
 	r.lost = true
-	r.change.Notify()
+	r.change.NotifyAll()
 }
 
 // StoreFound notes that the store answered.
--- a/internal/registrar/registrar.go
+++ b/internal/registrar/registrar.go
@@ -395,7 +395,7 @@
 func (r *Registrar) publish() {
 	r.prune()
 	r.view.Store(newView(r))
-	r.change.Notify()
+	r.change.NotifyAll()
 }
 
 // View gives the facts as of now; nil before the first batch.
--- a/internal/scheduler/late_begin_test.go
+++ b/internal/scheduler/late_begin_test.go
@@ -40,8 +40,8 @@
 	began := map[string]time.Time{}
 	// play has the engine work until a moment.
 	play := func(until time.Time) {
-		for next, busy := e.Next(); busy && !next.After(until); next, busy = e.Next() {
-			for _, v := range e.Finish() {
+		for next, busy := e.PassEnd(); busy && !next.After(until); next, busy = e.PassEnd() {
+			for _, v := range e.FinishPass() {
 				if v.First {
 					began[v.ID] = v.At
 					l.Started(v.ID)
--- a/internal/scheduler/on_their_way_test.go
+++ b/internal/scheduler/on_their_way_test.go
@@ -23,11 +23,11 @@
 			began := map[string]time.Time{}
 			finish := func(until time.Time) {
 				for {
-					next, busy := e.Next()
+					next, busy := e.PassEnd()
 					if !busy || next.After(until) {
 						return
 					}
-					for _, v := range e.Finish() {
+					for _, v := range e.FinishPass() {
 						if v.First {
 							began[v.ID] = v.At
 						}
--- a/internal/simulator/ablation.go
+++ b/internal/simulator/ablation.go
@@ -68,12 +68,12 @@
 		report.Effects[m] = make([]Effect, len(a.Loads))
 	}
 	for seed := a.First; seed < a.First+uint64(a.Seeds); seed++ {
-		with, without, ok := a.play(ctx, seed)
+		with, without, ok := a.playSeed(ctx, seed)
 		if !ok {
 			report.Interrupted = true
 			break
 		}
-		report.add(seed, with, without)
+		report.addSeed(seed, with, without)
 	}
 	for i := range report.Worth {
 		report.Worth[i] /= max(1, float64(len(report.Seeds)))
@@ -81,7 +81,7 @@
 	return report
 }
 
-func (r *AblationReport) add(seed uint64, with []float64, without [][]float64) {
+func (r *AblationReport) addSeed(seed uint64, with []float64, without [][]float64) {
 	r.Seeds = append(r.Seeds, seed)
 	for i, worth := range with {
 		r.Worth[i] += worth
@@ -93,7 +93,7 @@
 
 // play gives the worth of all loads with one seed: with all mechanisms, and without each of
 // them. It is false when the context ended first.
-func (a *Ablation) play(ctx context.Context, seed uint64) (with []float64, without [][]float64, ok bool) {
+func (a *Ablation) playSeed(ctx context.Context, seed uint64) (with []float64, without [][]float64, ok bool) {
 	with, without = make([]float64, len(a.Loads)), make([][]float64, len(a.Mechanisms))
 	slots := make(chan struct{}, runtime.GOMAXPROCS(0))
 	var runs sync.WaitGroup
@@ -105,9 +105,9 @@
 		}
 		runs.Go(func() {
 			defer func() { <-slots }()
-			played := *e
-			played.Without = append(slices.Clone(e.Without), off...)
-			*worth = Run(&played, seed).Total.Worth()
+			experiment := *e
+			experiment.Without = append(slices.Clone(e.Without), off...)
+			*worth = Run(&experiment, seed).Total.Worth()
 		})
 	}
 	for i, e := range a.Loads {
--- a/internal/simulator/ablation_test.go
+++ b/internal/simulator/ablation_test.go
@@ -31,7 +31,7 @@
 }
 
 // Guards against a switch that does nothing: each mechanism changes at least one load.
-func TestEachMechanismMatters(t *testing.T) {
+func TestEachMechanismChangesALoad(t *testing.T) {
 	loads := map[ablator.Mechanism]string{
 		ablator.SlotLimit: "lastingOverload", ablator.QueueingBudget: "lastingOverload", ablator.LateShare: "lastingOverload", ablator.EqualBudgets: "lastingOverload",
 		ablator.ColdLimit: "fullRestart", ablator.Locality: "base", ablator.LoadFeedback: "base", ablator.TieBreaking: "base",
@@ -60,7 +60,7 @@
 }
 
 // Guards against a comparison that counts seeds of which only a part was played.
-func TestInterruptedAblationNamesItsSeeds(t *testing.T) {
+func TestInterruptedAblationListsItsSeeds(t *testing.T) {
 	ctx, stop := context.WithCancel(t.Context())
 	stop()
 	a := &simulator.Ablation{Loads: []*simulator.Experiment{load(t, "base")}, Mechanisms: ablator.All(), First: 1, Seeds: 3}
@@ -83,7 +83,7 @@
 }
 
 // Guards against a load file with a typo that is played as if the field were not there.
-func TestUnknownNamesAreRefusedWithTheKnownOnes(t *testing.T) {
+func TestUnknownNamesAreReportedWithTheKnownOnes(t *testing.T) {
 	for text, known := range map[string]string{
 		"[engine]\nslot = 4\n":    "engine.slots",
 		"without = [\"batches\"]": "slotLimit",
--- a/internal/simulator/caller.go
+++ b/internal/simulator/caller.go
@@ -16,11 +16,11 @@
 
 const (
 	// honouredShare is the part of the time they have left up to which callers wait as told.
-	honouredShare = 1.0 / 3
+	maxWaitShare = 1.0 / 3
 	// atOncePause is how soon callers come back that don't wait as told.
-	atOncePause = 10 * time.Millisecond
+	immediateRetryPause = 10 * time.Millisecond
 	// leastLeft is the time below which nobody comes back.
-	leastLeft = 100 * time.Millisecond
+	minTimeLeft = 100 * time.Millisecond
 )
 
 // caller is one request with all its tries.
@@ -29,29 +29,29 @@
 	*Request
 	kind *Kind
 	// ignores tells that it doesn't wait as told.
-	ignores  bool
-	patience time.Duration
-	hint     int
-	began    time.Time
-	lastAt   time.Time
+	ignoresRetryAfter bool
+	timeLimit         time.Duration
+	hint              int
+	startedAt         time.Time
+	lastEventAt       time.Time
 	// events were delivered, of all that make up the answer.
 	events int
 	// fatal tells that its prompt crashes engines, and sentAt when its present try began.
-	fatal  bool
-	sentAt time.Time
+	fatal        bool
+	tryStartedAt time.Time
 }
 
 // arrive has a caller come at a moment.
-func (w *world) arrive(kind int, at time.Duration) {
+func (w *world) addCaller(kind int, at time.Duration) {
 	k := &w.Kinds[kind]
-	c := &caller{world: w, kind: k, ignores: w.callers.Float64() < w.Callers.Ignoring}
-	c.patience = time.Duration(float64(k.Timeout) * (1 - w.Callers.Patience*w.callers.Float64()))
-	c.Request = &Request{Number: len(w.report.Requests), Kind: k.Name, Workspace: w.pickWorkspace(), At: at, Prompt: w.draw(k.Prompt), Answer: w.draw(k.Answer)}
-	c.hint = max(1, int(float64(c.Answer)*math.Exp(w.callers.NormFloat64()*w.Callers.Hint)))
+	c := &caller{world: w, kind: k, ignoresRetryAfter: w.callerRandom.Float64() < w.Callers.Ignoring}
+	c.timeLimit = time.Duration(float64(k.Timeout) * (1 - w.Callers.Patience*w.callerRandom.Float64()))
+	c.Request = &Request{Number: len(w.report.Requests), Kind: k.Name, Workspace: w.pickWorkspace(), At: at, Prompt: w.drawSize(k.Prompt), Answer: w.drawSize(k.Answer)}
+	c.hint = max(1, int(float64(c.Answer)*math.Exp(w.callerRandom.NormFloat64()*w.Callers.Hint)))
 	domain := w.pickDomain()
 	c.FailureDomain = domain.Name
 	w.report.Requests = append(w.report.Requests, c.Request)
-	w.open++
+	w.openRequests++
 	w.time.In(at, func() { w.time.Go(c.run) })
 }
 
@@ -60,7 +60,7 @@
 	for _, s := range w.Workspaces {
 		total += s.Share
 	}
-	left := w.callers.Float64() * total
+	left := w.callerRandom.Float64() * total
 	for _, s := range w.Workspaces {
 		if left -= s.Share; left < 0 {
 			return s.Name
@@ -74,7 +74,7 @@
 	for _, d := range w.FailureDomains {
 		total += d.Callers
 	}
-	left := w.callers.Float64() * total
+	left := w.callerRandom.Float64() * total
 	for i := range w.FailureDomains {
 		if left -= w.FailureDomains[i].Callers; left < 0 {
 			return &w.FailureDomains[i]
@@ -85,7 +85,7 @@
 
 // run makes the caller's tries until it has its answer or gives up.
 func (c *caller) run() {
-	c.began = c.time.Now()
+	c.startedAt = c.time.Now()
 	for try := 0; ; try++ {
 		c.time.Sleep(c.Network.Callers)
 		refused, err := c.try(try)
@@ -94,62 +94,62 @@
 			if c.events*max(1, c.Engine.Stride) < c.Answer {
 				c.report.Short++
 			}
-			c.end(c.served())
+			c.finish(c.answerOutcome())
 			return
 		}
 		if refused == nil {
 			if c.events > 0 {
 				c.report.Cut++
 			}
-			c.end(Failed)
+			c.finish(Failed)
 			return
 		}
 		c.Refusals++
-		left := c.patience - c.time.Since(c.began)
-		if !c.comesBack(try) || left < leastLeft {
-			c.end(Refused)
+		left := c.timeLimit - c.time.Since(c.startedAt)
+		if !c.willRetry(try) || left < minTimeLeft {
+			c.finish(Refused)
 			return
 		}
-		c.time.Sleep(c.pause(refused.after, left))
+		c.time.Sleep(c.retryPause(refused.retryAfter, left))
 	}
 }
 
-func (c *caller) comesBack(try int) bool {
-	if c.ignores {
+func (c *caller) willRetry(try int) bool {
+	if c.ignoresRetryAfter {
 		return try < c.Callers.Repeats
 	}
 	return try < c.kind.Retries
 }
 
-func (c *caller) pause(told, left time.Duration) time.Duration {
-	if c.ignores {
-		return atOncePause
+func (c *caller) retryPause(retryAfter, left time.Duration) time.Duration {
+	if c.ignoresRetryAfter {
+		return immediateRetryPause
 	}
-	return min(told, time.Duration(honouredShare*float64(left)))
+	return min(retryAfter, time.Duration(maxWaitShare*float64(left)))
 }
 
 // refusal is an entry's word that a try did not run.
-type refusal struct{ after time.Duration }
+type refusal struct{ retryAfter time.Duration }
 
 // try is one try at some entry. A refusal comes with the error if the try certainly did not
 // run.
 func (c *caller) try(number int) (*refusal, error) {
 	e := c.entries[c.random.IntN(len(c.entries))]
-	c.sentAt = c.time.Now()
-	left := c.patience - c.time.Since(c.began)
+	c.tryStartedAt = c.time.Now()
+	left := c.timeLimit - c.time.Since(c.startedAt)
 	j := &relayer.Job{
 		Request: relayer.Request{ID: fmt.Sprintf("%d-%d", c.Number, number), Model: model, Prompt: c.Prompt, Parts: c.parts(),
 			MaxAnswer: max(c.kind.Answer.Most, c.Answer), Hint: c.hint, Patience: left},
 		Route: c.route(), Workspace: c.table.Keys[c.Workspace], Arrived: c.time.Now(),
 	}
 	e.relayer.Admit(j)
-	ctx := &limited{Context: context.Background(), sequencer: c.time, deadline: j.Deadline}
+	ctx := &deadlineContext{Context: context.Background(), sequencer: c.time, deadline: j.Deadline}
 	err := e.relayer.Serve(ctx, j, func(ctx context.Context, p *relayer.Place) error { return c.attempt(ctx, e, j, p) })
 	if err == nil {
 		return nil, nil
 	}
 	if refused := j.Refusal(err); refused != nil && c.events == 0 {
-		return &refusal{after: e.relayer.RetryAfter(j, refused)}, err
+		return &refusal{retryAfter: e.relayer.RetryAfter(j, refused)}, err
 	}
 	return nil, err
 }
@@ -166,43 +166,43 @@
 // attempt sends the request to a place and takes its events, as an entry does.
 func (c *caller) attempt(ctx context.Context, e *entry, j *relayer.Job, p *relayer.Place) error {
 	h := c.byID[p.Upstream.ID]
-	way := c.way(e.domain, h.domain)
-	box := &sequencer.Mailbox[part]{Sequencer: c.time}
-	c.time.Sleep(3*way + c.Network.Connect)
+	latency := c.latency(e.domain, h.domain)
+	mailbox := &sequencer.Mailbox[replyPart]{Sequencer: c.time}
+	c.time.Sleep(3*latency + c.Network.Connect)
 	stride := max(1, c.Engine.Stride)
 	if p.Upstream.ID != h.id {
-		c.time.Sleep(way)
+		c.time.Sleep(latency)
 		c.report.Misdirected++
 		e.relayer.Registrar.Replaced(p.Upstream.Upstream)
 		return &relayer.SendError{Upstream: p.Upstream.ID, Outcome: retrier.NotRun, Status: http.StatusMisdirectedRequest,
 			Err: &UpstreamError{Problem: "another engine"}}
 	}
-	c.atStarted = c.atStarted || h.hasJustStarted()
+	c.sentAfterStart = c.sentAfterStart || h.hasJustStarted()
 	if c.fatal {
-		c.fatals.reach(c, j.ID)
+		c.fatals.recordSent(c, j.ID)
 	}
-	h.take(emulator.Request{ID: j.ID, Prompt: c.Prompt + c.events*stride, Answer: c.Answer - c.events*stride, Priority: priority(j)}, e.name, box, way)
+	h.receive(emulator.Request{ID: j.ID, Prompt: c.Prompt + c.events*stride, Answer: c.Answer - c.events*stride, Priority: priority(j)}, e.name, mailbox, latency)
 	limit := p.FirstEventLimit()
 	for first := true; ; first = false {
-		got, ok := box.Get(min(limit, j.Deadline.Sub(c.time.Now())) + way)
+		got, ok := mailbox.Get(min(limit, j.Deadline.Sub(c.time.Now())) + latency)
 		if !ok {
-			c.time.In(way, func() { h.drop(j.ID) })
+			c.time.In(latency, func() { h.cancel(j.ID) })
 			return h.failure(retrier.Unknown, 0, "silent")
 		}
-		e.relayer.Placer.NoteStatements(p.Upstream.Upstream, got.stated)
+		e.relayer.Placer.NoteStatements(p.Upstream.Upstream, got.statements)
 		if got.failure != nil {
 			return got.failure
 		}
-		c.time.Sleep(way)
+		c.time.Sleep(latency)
 		if first {
 			e.relayer.NotePace(p, got.pace)
 			p.Started()
 			j.Version = version
 		}
 		if h.leaving {
-			h.ask(e.name, c.Length)
+			h.requestBackoff(e.name, c.Length)
 		}
-		c.deliver()
+		c.recordEvent()
 		e.relayer.EventPassed(j)
 		e.relayer.Chooser.Alive(h.id)
 		if got.Last {
@@ -211,7 +211,7 @@
 		}
 		if err := e.relayer.Move(ctx, j, p); err != nil {
 			c.report.Moved++
-			c.time.In(way, func() { h.drop(j.ID) })
+			c.time.In(latency, func() { h.cancel(j.ID) })
 			return err
 		}
 		limit = relayer.EventGap
@@ -227,44 +227,44 @@
 }
 
 // deliver notes an event that goes to the caller.
-func (c *caller) deliver() {
+func (c *caller) recordEvent() {
 	now := c.time.Now().Add(c.Network.Callers)
 	if c.events == 0 {
-		c.First = now.Sub(c.began)
+		c.First = now.Sub(c.startedAt)
 	} else {
-		c.Pause = max(c.Pause, now.Sub(c.lastAt))
+		c.Pause = max(c.Pause, now.Sub(c.lastEventAt))
 	}
-	c.lastAt = now
+	c.lastEventAt = now
 	c.events++
 }
 
 // served tells whether a whole answer came in time.
-func (c *caller) served() Outcome {
+func (c *caller) answerOutcome() Outcome {
 	if c.First > c.kind.Objective || c.kind.PauseObjective > 0 && c.Pause > c.kind.PauseObjective {
 		return Late
 	}
 	return InTime
 }
 
-func (c *caller) end(o Outcome) {
+func (c *caller) finish(o Outcome) {
 	c.Ends++
 	c.Outcome = o
-	c.Took = c.time.Since(c.began)
-	c.open--
+	c.Took = c.time.Since(c.startedAt)
+	c.openRequests--
 }
 
 // limited is a context that ends at a moment of virtual time.
-type limited struct {
+type deadlineContext struct {
 	context.Context
 	sequencer *sequencer.Sequencer
 	deadline  time.Time
 }
 
 // Deadline implements context.Context.
-func (l *limited) Deadline() (time.Time, bool) { return l.deadline, true }
+func (l *deadlineContext) Deadline() (time.Time, bool) { return l.deadline, true }
 
 // Err implements context.Context.
-func (l *limited) Err() error {
+func (l *deadlineContext) Err() error {
 	if l.sequencer.Now().Before(l.deadline) {
 		return nil
 	}
--- a/internal/simulator/conservation_test.go
+++ b/internal/simulator/conservation_test.go
@@ -64,7 +64,7 @@
 }
 
 // Whoever mistypes a field would otherwise play another load than the one in mind.
-func TestFaultsOfAFileAreTold(t *testing.T) {
+func TestFaultsOfAFileAreReported(t *testing.T) {
 	for text, problem := range map[string]string{
 		"size = \"3s\"": "unknown field size",
 		"[[surges]]\nkind = \"poem\"\natOnce = 3":                 "unknown kind",
--- a/internal/simulator/experiment.go
+++ b/internal/simulator/experiment.go
@@ -265,12 +265,12 @@
 // Load reads an experiment and its base. Errors are *FileError.
 func Load(path string) (*Experiment, error) {
 	e := &Experiment{}
-	named, err := e.read(path)
+	meta, err := e.read(path)
 	if err != nil {
 		return nil, err
 	}
 	if e.Base != "" {
-		if e, err = over(filepath.Join(filepath.Dir(path), e.Base), path, named); err != nil {
+		if e, err = mergeBase(filepath.Join(filepath.Dir(path), e.Base), path, meta); err != nil {
 			return nil, err
 		}
 	}
@@ -282,31 +282,31 @@
 
 // over reads a base and then the file over it. Lists that the file names replace those of the
 // base: the reader would else fill in, field by field, what stands at the same position.
-func over(base, path string, named toml.MetaData) (*Experiment, error) {
-	based := &Experiment{}
-	if _, err := based.read(base); err != nil {
+func mergeBase(base, path string, meta toml.MetaData) (*Experiment, error) {
+	merged := &Experiment{}
+	if _, err := merged.read(base); err != nil {
 		return nil, err
 	}
-	if based.Base != "" {
+	if merged.Base != "" {
 		return nil, &FileError{Path: path, Problem: "its base has a base"}
 	}
-	if named.IsDefined("failureDomains") {
-		based.FailureDomains = nil
+	if meta.IsDefined("failureDomains") {
+		merged.FailureDomains = nil
 	}
-	if named.IsDefined("kinds") {
-		based.Kinds = nil
+	if meta.IsDefined("kinds") {
+		merged.Kinds = nil
 	}
-	if named.IsDefined("workspaces") {
-		based.Workspaces = nil
+	if meta.IsDefined("workspaces") {
+		merged.Workspaces = nil
 	}
-	if named.IsDefined("surges") {
-		based.Surges = nil
+	if meta.IsDefined("surges") {
+		merged.Surges = nil
 	}
-	if named.IsDefined("faults") {
-		based.Faults = nil
+	if meta.IsDefined("faults") {
+		merged.Faults = nil
 	}
-	_, err := based.read(path)
-	return based, err
+	_, err := merged.read(path)
+	return merged, err
 }
 
 func (e *Experiment) read(path string) (toml.MetaData, error) {
@@ -410,9 +410,9 @@
 
 // startProblem is problem for what a fault says of starts.
 func (f Fault) startProblem() string {
-	troubled := f.SlowFor > 0 || f.Bears > 0 || f.Again > 0
+	hasStartFaults := f.SlowFor > 0 || f.Bears > 0 || f.Again > 0
 	switch {
-	case !troubled:
+	case !hasStartFaults:
 		return ""
 	case f.Fault != FaultCrash || f.Lasts <= 0:
 		return "slowFor, bears and again are of engines that crash and come back"
--- a/internal/simulator/host.go
+++ b/internal/simulator/host.go
@@ -31,45 +31,45 @@
 	engine                               *emulator.Engine
 	ledger                               *scheduler.Ledger
 	granter                              *granter.Granter
-	streams                              map[string]*sequencer.Mailbox[part]
+	streams                              map[string]*sequencer.Mailbox[replyPart]
 	// armed is the end of the last pass that was planned.
-	armed time.Time
+	scheduledEnd time.Time
 	// silent VMs are cut off: they work on, but nothing goes in or out. Engines that are down
 	// refuse connections, and those without weights take no request.
-	silent, down, noWeights bool
+	partitioned, down, noWeights bool
 	// agentDown tells that the agent's process is gone.
 	agentDown bool
 	// rest is what the engine asks of each entry that it turns away, 0 while it turns none away. Leaving
 	// engines state that in their replies. Quiet are the entries that know of one or the other.
-	rest    time.Duration
-	leaving bool
-	quiet   map[string]quietSpan
+	backoff  time.Duration
+	leaving  bool
+	backoffs map[string]backoffSpan
 	// tear is the chance of each event to be the one inside which its reply breaks off.
-	tear float64
+	tearChance float64
 	// nextFails is the chance of a request to fail that broke off at another engine.
-	nextFails float64
+	failAgainChance float64
 	// pausedUntil is when the engine sends something again.
 	pausedUntil time.Time
 	// ordered engines load new weights once they have ended their requests.
-	ordered bool
+	switching bool
 	// coldUntil is when the engine bears a full load again.
 	coldUntil time.Time
 	// accepted are the moments of a cold engine's requests, for the bound on them.
 	accepted []time.Time
 	// falls is what makes the engine fall over; nil for an engine that doesn't.
-	falls *falls
+	overload *overloadFault
 	// hidesPace tells that the engine doesn't state its pace.
 	hidesPace bool
 }
 
 // part is what comes of a request at an engine: an event, or a failure, and what the engine states of
 // itself.
-type part struct {
+type replyPart struct {
 	emulator.Event
 	failure *relayer.SendError
 	// pace is the engine's momentary one as the reply states it; 0 if it doesn't.
-	pace   float64
-	stated observer.Statements
+	pace       float64
+	statements observer.Statements
 }
 
 // UpstreamError is an engine's refusal or end, as an entry sees it. Err is what its connection gave; nil for
@@ -84,7 +84,7 @@
 func (e *UpstreamError) Unwrap() error { return e.Err }
 
 func newHost(w *world, d *FailureDomain, number int) *host {
-	h := &host{world: w, domain: d, id: fmt.Sprintf("%s-%d", d.Name, number), streams: map[string]*sequencer.Mailbox[part]{}, quiet: map[string]quietSpan{},
+	h := &host{world: w, domain: d, id: fmt.Sprintf("%s-%d", d.Name, number), streams: map[string]*sequencer.Mailbox[replyPart]{}, backoffs: map[string]backoffSpan{},
 		address: netip.AddrPortFrom(netip.AddrFrom4([4]byte{10, 0, byte(len(w.hosts) >> 8), byte(len(w.hosts))}), 1)}
 	h.engine = &emulator.Engine{Figures: w.Engine.figures(), Memory: w.Engine.Memory}
 	h.ledger = &scheduler.Ledger{Clock: w.time, ColdFactor: w.Engine.ColdFactor, ColdSlack: w.Engine.ColdSlack, Without: w.Without}
@@ -96,12 +96,12 @@
 }
 
 // look is the agent's look at its engine, and the next one.
-func (h *host) look() {
-	if !h.silent {
+func (h *host) poll() {
+	if !h.partitioned {
 		h.observe()
 	}
 	if h.active() {
-		h.time.In(h.Engine.Look, h.look)
+		h.time.In(h.Engine.Look, h.poll)
 	}
 }
 
@@ -112,10 +112,10 @@
 	}
 	h.observedStart, h.observedAt = h.startedAt, h.time.Now()
 	r := h.engine.Report(h.time.Now())
-	h.noteSlots(r.Running)
-	h.ledger.Observe(r.Running+r.Waiting, h.statedPace())
+	h.countIdleSlots(r.Running)
+	h.ledger.Observe(r.Running+r.Waiting, h.reportedPace())
 	h.ledger.Cold(h.Engine.ColdRate, h.coldUntil)
-	if h.ordered {
+	if h.switching {
 		h.ledger.Close("switching weights")
 		return
 	}
@@ -127,7 +127,7 @@
 }
 
 // stated is what the engine states in its replies.
-func (h *host) stated() observer.Statements {
+func (h *host) statements() observer.Statements {
 	if h.leaving {
 		return observer.Statements{observer.Leaving{}}
 	}
@@ -135,84 +135,84 @@
 }
 
 // quietSpan is when an entry is to send nothing.
-type quietSpan struct{ from, until time.Time }
+type backoffSpan struct{ from, until time.Time }
 
 // quietAfter is how long after an engine's answer requests may still be on their way.
-const quietAfter = 500 * time.Millisecond
+const backoffGrace = 500 * time.Millisecond
 
 // ask keeps that the engine asked an entry to send nothing for a time.
-func (h *host) ask(entry string, d time.Duration) {
+func (h *host) requestBackoff(entry string, d time.Duration) {
 	now := h.time.Now()
-	s := h.quiet[entry]
+	s := h.backoffs[entry]
 	if now.After(s.until) {
-		s.from = now.Add(quietAfter)
+		s.from = now.Add(backoffGrace)
 	}
 	s.until = now.Add(d)
-	h.quiet[entry] = s
+	h.backoffs[entry] = s
 }
 
 // reject refuses a request of an entry and asks for rest.
-func (h *host) reject(entry string, box *sequencer.Mailbox[part], way time.Duration) {
-	h.ask(entry, h.rest)
-	refusal := part{failure: h.failure(retrier.NotRun, http.StatusServiceUnavailable, "asks for rest")}
-	refusal.stated = append(h.stated(), observer.Backoff{For: h.rest})
-	h.later(box, way, refusal)
+func (h *host) reject(entry string, mailbox *sequencer.Mailbox[replyPart], latency time.Duration) {
+	h.requestBackoff(entry, h.backoff)
+	refusal := replyPart{failure: h.failure(retrier.NotRun, http.StatusServiceUnavailable, "asks for rest")}
+	refusal.statements = append(h.statements(), observer.Backoff{For: h.backoff})
+	h.deliver(mailbox, latency, refusal)
 }
 
 // take brings a request of an entry to the engine; what becomes of it comes into the mailbox.
-func (h *host) take(r emulator.Request, entry string, box *sequencer.Mailbox[part], way time.Duration) {
-	if h.silent {
+func (h *host) receive(r emulator.Request, entry string, mailbox *sequencer.Mailbox[replyPart], latency time.Duration) {
+	if h.partitioned {
 		return
 	}
-	if s, now := h.quiet[entry], h.time.Now(); now.After(s.from) && now.Before(s.until) {
+	if s, now := h.backoffs[entry], h.time.Now(); now.After(s.from) && now.Before(s.until) {
 		h.report.Disturbed++
 	}
-	if problem := h.unwilling(); problem != "" {
+	if problem := h.rejectReason(); problem != "" {
 		status := http.StatusServiceUnavailable
 		if h.down {
 			status = 0
 		}
-		h.later(box, way, part{failure: h.failure(retrier.NotRun, status, problem)})
+		h.deliver(mailbox, latency, replyPart{failure: h.failure(retrier.NotRun, status, problem)})
 		return
 	}
-	if h.rest > 0 {
-		h.reject(entry, box, way)
+	if h.backoff > 0 {
+		h.reject(entry, mailbox, latency)
 		return
 	}
-	if h.failNext(r.ID, box, way) {
+	if h.failAgain(r.ID, mailbox, latency) {
 		return
 	}
 	now := h.time.Now()
 	if now.Before(h.coldUntil) {
 		h.accepted = append(h.accepted, now)
-		h.noteCold()
+		h.countColdExcess()
 	}
-	if h.fallsOver() {
-		h.later(box, way, part{failure: h.reset()})
+	if h.crashesByLoad() {
+		h.deliver(mailbox, latency, replyPart{failure: h.reset()})
 		return
 	}
 	if !h.engine.Add(r, now) {
-		h.later(box, way, part{failure: h.failure(retrier.NotRun, http.StatusServiceUnavailable, "larger than the memory")})
+		h.deliver(mailbox, latency, replyPart{failure: h.failure(retrier.NotRun, http.StatusServiceUnavailable, "larger than the memory")})
 		return
 	}
-	h.streams[r.ID] = box
-	h.arm()
+	h.streams[r.ID] = mailbox
+	h.schedulePass()
 }
 
 // failNext has a request fail that another engine has broken off, if it is drawn to.
-func (h *host) failNext(id string, box *sequencer.Mailbox[part], way time.Duration) bool {
-	if h.nextFails == 0 || !h.torn[id] || h.random.Float64() >= h.nextFails {
+func (h *host) failAgain(id string, mailbox *sequencer.Mailbox[replyPart], latency time.Duration) bool {
+	if h.failAgainChance == 0 || !h.torn[id] || h.random.Float64() >= h.failAgainChance {
 		return false
 	}
 	delete(h.torn, id)
 	h.report.Twice++
 	switch h.random.IntN(4) {
 	case 0:
-		h.later(box, way, part{failure: h.failure(retrier.Unknown, 0, "reply cut inside an event")})
+		h.deliver(mailbox, latency, replyPart{failure: h.failure(retrier.Unknown, 0, "reply cut inside an event")})
 	case 1:
-		h.later(box, way, part{failure: h.failure(retrier.Ran, http.StatusInternalServerError, "failed")})
+		h.deliver(mailbox, latency, replyPart{failure: h.failure(retrier.Ran, http.StatusInternalServerError, "failed")})
 	case 2:
-		h.later(box, way, part{failure: h.failure(retrier.NotRun, http.StatusServiceUnavailable, "refuses")})
+		h.deliver(mailbox, latency, replyPart{failure: h.failure(retrier.NotRun, http.StatusServiceUnavailable, "refuses")})
 	default:
 		// Nothing comes.
 	}
@@ -220,13 +220,13 @@
 }
 
 // unwilling is why the engine takes no request now; empty when it does.
-func (h *host) unwilling() string {
+func (h *host) rejectReason() string {
 	switch {
 	case h.down:
 		return "connection refused"
 	case h.noWeights:
 		return "no weights"
-	case h.ordered:
+	case h.switching:
 		return "switching weights"
 	case h.engine.Waiting() > h.Engine.Queue:
 		return "queue full"
@@ -239,61 +239,61 @@
 	return &relayer.SendError{Upstream: h.id, Outcome: o, Status: status, Err: &UpstreamError{Problem: problem}}
 }
 
-func (h *host) later(box *sequencer.Mailbox[part], way time.Duration, p part) {
-	h.time.In(max(way, h.pausedUntil.Sub(h.time.Now())), func() { box.Put(p) })
+func (h *host) deliver(mailbox *sequencer.Mailbox[replyPart], delay time.Duration, p replyPart) {
+	h.time.In(max(delay, h.pausedUntil.Sub(h.time.Now())), func() { mailbox.Put(p) })
 }
 
 // arm plans the end of the pass under way, unless that was done already.
-func (h *host) arm() {
-	end, busy := h.engine.Next()
-	if !busy || end.Equal(h.armed) {
+func (h *host) schedulePass() {
+	end, busy := h.engine.PassEnd()
+	if !busy || end.Equal(h.scheduledEnd) {
 		return
 	}
-	h.armed = end
+	h.scheduledEnd = end
 	starts := h.starts
 	h.time.In(end.Sub(h.time.Now()), func() {
 		if h.starts == starts {
-			h.finish()
+			h.finishPass()
 		}
 	})
 }
 
 // finish ends a pass and sends its events on their way.
-func (h *host) finish() {
+func (h *host) finishPass() {
 	now := h.time.Now()
-	for _, v := range h.engine.Finish() {
-		box := h.streams[v.ID]
+	for _, v := range h.engine.FinishPass() {
+		mailbox := h.streams[v.ID]
 		if v.First && h.fatals.requests[v.ID] {
-			h.crashUnder()
+			h.crashByPrompt()
 			return
 		}
-		if h.tear > 0 && box != nil && h.random.Float64() < h.tear {
-			h.breakOff(v, box, now)
+		if h.tearChance > 0 && mailbox != nil && h.random.Float64() < h.tearChance {
+			h.tearReply(v, mailbox, now)
 			continue
 		}
 		if v.Last {
 			delete(h.streams, v.ID)
 		}
-		if box != nil && !h.silent {
-			h.later(box, v.At.Sub(now), part{Event: v, pace: h.engine.Momentary, stated: h.stated()})
+		if mailbox != nil && !h.partitioned {
+			h.deliver(mailbox, v.At.Sub(now), replyPart{Event: v, pace: h.engine.Momentary, statements: h.statements()})
 		}
 	}
 	h.loadWhenIdle()
-	h.arm()
+	h.schedulePass()
 }
 
 // breakOff ends a reply inside an event.
-func (h *host) breakOff(v emulator.Event, box *sequencer.Mailbox[part], now time.Time) {
+func (h *host) tearReply(v emulator.Event, mailbox *sequencer.Mailbox[replyPart], now time.Time) {
 	h.report.Torn++
 	h.torn[v.ID] = true
 	h.engine.Remove(v.ID)
 	delete(h.streams, v.ID)
-	h.later(box, v.At.Sub(now), part{failure: h.failure(retrier.Unknown, 0, "reply cut inside an event")})
+	h.deliver(mailbox, v.At.Sub(now), replyPart{failure: h.failure(retrier.Unknown, 0, "reply cut inside an event")})
 }
 
 // drop ends a request whose entry has given it up.
-func (h *host) drop(id string) {
-	if h.silent {
+func (h *host) cancel(id string) {
+	if h.partitioned {
 		return
 	}
 	h.engine.Remove(id)
@@ -308,7 +308,7 @@
 	starts := h.starts
 	h.time.In(after, func() {
 		if h.starts == starts {
-			h.ordered = true
+			h.switching = true
 			h.observe()
 			h.loadWhenIdle()
 		}
@@ -317,14 +317,14 @@
 
 // loadWhenIdle loads what was ordered once the engine has ended its requests.
 func (h *host) loadWhenIdle() {
-	if !h.ordered || h.noWeights || len(h.streams) > 0 {
+	if !h.switching || h.noWeights || len(h.streams) > 0 {
 		return
 	}
 	h.noWeights = true
 	starts := h.starts
 	h.time.In(h.Engine.Load, func() {
 		if h.starts == starts {
-			h.noWeights, h.ordered = false, false
+			h.noWeights, h.switching = false, false
 			h.ledger.OpenUntil(time.Time{})
 		}
 	})
@@ -337,27 +337,27 @@
 }
 
 // end ends the engine with all that it runs.
-func (h *host) end() {
+func (h *host) crash() {
 	h.starts++
 	h.down = true
 	h.pausedUntil = time.Time{}
 	reset := h.reset()
 	for _, id := range slices.Sorted(maps.Keys(h.streams)) {
-		h.later(h.streams[id], h.Network.OtherRegion, part{failure: reset})
+		h.deliver(h.streams[id], h.Network.OtherRegion, replyPart{failure: reset})
 	}
 	clear(h.streams)
 }
 
 // start has the engine begin anew, cold and without weights at first.
-func (h *host) start() {
+func (h *host) restart() {
 	h.starts++
 	pace, momentary := h.engine.Pace, h.engine.Momentary
 	h.engine = &emulator.Engine{Figures: h.Engine.figures(), Memory: h.Engine.Memory, Pace: pace, Momentary: momentary}
 	clear(h.streams)
-	clear(h.quiet)
+	clear(h.backoffs)
 	h.leaving = false
-	h.armed = time.Time{}
-	h.down, h.silent, h.ordered = false, false, false
+	h.scheduledEnd = time.Time{}
+	h.down, h.partitioned, h.switching = false, false, false
 	h.ledger.OpenUntil(time.Time{})
 	h.startedAt = h.time.Now()
 	h.coldUntil = h.time.Now().Add(h.Engine.Cold)
@@ -369,7 +369,7 @@
 }
 
 // noteCold counts requests beyond what a cold engine may get in a second.
-func (h *host) noteCold() {
+func (h *host) countColdExcess() {
 	now := h.time.Now()
 	for len(h.accepted) > 0 && now.Sub(h.accepted[0]) >= time.Second {
 		h.accepted = h.accepted[1:]
--- a/internal/simulator/patterns_test.go
+++ b/internal/simulator/patterns_test.go
@@ -17,16 +17,16 @@
 const seedSpread = 0.02
 
 // played are the reports of one load with all seeds.
-type played []*simulator.Report
+type seedReports []*simulator.Report
 
-func playAll(t *testing.T, e *simulator.Experiment) played {
+func playAll(t *testing.T, e *simulator.Experiment) seedReports {
 	t.Helper()
-	var p played
+	var p seedReports
 	for seed := range uint64(seeds) {
 		p = append(p, simulator.Run(e, seed+1))
 	}
-	t.Logf("%s: worth %.3f, late %.4f, refused %.4f, failed %.4f", e.Name, p.worth(everything), p.share(everything, simulator.Late),
-		p.share(everything, simulator.Refused), p.share(everything, simulator.Failed))
+	t.Logf("%s: worth %.3f, late %.4f, refused %.4f, failed %.4f", e.Name, p.worth(allRequests), p.share(allRequests, simulator.Late),
+		p.share(allRequests, simulator.Refused), p.share(allRequests, simulator.Failed))
 	for _, r := range p {
 		must.Zero(t, r.ColdExcess)
 		// Crashes of engines blame no prompt, unless it has the fatal part.
@@ -38,10 +38,10 @@
 	return p
 }
 
-func everything(*simulator.Request) bool { return true }
+func allRequests(*simulator.Request) bool { return true }
 
 // came picks requests whose callers came in some seconds.
-func came(from, to int) func(*simulator.Request) bool {
+func arrivedBetween(from, to int) func(*simulator.Request) bool {
 	return func(q *simulator.Request) bool {
 		return q.At >= time.Duration(from)*time.Second && q.At < time.Duration(to)*time.Second
 	}
@@ -52,11 +52,11 @@
 }
 
 // worth is the share earned of what was owed for some requests.
-func (p played) worth(picked func(*simulator.Request) bool) float64 {
+func (p seedReports) worth(selected func(*simulator.Request) bool) float64 {
 	owed, earned := 0.0, 0.0
 	for _, r := range p {
 		for _, q := range r.Requests {
-			if picked(q) {
+			if selected(q) {
 				owed += q.Owed
 				earned += q.Earned
 			}
@@ -66,11 +66,11 @@
 }
 
 // share is the part of some requests that ended in one way.
-func (p played) share(picked func(*simulator.Request) bool, o simulator.Outcome) float64 {
+func (p seedReports) share(selected func(*simulator.Request) bool, o simulator.Outcome) float64 {
 	asked, ended := 0, 0
 	for _, r := range p {
 		for _, q := range r.Requests {
-			if !picked(q) {
+			if !selected(q) {
 				continue
 			}
 			asked++
@@ -86,8 +86,8 @@
 // suffers from the system itself.
 func TestSteadyLoadIsServed(t *testing.T) {
 	p := playAll(t, load(t, "base"))
-	must.Greater(t, 0.995, p.worth(everything))
-	must.Zero(t, p.share(everything, simulator.Refused))
+	must.Greater(t, 0.995, p.worth(allRequests))
+	must.Zero(t, p.share(allRequests, simulator.Refused))
 }
 
 // Three times the usual load comes from the first moment on, and 120 callers at once. All
@@ -95,32 +95,32 @@
 // together they would all be late. The engines bear two fifths of what comes.
 func TestBurstAtTheStart(t *testing.T) {
 	p := playAll(t, load(t, "burstAtStart"))
-	inBurst, after := p.share(came(0, 3), simulator.InTime), p.share(came(7, 30), simulator.InTime)
+	inBurst, after := p.share(arrivedBetween(0, 3), simulator.InTime), p.share(arrivedBetween(7, 30), simulator.InTime)
 	t.Logf("in time of those in the burst %.3f, after it %.3f", inBurst, after)
-	must.Greater(t, 0.83, p.worth(everything))
+	must.Greater(t, 0.83, p.worth(allRequests))
 	must.Greater(t, 0.39, inBurst)
 	must.Greater(t, 0.99, after)
-	must.Less(t, 0.02, p.share(everything, simulator.Late))
+	must.Less(t, 0.02, p.share(allRequests, simulator.Late))
 }
 
 // A third of the callers who are refused come back at once and up to three times. They get
 // no more for it than others, and those who wait as told must not pay for them.
 func TestCallersThatRepeatAtOnce(t *testing.T) {
 	e := load(t, "repeatAtOnce")
-	hasty := playAll(t, e).worth(everything)
+	repeating := playAll(t, e).worth(allRequests)
 	e.Callers.Ignoring = 0
-	patient := playAll(t, e).worth(everything)
-	must.Greater(t, 0.83, hasty)
-	must.Greater(t, patient-0.02, hasty)
+	waiting := playAll(t, e).worth(allRequests)
+	must.Greater(t, 0.83, repeating)
+	must.Greater(t, waiting-0.02, repeating)
 }
 
 // Half of the engines crash within a moment; streams break, and entries still believe in
 // those engines for seconds. They come back cold and get no more than they bear then.
-func TestHalfTheEnginesGone(t *testing.T) {
+func TestHalfTheEnginesCrash(t *testing.T) {
 	p := playAll(t, load(t, "halfGone"))
-	without, after := p.share(came(11, 18), simulator.InTime), p.share(came(23, 30), simulator.InTime)
+	without, after := p.share(arrivedBetween(11, 18), simulator.InTime), p.share(arrivedBetween(23, 30), simulator.InTime)
 	t.Logf("in time without them %.3f, after %.3f", without, after)
-	must.Greater(t, 0.85, p.worth(everything))
+	must.Greater(t, 0.85, p.worth(allRequests))
 	must.Greater(t, 0.57, without, must.Sprint("six engines bear 0.59 of the load"))
 	must.Greater(t, 0.98, after)
 }
@@ -129,8 +129,8 @@
 // the callers whose requests went there notice, others don't.
 func TestOneSlowEngine(t *testing.T) {
 	p := playAll(t, load(t, "slowEngine"))
-	must.Greater(t, 0.97, p.worth(everything))
-	must.Less(t, 0.01, p.share(everything, simulator.Failed))
+	must.Greater(t, 0.97, p.worth(allRequests))
+	must.Less(t, 0.01, p.share(allRequests, simulator.Failed))
 }
 
 // All engines of a failure domain are lost and come back together. Each entry has requests
@@ -138,9 +138,9 @@
 // all that runs there would be lost once more.
 func TestColdReturnOfAFailureDomain(t *testing.T) {
 	p := playAll(t, load(t, "coldReturn"))
-	without, cold, after := p.share(came(9, 13), simulator.InTime), p.share(came(13, 17), simulator.InTime), p.share(came(18, 30), simulator.InTime)
+	without, cold, after := p.share(arrivedBetween(9, 13), simulator.InTime), p.share(arrivedBetween(13, 17), simulator.InTime), p.share(arrivedBetween(18, 30), simulator.InTime)
 	t.Logf("in time without it %.3f, while it is cold %.3f, after %.3f", without, cold, after)
-	must.Greater(t, 0.94, p.worth(everything))
+	must.Greater(t, 0.94, p.worth(allRequests))
 	must.Greater(t, 0.95, cold)
 	must.Greater(t, 0.98, after)
 }
@@ -173,12 +173,12 @@
 	each := float64(replies) / (to - from).Seconds() / engines / seeds
 	t.Logf("replies a second of each engine %.2f", each)
 	must.Between(t, 9.2, each, 10.2)
-	must.Greater(t, 0.63, p.worth(everything))
+	must.Greater(t, 0.63, p.worth(allRequests))
 }
 
 // Guards against starvation by objective: under overload a kind with a longer objective, whose
 // requests may queue for longer, keeps those with a shorter one out.
-func TestKindsFareAlikeUnderOverload(t *testing.T) {
+func TestKindsAreServedEquallyUnderOverload(t *testing.T) {
 	p := playAll(t, load(t, "lastingOverload"))
 	best := max(p.worth(ofKind("draft")), p.worth(ofKind("summary")), p.worth(ofKind("notice")))
 	for _, kind := range []string{"draft", "summary", "notice"} {
@@ -187,7 +187,7 @@
 }
 
 // misdirected is how many requests came to another engine than was meant.
-func (p played) misdirected() int {
+func (p seedReports) misdirected() int {
 	n := 0
 	for _, r := range p {
 		n += r.Misdirected
@@ -199,11 +199,11 @@
 func TestAllEnginesReplaced(t *testing.T) {
 	p := playAll(t, load(t, "replacedEngines"))
 	must.Zero(t, p.misdirected())
-	must.Greater(t, 0.86, p.worth(everything))
+	must.Greater(t, 0.86, p.worth(allRequests))
 }
 
 // disturbed counts the requests to engines that had told their entry to send none.
-func (p played) disturbed() int {
+func (p seedReports) disturbed() int {
 	n := 0
 	for _, r := range p {
 		n += r.Disturbed
@@ -213,7 +213,7 @@
 
 // Guards against requests to engines that asked their entry for rest or stated that they leave, and
 // against callers who pay for that.
-func TestEnginesThatAskForRestOrLeave(t *testing.T) {
+func TestEnginesThatBackOffOrLeave(t *testing.T) {
 	for _, name := range []string{"rest", "restOfAll", "leavers"} {
 		t.Run(name, func(t *testing.T) {
 			e := load(t, name)
@@ -222,14 +222,14 @@
 			ignored := playAll(t, e)
 			must.Zero(t, kept.disturbed())
 			must.Positive(t, ignored.disturbed())
-			must.GreaterEq(t, ignored.worth(everything)-seedSpread, kept.worth(everything))
+			must.GreaterEq(t, ignored.worth(allRequests)-seedSpread, kept.worth(allRequests))
 		})
 	}
 }
 
 // Guards against replies that end as complete without all their events, and against callers who lose replies
 // that another engine can go on with.
-func TestEnginesThatBreakRepliesOff(t *testing.T) {
+func TestEnginesThatTearReplies(t *testing.T) {
 	for _, name := range []string{"tear", "tearEverywhere"} {
 		t.Run(name, func(t *testing.T) {
 			p := playAll(t, load(t, name))
@@ -239,7 +239,7 @@
 				torn += r.Torn
 				failed += r.Total.Failed
 			}
-			t.Logf("%d replies broke off, %d requests failed, worth %.3f", torn, failed, p.worth(everything))
+			t.Logf("%d replies broke off, %d requests failed, worth %.3f", torn, failed, p.worth(allRequests))
 			must.Positive(t, torn)
 			// Each request has one further attempt, which may break off as well.
 			must.Less(t, torn/2, failed)
@@ -259,7 +259,7 @@
 		cut += r.Cut
 		failed += r.Total.Failed
 	}
-	t.Logf("%d requests failed at two engines, %d callers saw a cut, %d failed in all, worth %.3f", twice, cut, failed, p.worth(everything))
+	t.Logf("%d requests failed at two engines, %d callers saw a cut, %d failed in all, worth %.3f", twice, cut, failed, p.worth(allRequests))
 	must.Positive(t, twice)
 	// A refusal by the second engine leaves another attempt, and a part of the others had their answer by then.
 	must.Less(t, failed, twice/2)
@@ -272,8 +272,8 @@
 	waited := playAll(t, e)
 	e.Without = ablator.Set{ablator.LateWait}
 	refused := playAll(t, e)
-	must.Less(t, 0.85*refused.share(everything, simulator.Refused), waited.share(everything, simulator.Refused))
-	must.Less(t, 0.003, refused.worth(everything)-waited.worth(everything), must.Sprint("first attempts don't pay for them"))
+	must.Less(t, 0.85*refused.share(allRequests, simulator.Refused), waited.share(allRequests, simulator.Refused))
+	must.Less(t, 0.003, refused.worth(allRequests)-waited.worth(allRequests), must.Sprint("first attempts don't pay for them"))
 }
 
 // Guards against requests with a part that crashes engines being sent on, and against sound callers who are
@@ -289,21 +289,21 @@
 	}
 	e.Without = ablator.Set{ablator.PromptBlame}
 	sent := playAll(t, e)
-	must.Greater(t, sent.worth(everything), p.worth(everything))
+	must.Greater(t, sent.worth(allRequests), p.worth(allRequests))
 	usual := playAll(t, load(t, "base"))
 	// Six seconds after the crashes, while such requests still come.
-	must.GreaterEq(t, usual.worth(came(15, 18))-seedSpread, p.worth(came(15, 18)))
+	must.GreaterEq(t, usual.worth(arrivedBetween(15, 18))-seedSpread, p.worth(arrivedBetween(15, 18)))
 }
 
 // Guards against replies that are lost because their engine sends nothing for a second.
-func TestEnginesThatPauseGoOn(t *testing.T) {
+func TestPausedEnginesLoseNoReplies(t *testing.T) {
 	const lasts = time.Second
 	e := load(t, "pause")
 	for i := range e.Faults {
 		e.Faults[i].Lasts = lasts
 	}
 	p := playAll(t, e)
-	must.Zero(t, p.share(everything, simulator.Failed))
+	must.Zero(t, p.share(allRequests, simulator.Failed))
 	longest := time.Duration(0)
 	for _, r := range p {
 		must.Zero(t, r.Short)
@@ -326,9 +326,9 @@
 func TestAThirdOfTheEnginesSlowerChangingEvery600Milliseconds(t *testing.T) {
 	e := load(t, "unevenPace")
 	p, before := playAll(t, e), playAll(t, withoutPace(e))
-	must.Greater(t, before.worth(everything)+0.1, p.worth(everything))
-	must.Less(t, 0.8*before.share(everything, simulator.Failed), p.share(everything, simulator.Failed))
-	must.LessEq(t, before.share(everything, simulator.Refused), p.share(everything, simulator.Refused))
+	must.Greater(t, before.worth(allRequests)+0.1, p.worth(allRequests))
+	must.Less(t, 0.8*before.share(allRequests, simulator.Failed), p.share(allRequests, simulator.Failed))
+	must.LessEq(t, before.share(allRequests, simulator.Refused), p.share(allRequests, simulator.Refused))
 	for _, r := range p {
 		must.Zero(t, r.Short)
 	}
@@ -338,17 +338,17 @@
 func TestSlowEnginesWithLongAnswers(t *testing.T) {
 	e := load(t, "slowEngines")
 	p, before := playAll(t, e), playAll(t, withoutPace(e))
-	must.Greater(t, before.worth(everything)+0.02, p.worth(everything))
-	must.Less(t, before.share(everything, simulator.Failed), p.share(everything, simulator.Failed))
-	must.Zero(t, p.share(everything, simulator.Refused))
+	must.Greater(t, before.worth(allRequests)+0.02, p.worth(allRequests))
+	must.Less(t, before.share(allRequests, simulator.Failed), p.share(allRequests, simulator.Failed))
+	must.Zero(t, p.share(allRequests, simulator.Refused))
 }
 
 // Guards against streams that are cut where engines are slow for good and now and then, and both meet.
-func TestEnginesSlowForGoodAndNowAndThen(t *testing.T) {
+func TestEnginesSlowPermanentlyAndAtTimes(t *testing.T) {
 	e := load(t, "mixedPace")
 	p, before := playAll(t, e), playAll(t, withoutPace(e))
-	must.Greater(t, before.worth(everything)+0.05, p.worth(everything))
-	must.Less(t, before.share(everything, simulator.Failed)/2, p.share(everything, simulator.Failed))
+	must.Greater(t, before.worth(allRequests)+0.05, p.worth(allRequests))
+	must.Less(t, before.share(allRequests, simulator.Failed)/2, p.share(allRequests, simulator.Failed))
 	moved := 0
 	for _, r := range p {
 		must.Zero(t, r.Short)
--- a/internal/simulator/plan.go
+++ b/internal/simulator/plan.go
@@ -7,47 +7,47 @@
 )
 
 // plan puts callers and faults on the agenda.
-func (w *world) plan() {
+func (w *world) schedule() {
 	for i := range w.Kinds {
-		w.planKind(i)
+		w.scheduleKind(i)
 	}
 	for _, f := range w.Faults {
-		w.time.In(f.At, func() { w.befall(f) })
+		w.time.In(f.At, func() { w.injectFault(f) })
 	}
 }
 
 // planKind has the callers of a kind come by chance, each at its own moment.
-func (w *world) planKind(kind int) {
+func (w *world) scheduleKind(kind int) {
 	k := &w.Kinds[kind]
 	most := 1.0
 	for _, s := range w.Surges {
 		most *= max(1, s.Factor)
 	}
 	if k.PerSecond > 0 {
-		at := w.gap(k.PerSecond * most)
+		at := w.nextGap(k.PerSecond * most)
 		for at < w.Length {
-			if w.callers.Float64()*most < w.factor(k, at) {
-				w.arrive(kind, at)
+			if w.callerRandom.Float64()*most < w.surgeFactor(k, at) {
+				w.addCaller(kind, at)
 			}
-			at += w.gap(k.PerSecond * most)
+			at += w.nextGap(k.PerSecond * most)
 		}
 	}
 	for _, s := range w.Surges {
 		if s.Kind == "" || s.Kind == k.Name {
 			for range s.AtOnce {
-				w.arrive(kind, s.At)
+				w.addCaller(kind, s.At)
 			}
 		}
 	}
 }
 
 // gap is the time to the next caller at a rate a second.
-func (w *world) gap(rate float64) time.Duration {
-	return time.Duration(w.callers.ExpFloat64() / rate * float64(time.Second))
+func (w *world) nextGap(rate float64) time.Duration {
+	return time.Duration(w.callerRandom.ExpFloat64() / rate * float64(time.Second))
 }
 
 // factor is how many more callers come at a moment.
-func (w *world) factor(k *Kind, at time.Duration) float64 {
+func (w *world) surgeFactor(k *Kind, at time.Duration) float64 {
 	f := 1.0
 	for _, s := range w.Surges {
 		if s.Factor > 0 && at >= s.At && at < s.At+s.Lasts && (s.Kind == "" || s.Kind == k.Name) {
@@ -58,9 +58,9 @@
 }
 
 // draw draws a size, log-normally spread as prompts and answers are.
-func (w *world) draw(s Size) int {
+func (w *world) drawSize(s Size) int {
 	variance := math.Log(1 + s.Spread*s.Spread)
-	size := s.Mean * math.Exp(w.callers.NormFloat64()*math.Sqrt(variance)-variance/2)
+	size := s.Mean * math.Exp(w.callerRandom.NormFloat64()*math.Sqrt(variance)-variance/2)
 	if s.Most > 0 {
 		size = min(size, float64(s.Most))
 	}
@@ -68,7 +68,7 @@
 }
 
 // befall has a fault begin, and end after its time.
-func (w *world) befall(f Fault) {
+func (w *world) injectFault(f Fault) {
 	var there []*host
 	for _, h := range w.hosts {
 		if f.FailureDomain == "" || h.domain.Name == f.FailureDomain {
@@ -92,23 +92,23 @@
 			h.planSwitch(f.Overrun, f.Lasts*time.Duration(i)/time.Duration(n))
 			continue
 		}
-		h.befall(f)
+		h.startFault(f)
 	}
 }
 
 // retire ends the engine. Its record lapses a while after the given time.
-func (h *host) retire(after time.Duration) {
-	h.end()
+func (h *host) terminate(after time.Duration) {
+	h.crash()
 	former := h.id
-	h.time.In(after+h.News.Lapse, func() { h.change(former, nil, h.News.Delay) })
+	h.time.In(after+h.News.Lapse, func() { h.writeRecord(former, nil, h.News.Delay) })
 }
 
 // succeed starts another engine at the address of the one that has ended.
-func (h *host) succeed() {
+func (h *host) replace() {
 	h.id = fmt.Sprintf("%s.%d", h.id, h.starts)
 	h.byID[h.id] = h
-	h.start()
-	h.change(h.id, h.record(h.Engine.Cold), h.News.Delay)
+	h.restart()
+	h.writeRecord(h.id, h.storeRecord(h.Engine.Cold), h.News.Delay)
 }
 
 // drawPace draws the pace of an engine for the next while, and does so again then.
@@ -123,7 +123,7 @@
 	h.time.In(f.Every, func() { h.drawPace(f) })
 }
 
-func (h *host) befall(f Fault) {
+func (h *host) startFault(f Fault) {
 	after := func(do func()) {
 		if f.Lasts > 0 {
 			h.time.In(f.Lasts, do)
@@ -131,38 +131,38 @@
 	}
 	switch f.Fault {
 	case FaultReplace:
-		h.retire(f.Lasts)
-		after(h.succeed)
+		h.terminate(f.Lasts)
+		after(h.replace)
 	case FaultLeave:
 		h.leaving = true
 		after(func() {
-			h.retire(0)
-			h.succeed()
+			h.terminate(0)
+			h.replace()
 		})
 	case FaultTear:
-		h.tear, h.nextFails = f.Chance, f.NextFails
-		after(func() { h.tear, h.nextFails = 0, 0 })
+		h.tearChance, h.failAgainChance = f.Chance, f.NextFails
+		after(func() { h.tearChance, h.failAgainChance = 0, 0 })
 	case FaultPause:
 		h.pausedUntil = h.time.Now().Add(f.Lasts)
 	case FaultRest:
-		h.rest = f.Rest
-		after(func() { h.rest = 0 })
+		h.backoff = f.Rest
+		after(func() { h.backoff = 0 })
 	case FaultCrash:
-		h.end()
+		h.crash()
 		starts := h.starts
 		h.time.In(h.News.Lapse, func() {
 			if h.starts == starts {
-				h.change(h.id, nil, h.News.Delay)
+				h.writeRecord(h.id, nil, h.News.Delay)
 			}
 		})
 		after(func() {
-			h.start()
-			h.begin(f)
-			h.change(h.id, h.record(h.Engine.Cold), h.News.Delay)
+			h.restart()
+			h.applyStartFaults(f)
+			h.writeRecord(h.id, h.storeRecord(h.Engine.Cold), h.News.Delay)
 		})
 	case FaultSilent:
-		h.silent = true
-		after(func() { h.silent = false })
+		h.partitioned = true
+		after(func() { h.partitioned = false })
 	case FaultSlow:
 		h.engine.Pace = f.Pace
 		after(func() { h.engine.Pace = 0 })
--- a/internal/simulator/print.go
+++ b/internal/simulator/print.go
@@ -29,7 +29,7 @@
 		rows := map[string]*Row{}
 		for _, r := range reports {
 			for _, row := range r.Tables[i].Rows {
-				join(rows, row)
+				addRow(rows, row)
 			}
 		}
 		p.table(t.By, rows)
@@ -58,7 +58,7 @@
 	return p.w.Flush()
 }
 
-func join(rows map[string]*Row, row Row) {
+func addRow(rows map[string]*Row, row Row) {
 	sum := rows[row.Name]
 	if sum == nil {
 		rows[row.Name] = &row
@@ -88,7 +88,7 @@
 	var starts Starts
 	for _, r := range reports {
 		p.row(fmt.Sprint(r.Seed), r.Total)
-		join(all, r.Total)
+		addRow(all, r.Total)
 		excess += r.ColdExcess
 		moved += r.Moved
 		starts.add(r.Starts)
@@ -100,7 +100,7 @@
 	if starts.Sent > 0 {
 		p.line("")
 		p.line("requests sent to engines within %v of a start: %d, in time %.3f, failed %d; slots idle there: %.3f, engines that fell over: %d",
-			justStarted, starts.Sent, float64(starts.InTime)/float64(starts.Sent), starts.Failed, starts.Idle(), starts.Crashes)
+			startPeriod, starts.Sent, float64(starts.InTime)/float64(starts.Sent), starts.Failed, starts.Idle(), starts.Crashes)
 	}
 	if excess > 0 {
 		p.line("")
--- a/internal/simulator/priority_test.go
+++ b/internal/simulator/priority_test.go
@@ -27,7 +27,7 @@
 	must.Greater(t, batch, summary)
 	must.Greater(t, 0.4, batch)
 	e.Without = byPriority
-	must.Greater(t, playAll(t, e).worth(everything)+0.1, p.worth(everything))
+	must.Greater(t, playAll(t, e).worth(allRequests)+0.1, p.worth(allRequests))
 }
 
 // Guards against a workspace that is served worse than one with more of the demand, or that loses its own
--- a/internal/simulator/report.go
+++ b/internal/simulator/report.go
@@ -39,7 +39,7 @@
 	// Size is its class by size within its kind.
 	Size string
 	// atStarted tells that it was sent to an engine shortly after its start.
-	atStarted bool
+	sentAfterStart bool
 }
 
 // The classes by size.
@@ -129,10 +129,10 @@
 	// A generation is worth baseShare, and sizeShare times its size against the mean of its
 	// kind, at most mostWorth times the kind's worth. An answer's tokens count answerWeight
 	// times.
-	baseShare    = 0.3
-	sizeShare    = 0.7
-	mostWorth    = 4
-	answerWeight = 10
+	baseShare      = 0.3
+	sizeShare      = 0.7
+	maxWorthFactor = 4
+	answerWeight   = 10
 	// largestShare and largeShare are the parts of a kind's requests in the classes of large
 	// ones.
 	largestShare = 0.1
@@ -140,12 +140,12 @@
 )
 
 // sum works out worth, classes and tables.
-func (r *Report) sum() {
+func (r *Report) summarize() {
 	for i := range r.Experiment.Kinds {
-		r.value(&r.Experiment.Kinds[i])
+		r.computeWorth(&r.Experiment.Kinds[i])
 	}
 	r.sumStarts()
-	by := func(title string, name func(*Request) string) {
+	addTable := func(title string, name func(*Request) string) {
 		rows := map[string]*Row{}
 		for _, q := range r.Requests {
 			row := rows[name(q)]
@@ -162,10 +162,10 @@
 		slices.SortFunc(t.Rows, func(a, b Row) int { return cmp.Compare(a.Name, b.Name) })
 		r.Tables = append(r.Tables, t)
 	}
-	by("kind", func(q *Request) string { return q.Kind })
-	by("workspace", func(q *Request) string { return q.Workspace })
-	by("size", func(q *Request) string { return q.Size })
-	by("failure domain", func(q *Request) string { return q.FailureDomain })
+	addTable("kind", func(q *Request) string { return q.Kind })
+	addTable("workspace", func(q *Request) string { return q.Workspace })
+	addTable("size", func(q *Request) string { return q.Size })
+	addTable("failure domain", func(q *Request) string { return q.FailureDomain })
 	r.Total.Name = "all"
 	r.Seconds = make([]Row, int(r.Experiment.Length/time.Second)+1)
 	for _, q := range r.Requests {
@@ -175,19 +175,19 @@
 }
 
 // value works out worth and class of the requests of a kind.
-func (r *Report) value(k *Kind) {
-	var of []*Request
+func (r *Report) computeWorth(k *Kind) {
+	var requests []*Request
 	mean := 0.0
 	for _, q := range r.Requests {
 		if q.Kind == k.Name {
-			of = append(of, q)
+			requests = append(requests, q)
 			mean += q.size()
 		}
 	}
-	mean /= max(1, float64(len(of)))
-	slices.SortStableFunc(of, func(a, b *Request) int { return cmp.Compare(b.size(), a.size()) })
-	for i, q := range of {
-		factor := min(mostWorth, baseShare+sizeShare*q.size()/mean)
+	mean /= max(1, float64(len(requests)))
+	slices.SortStableFunc(requests, func(a, b *Request) int { return cmp.Compare(b.size(), a.size()) })
+	for i, q := range requests {
+		factor := min(maxWorthFactor, baseShare+sizeShare*q.size()/mean)
 		q.Owed = k.Worth * factor
 		switch q.Outcome {
 		case InTime:
@@ -195,7 +195,7 @@
 		case Late:
 			q.Earned = k.LateWorth * factor
 		}
-		switch rank := float64(i) / float64(len(of)); {
+		switch rank := float64(i) / float64(len(requests)); {
 		case rank < largestShare:
 			q.Size = SizeLargest
 		case rank < largestShare+largeShare:
--- a/internal/simulator/starts.go
+++ b/internal/simulator/starts.go
@@ -3,7 +3,7 @@
 import "time"
 
 // justStarted is for how long after an engine's start its requests and idle slots are reported apart.
-const justStarted = 10 * time.Second
+const startPeriod = 10 * time.Second
 
 // Starts is what became of requests and slots at engines in the first seconds after their starts.
 type Starts struct {
@@ -29,11 +29,11 @@
 }
 
 // hasJustStarted tells whether the engine restarted during the experiment a short time ago.
-func (h *host) hasJustStarted() bool { return h.starts > 0 && h.time.Since(h.startedAt) < justStarted }
+func (h *host) hasJustStarted() bool { return h.starts > 0 && h.time.Since(h.startedAt) < startPeriod }
 
 // noteSlots counts the engine's idle slots after a start.
-func (h *host) noteSlots(running int) {
-	if h.hasJustStarted() && !h.noWeights && !h.ordered {
+func (h *host) countIdleSlots(running int) {
+	if h.hasJustStarted() && !h.noWeights && !h.switching {
 		h.report.Starts.slots += h.Engine.Slots
 		h.report.Starts.idle += max(0, h.Engine.Slots-running)
 	}
@@ -42,7 +42,7 @@
 // sumStarts counts the requests that were sent to engines after their starts.
 func (r *Report) sumStarts() {
 	for _, q := range r.Requests {
-		if !q.atStarted {
+		if !q.sentAfterStart {
 			continue
 		}
 		r.Starts.Sent++
@@ -57,7 +57,7 @@
 }
 
 // begin has an engine that has just started show what its fault says of its starts.
-func (h *host) begin(f Fault) {
+func (h *host) applyStartFaults(f Fault) {
 	starts := h.starts
 	after := func(d time.Duration, do func()) {
 		h.time.In(d, func() {
@@ -73,16 +73,16 @@
 	if f.Again > 0 {
 		again := f
 		again.Again--
-		after(f.UpFor, func() { h.befall(again) })
+		after(f.UpFor, func() { h.startFault(again) })
 	}
-	h.falls = nil
+	h.overload = nil
 	if f.Bears > 0 {
-		h.falls = &falls{fault: f, until: h.time.Now().Add(f.BearsFor)}
+		h.overload = &overloadFault{fault: f, until: h.time.Now().Add(f.BearsFor)}
 	}
 }
 
 // statedPace is the pace in the engine's report.
-func (h *host) statedPace() float64 {
+func (h *host) reportedPace() float64 {
 	if h.hidesPace {
 		return 0
 	}
@@ -90,27 +90,27 @@
 }
 
 // falls is an engine that falls over under more requests a second than it bears.
-type falls struct {
+type overloadFault struct {
 	fault Fault
 	until time.Time
 	taken []time.Time
 }
 
 // fallsOver counts one more request and tells whether the engine falls over under it.
-func (h *host) fallsOver() bool {
+func (h *host) crashesByLoad() bool {
 	now := h.time.Now()
-	if h.falls == nil || now.After(h.falls.until) {
+	if h.overload == nil || now.After(h.overload.until) {
 		return false
 	}
-	taken := h.falls.taken
+	taken := h.overload.taken
 	for len(taken) > 0 && now.Sub(taken[0]) >= time.Second {
 		taken = taken[1:]
 	}
-	h.falls.taken = append(taken, now)
-	if len(h.falls.taken) <= h.falls.fault.Bears {
+	h.overload.taken = append(taken, now)
+	if len(h.overload.taken) <= h.overload.fault.Bears {
 		return false
 	}
 	h.report.Starts.Crashes++
-	h.befall(h.falls.fault)
+	h.startFault(h.overload.fault)
 	return true
 }
--- a/internal/simulator/starts_test.go
+++ b/internal/simulator/starts_test.go
@@ -10,7 +10,7 @@
 )
 
 // played with and without slow starts.
-func slowStarts(t *testing.T, name string) (with, without played) {
+func slowStarts(t *testing.T, name string) (with, without seedReports) {
 	t.Helper()
 	e := load(t, name)
 	with = playAll(t, e)
@@ -18,7 +18,7 @@
 	return with, playAll(t, e)
 }
 
-func (p played) crashes() int {
+func (p seedReports) crashes() int {
 	n := 0
 	for _, r := range p {
 		n += r.Starts.Crashes
@@ -29,7 +29,7 @@
 // Engines are slow for three seconds after their start, and nothing states it. Guards against a flood there.
 func TestEnginesSlowAfterTheirStart(t *testing.T) {
 	with, without := slowStarts(t, "slowStart")
-	must.Greater(t, without.worth(everything)+0.005, with.worth(everything))
+	must.Greater(t, without.worth(allRequests)+0.005, with.worth(allRequests))
 }
 
 // Engines fall over above a rate. Guards against a server that is felled by the same flood at each return.
@@ -37,20 +37,20 @@
 	with, without := slowStarts(t, "fallsOver")
 	t.Logf("engines fell over %d times, without slow starts %d", with.crashes(), without.crashes())
 	must.Less(t, without.crashes()*3/4, with.crashes())
-	must.Greater(t, without.worth(everything)+0.01, with.worth(everything))
+	must.Greater(t, without.worth(allRequests)+0.01, with.worth(allRequests))
 }
 
 // Engines recover and fail again whatever they get, while the others are full. Slow starts must cost nothing
 // to speak of there.
 func TestEnginesThatFailAgain(t *testing.T) {
 	with, without := slowStarts(t, "failsAgain")
-	must.Greater(t, without.worth(everything)-0.005, with.worth(everything))
+	must.Greater(t, without.worth(allRequests)-0.005, with.worth(allRequests))
 }
 
 // A whole service starts at once. Guards against engines that are held back although there are no others.
 func TestWholeServiceStarts(t *testing.T) {
 	with, without := slowStarts(t, "startTogether")
-	must.Between(t, without.worth(everything)-0.003, with.worth(everything), without.worth(everything)+0.003)
+	must.Between(t, without.worth(allRequests)-0.003, with.worth(allRequests), without.worth(allRequests)+0.003)
 }
 
 // Nothing starts, fails or recovers. Guards against decisions that slow starts change there.
--- a/internal/simulator/world.go
+++ b/internal/simulator/world.go
@@ -43,19 +43,19 @@
 	random *rand.Rand
 	// callers draws who comes and for what. It is apart from random, so that a seed's callers
 	// are the same whatever decisions are made.
-	callers *rand.Rand
-	table   *matcher.Table
-	hosts   []*host
-	byID    map[string]*host
-	byAgent map[netip.AddrPort]*host
-	entries []*entry
+	callerRandom *rand.Rand
+	table        *matcher.Table
+	hosts        []*host
+	byID         map[string]*host
+	byAgent      map[netip.AddrPort]*host
+	entries      []*entry
 	// facts are what records of the store say, by key and revision.
 	facts    map[string]map[uint64]registrar.Fact
 	revision uint64
 	// open are the requests that have not ended.
-	open   int
-	report *Report
-	fatals fatals
+	openRequests int
+	report       *Report
+	fatals       fatals
 	// torn are the requests that an engine has broken off.
 	torn map[string]bool
 }
@@ -73,22 +73,22 @@
 // Run plays an experiment. The same seed gives the same report.
 func Run(e *Experiment, seed uint64) *Report {
 	w := &world{
-		Experiment: e, time: &sequencer.Sequencer{Start: start}, random: rand.New(rand.NewPCG(seed, 1)), callers: rand.New(rand.NewPCG(seed, 3)),
+		Experiment: e, time: &sequencer.Sequencer{Start: start}, random: rand.New(rand.NewPCG(seed, 1)), callerRandom: rand.New(rand.NewPCG(seed, 3)),
 		byID: map[string]*host{}, byAgent: map[netip.AddrPort]*host{}, facts: map[string]map[uint64]registrar.Fact{},
 		report: &Report{Experiment: e, Seed: seed}, torn: map[string]bool{},
 	}
 	w.table = w.makeTable()
-	w.build()
-	w.plan()
-	w.planFatal()
+	w.addMembers()
+	w.schedule()
+	w.scheduleFatal()
 	w.time.Run()
-	w.report.Blamed = w.blamed()
-	w.report.sum()
+	w.report.Blamed = w.blamedParts()
+	w.report.summarize()
 	return w.report
 }
 
 // active tells whether anything may still happen to requests.
-func (w *world) active() bool { return w.open > 0 || w.time.Since(start) < w.Length }
+func (w *world) active() bool { return w.openRequests > 0 || w.time.Since(start) < w.Length }
 
 func (w *world) makeTable() *matcher.Table {
 	t := &matcher.Table{Version: 1, Services: map[string]*matcher.Service{
@@ -111,7 +111,7 @@
 
 // build sets up engines and entries. All know the engines, and hear of each other late, as
 // after a start of all.
-func (w *world) build() {
+func (w *world) addMembers() {
 	for i := range w.FailureDomains {
 		d := &w.FailureDomains[i]
 		for n := range d.Engines {
@@ -123,14 +123,14 @@
 			w.entries = append(w.entries, w.newEntry(d, n+1))
 		}
 	}
-	w.change("table", registrar.Table{Table: w.table}, 0)
+	w.writeRecord("table", registrar.Table{Table: w.table}, 0)
 	for _, h := range w.hosts {
-		w.change(h.id, h.record(0), 0)
+		w.writeRecord(h.id, h.storeRecord(0), 0)
 		// Agents look at different moments.
-		w.time.In(time.Duration(w.random.Int64N(int64(w.Engine.Look))), h.look)
+		w.time.In(time.Duration(w.random.Int64N(int64(w.Engine.Look))), h.poll)
 	}
 	for _, e := range w.entries {
-		w.change(e.name, registrar.Member{ID: e.name, FailureDomain: e.domain.Name, Region: e.domain.Region}, w.News.Delay)
+		w.writeRecord(e.name, registrar.Member{ID: e.name, FailureDomain: e.domain.Name, Region: e.domain.Region}, w.News.Delay)
 	}
 }
 
@@ -148,7 +148,7 @@
 		Placer: &relayer.Placer{
 			Registrar: r, Chooser: chooser, Observer: &observer.Observer{Clock: w.time}, Clock: w.time, FailureDomain: d.Name, Region: d.Region, Regions: regions,
 			AgentPort: agentPort, ColdFactor: w.Engine.ColdFactor, ColdSlack: w.Engine.ColdSlack, Without: w.Without,
-			Reach: func(a netip.AddrPort) relayer.Agent { return &road{entry: e, host: w.byAgent[a]} },
+			Reach: func(a netip.AddrPort) relayer.Agent { return &agentLink{entry: e, host: w.byAgent[a]} },
 		},
 		Budgets: &retrier.Budgets{New: func() *retrier.Budget {
 			if w.Without.Has(ablator.RetryBudget) {
@@ -165,7 +165,7 @@
 
 // change writes a record of the store, of which each entry hears within a delay of its own. A
 // nil fact deletes the record.
-func (w *world) change(key string, f registrar.Fact, delay time.Duration) {
+func (w *world) writeRecord(key string, f registrar.Fact, delay time.Duration) {
 	w.revision++
 	if w.facts[key] == nil {
 		w.facts[key] = map[uint64]registrar.Fact{}
@@ -201,13 +201,13 @@
 }
 
 // record is what the store says of an engine.
-func (h *host) record(cold time.Duration) registrar.Upstream {
+func (h *host) storeRecord(cold time.Duration) registrar.Upstream {
 	return registrar.Upstream{ID: h.id, Service: service, Address: h.address, FailureDomain: h.domain.Name, Slots: h.Engine.Slots,
 		StartedAt: h.startedAt, Cold: cold, Models: []registrar.HeldModel{{Name: model, Version: version}}}
 }
 
 // way is how long a message takes between two failure domains.
-func (w *world) way(a, b *FailureDomain) time.Duration {
+func (w *world) latency(a, b *FailureDomain) time.Duration {
 	switch {
 	case a == b:
 		return w.Network.SameDomain
@@ -219,16 +219,16 @@
 }
 
 // road is the way from an entry to an agent.
-type road struct {
+type agentLink struct {
 	*entry
 	host *host
 }
 
 // Reserve implements relayer.Agent.
-func (r *road) Reserve(_ context.Context, q messenger.Reservation) (messenger.Verdict, error) {
-	way := r.way(r.domain, r.host.domain)
+func (r *agentLink) Reserve(_ context.Context, q messenger.Reservation) (messenger.Verdict, error) {
+	way := r.latency(r.domain, r.host.domain)
 	r.time.Sleep(way)
-	if r.host.silent {
+	if r.host.partitioned {
 		r.time.Sleep(relayer.AskTimeout - way)
 		return messenger.Verdict{}, context.DeadlineExceeded
 	}
@@ -242,9 +242,9 @@
 }
 
 // Tell implements relayer.Agent.
-func (r *road) Tell(p messenger.Progress) {
-	r.time.In(r.way(r.domain, r.host.domain), func() {
-		if !r.host.silent && !r.host.agentDown {
+func (r *agentLink) Tell(p messenger.Progress) {
+	r.time.In(r.latency(r.domain, r.host.domain), func() {
+		if !r.host.partitioned && !r.host.agentDown {
 			r.host.granter.Progress(p, nil)
 		}
 	})
--- a/internal/stager/stager.go
+++ b/internal/stager/stager.go
@@ -196,7 +196,7 @@
 }
 
 // Poll has the engine asked without waiting for the next turn.
-func (s *Stager) Poll() { s.poll.Notify() }
+func (s *Stager) Poll() { s.poll.NotifyAll() }
 
 // EngineStart gives the start of the engine as it was last observed, and how long ago that was; a zero
 // start before the first time.
