--- a/internal/simulator/ablation.go
+++ b/internal/simulator/ablation.go
@@ -10,7 +10,7 @@
 	"github.com/oriolecroft/oriolecroft/internal/ablator"
 )
 
-// Ablation plays loads with all mechanisms and again with one of them switched off, over the
+// Ablation runs loads with all mechanisms and again with one of them switched off, over the
 // same seeds. Set the exported fields before Run.
 type Ablation struct {
 	Loads      []*Experiment
@@ -20,11 +20,11 @@
 	Seeds int
 }
 
-// Effect is what switching off a mechanism changes under a load: the differences in worth, one a
+// Effect is the effect of switching off a mechanism under a load: the differences in worth, one a
 // seed, without the mechanism less with it.
 type Effect []float64
 
-// Mean is the mean difference.
+// Mean returns the mean difference.
 func (e Effect) Mean() float64 {
 	sum := 0.0
 	for _, d := range e {
@@ -33,7 +33,7 @@
 	return sum / max(1, float64(len(e)))
 }
 
-// Deviation is the standard deviation of the differences over the seeds; 0 for a single one.
+// Deviation returns the standard deviation of the differences over the seeds; 0 for a single one.
 func (e Effect) Deviation() float64 {
 	if len(e) < 2 {
 		return 0
@@ -45,20 +45,20 @@
 	return math.Sqrt(squares / float64(len(e)-1))
 }
 
-// AblationReport is what an ablation measured.
+// AblationReport is the result of an ablation.
 type AblationReport struct {
 	Loads      []string
 	Mechanisms []ablator.Mechanism
-	// Worth is that with all mechanisms, a mean over the seeds, by load.
+	// Worth is the worth with all mechanisms, a mean over the seeds, by load.
 	Worth []float64
 	// Effects are by mechanism and then by load.
 	Effects [][]Effect
-	// Seeds are complete; Interrupted tells that others were left out.
+	// Seeds are the complete ones; Interrupted is set if others were left out.
 	Seeds       []uint64
 	Interrupted bool
 }
 
-// Run plays all seeds, or those that are complete when the context ends.
+// Run runs all seeds, or those that complete before the context ends.
 func (a *Ablation) Run(ctx context.Context) *AblationReport {
 	report := &AblationReport{Mechanisms: a.Mechanisms, Worth: make([]float64, len(a.Loads)), Effects: make([][]Effect, len(a.Mechanisms))}
 	for _, e := range a.Loads {
@@ -91,8 +91,8 @@
 	}
 }
 
-// play gives the worth of all loads with one seed: with all mechanisms, and without each of
-// them. It is false when the context ended first.
+// playSeed returns the worth of all loads with one seed: with all mechanisms, and without each
+// of them. It returns false when the context ended first.
 func (a *Ablation) playSeed(ctx context.Context, seed uint64) (with []float64, without [][]float64, ok bool) {
 	with, without = make([]float64, len(a.Loads)), make([][]float64, len(a.Mechanisms))
 	slots := make(chan struct{}, runtime.GOMAXPROCS(0))
--- a/internal/simulator/ablation_print.go
+++ b/internal/simulator/ablation_print.go
@@ -11,8 +11,8 @@
 	"gonum.org/v1/plot/vg"
 )
 
-// Print writes a table: the worth of each load, and by how much it changes without each
-// mechanism, with the standard deviation over the seeds.
+// Print writes a table: the worth of each load, and its change without each mechanism, with
+// the standard deviation over the seeds.
 func (r *AblationReport) Print(w io.Writer) error {
 	p := &printer{w: tabwriter.NewWriter(w, 0, 0, 2, ' ', tabwriter.AlignRight)}
 	if r.Interrupted {
@@ -47,12 +47,12 @@
 	chartLineHeight = 0.9 * vg.Centimeter
 	chartMargin     = 4 * vg.Centimeter
 	chartPageWidth  = 22 * vg.Centimeter
-	// chartSpread is how far apart, in rows, the first and the last load of a mechanism are.
+	// chartSpread is the distance, in rows, between the first and the last load of a mechanism.
 	chartSpread = 0.6
 )
 
-// Chart draws the effects with their standard deviations. The file's ending gives its format,
-// such as .svg, .png or .pdf.
+// Chart draws the effects with their standard deviations. The file's extension selects the
+// format, such as .svg, .png or .pdf.
 func (r *AblationReport) Chart(path string) error {
 	p := plot.New()
 	p.Title.Text = fmt.Sprintf("Change in worth without a mechanism, mean and standard deviation of %d seeds", len(r.Seeds))
@@ -82,7 +82,7 @@
 	return p.Save(chartPageWidth, chartMargin+chartLineHeight*vg.Length(len(names)), path)
 }
 
-// effectPoints are the effects under one load, a row each mechanism.
+// effectPoints are the effects under one load, one row for each mechanism.
 type effectPoints struct {
 	plotter.XYs
 	plotter.XErrors
--- a/internal/simulator/ablation_test.go
+++ b/internal/simulator/ablation_test.go
@@ -13,7 +13,7 @@
 	"github.com/oriolecroft/oriolecroft/internal/simulator"
 )
 
-// Under an overload the slot limit carries the others; without it engines thrash.
+// Under an overload the slot limit is the decisive mechanism; without it engines thrash.
 func TestAblationMeasuresTheSlotLimit(t *testing.T) {
 	a := &simulator.Ablation{
 		Loads:      []*simulator.Experiment{load(t, "base"), load(t, "lastingOverload")},
@@ -30,7 +30,7 @@
 	must.InDelta(t, mean, r.Worth[1], 1e-9)
 }
 
-// Guards against a switch that does nothing: each mechanism changes at least one load.
+// Guards against a switch without an effect: each mechanism changes at least one load.
 func TestEachMechanismChangesALoad(t *testing.T) {
 	loads := map[ablator.Mechanism]string{
 		ablator.SlotLimit: "lastingOverload", ablator.QueueingBudget: "lastingOverload", ablator.LateShare: "lastingOverload", ablator.EqualBudgets: "lastingOverload",
@@ -48,7 +48,7 @@
 		t.Run(string(m), func(t *testing.T) {
 			e := load(t, loads[m])
 			if m == ablator.ColdLimit {
-				// The limit of the usual engines is above what their slots let in.
+				// The limit of the usual engines is above the number of requests that their slots admit.
 				e.Engine.ColdRate = 5
 			}
 			with := simulator.Run(e, 1)
@@ -59,7 +59,7 @@
 	}
 }
 
-// Guards against a comparison that counts seeds of which only a part was played.
+// Guards against a comparison that includes seeds of which only some runs completed.
 func TestInterruptedAblationListsItsSeeds(t *testing.T) {
 	ctx, stop := context.WithCancel(t.Context())
 	stop()
@@ -82,7 +82,7 @@
 	must.StrContains(t, string(chart), "locality")
 }
 
-// Guards against a load file with a typo that is played as if the field were not there.
+// Guards against a load file with a misspelt field that is ignored.
 func TestUnknownNamesAreReportedWithTheKnownOnes(t *testing.T) {
 	for text, known := range map[string]string{
 		"[engine]\nslot = 4\n":    "engine.slots",
--- a/internal/simulator/caller.go
+++ b/internal/simulator/caller.go
@@ -15,11 +15,11 @@
 )
 
 const (
-	// honouredShare is the part of the time they have left up to which callers wait as told.
+	// maxWaitShare is the share of the remaining time up to which callers obey Retry-After.
 	maxWaitShare = 1.0 / 3
-	// atOncePause is how soon callers come back that don't wait as told.
+	// immediateRetryPause is the pause of callers that ignore Retry-After.
 	immediateRetryPause = 10 * time.Millisecond
-	// leastLeft is the time below which nobody comes back.
+	// minTimeLeft is the remaining time below which callers don't retry.
 	minTimeLeft = 100 * time.Millisecond
 )
 
@@ -28,20 +28,20 @@
 	*world
 	*Request
 	kind *Kind
-	// ignores tells that it doesn't wait as told.
+	// ignoresRetryAfter is set for callers that come back at once.
 	ignoresRetryAfter bool
 	timeLimit         time.Duration
 	hint              int
 	startedAt         time.Time
 	lastEventAt       time.Time
-	// events were delivered, of all that make up the answer.
+	// events is the number of delivered events of the answer.
 	events int
-	// fatal tells that its prompt crashes engines, and sentAt when its present try began.
+	// fatal is set if the prompt crashes engines; tryStartedAt is the start of the present try.
 	fatal        bool
 	tryStartedAt time.Time
 }
 
-// arrive has a caller come at a moment.
+// addCaller schedules the arrival of a caller.
 func (w *world) addCaller(kind int, at time.Duration) {
 	k := &w.Kinds[kind]
 	c := &caller{world: w, kind: k, ignoresRetryAfter: w.callerRandom.Float64() < w.Callers.Ignoring}
@@ -128,11 +128,11 @@
 	return min(retryAfter, time.Duration(maxWaitShare*float64(left)))
 }
 
-// refusal is an entry's word that a try did not run.
+// refusal is an entry's statement that a try did not run.
 type refusal struct{ retryAfter time.Duration }
 
-// try is one try at some entry. A refusal comes with the error if the try certainly did not
-// run.
+// try makes one try at some entry. It returns a refusal with the error if the try certainly
+// did not run.
 func (c *caller) try(number int) (*refusal, error) {
 	e := c.entries[c.random.IntN(len(c.entries))]
 	c.tryStartedAt = c.time.Now()
@@ -163,7 +163,7 @@
 	return nil
 }
 
-// attempt sends the request to a place and takes its events, as an entry does.
+// attempt sends the request to an engine and receives its events, as an entry does.
 func (c *caller) attempt(ctx context.Context, e *entry, j *relayer.Job, p *relayer.Place) error {
 	h := c.byID[p.Upstream.ID]
 	latency := c.latency(e.domain, h.domain)
@@ -218,7 +218,7 @@
 	}
 }
 
-// priority is that by which an engine admits a request.
+// priority is the priority by which an engine admits a request.
 func priority(j *relayer.Job) int {
 	if p := j.Priority(); p != nil {
 		return *p
@@ -226,7 +226,7 @@
 	return matcher.UnstatedPriority
 }
 
-// deliver notes an event that goes to the caller.
+// recordEvent records an event that is delivered to the caller.
 func (c *caller) recordEvent() {
 	now := c.time.Now().Add(c.Network.Callers)
 	if c.events == 0 {
@@ -238,7 +238,7 @@
 	c.events++
 }
 
-// served tells whether a whole answer came in time.
+// answerOutcome is InTime if the whole answer met the objectives, else Late.
 func (c *caller) answerOutcome() Outcome {
 	if c.First > c.kind.Objective || c.kind.PauseObjective > 0 && c.Pause > c.kind.PauseObjective {
 		return Late
@@ -253,7 +253,7 @@
 	c.openRequests--
 }
 
-// limited is a context that ends at a moment of virtual time.
+// deadlineContext is a context with a deadline in virtual time.
 type deadlineContext struct {
 	context.Context
 	sequencer *sequencer.Sequencer
--- a/internal/simulator/conservation_test.go
+++ b/internal/simulator/conservation_test.go
@@ -15,9 +15,9 @@
 	"github.com/oriolecroft/oriolecroft/internal/simulator"
 )
 
-// Engines crash, are cut off, slow down and lose their weights in any order, more than once
-// and overlapping, under loads of all sizes. Each request ends exactly once, and the tables
-// count each once; a request that is lost would make every figure look better than it is.
+// Engines crash, are partitioned, slow down and lose their weights in any order, repeatedly
+// and overlapping, under loads of all sizes. Each request must end exactly once, and the tables
+// must count each once; a lost request would improve every figure.
 func TestEachRequestEndsOnce(t *testing.T) {
 	base := load(t, "base")
 	rapid.Check(t, func(t *rapid.T) {
@@ -63,7 +63,7 @@
 	}
 }
 
-// Whoever mistypes a field would otherwise play another load than the one in mind.
+// Guards against a misspelt field that is ignored, so that another load than the intended one runs.
 func TestFaultsOfAFileAreReported(t *testing.T) {
 	for text, problem := range map[string]string{
 		"size = \"3s\"": "unknown field size",
--- a/internal/simulator/experiment.go
+++ b/internal/simulator/experiment.go
@@ -1,7 +1,7 @@
-// Package simulator plays loads on the product's own deciding code in virtual time: entries
-// with late views of each other, agents with their ledgers, engines by package emulator, and
-// callers that come back as told or don't. It answers what a change of a decision is worth
-// before it runs anywhere.
+// Package simulator runs loads on the product's own deciding code in virtual time: entries
+// with delayed views of each other, agents with their ledgers, engines by package emulator, and
+// callers that obey Retry-After or don't. It measures the worth of a changed decision before
+// it is deployed.
 package simulator
 
 import (
@@ -16,19 +16,19 @@
 	"github.com/oriolecroft/oriolecroft/internal/matcher"
 )
 
-// Experiment is a deployment and a load on it, as a file tells them.
+// Experiment is a deployment and a load on it, as read from a file.
 type Experiment struct {
-	// Base is a file whose fields hold where this one has none, beside it; empty for none.
+	// Base is a file in the same directory with the values of fields that this file omits; empty for none.
 	Base string `toml:"base"`
 	Name string `toml:"name"`
-	// Length is how long callers come; what they began is played to its end.
+	// Length is how long callers arrive; the requests of the last ones run to their end.
 	Length  time.Duration `toml:"length"`
 	Engine  Engine        `toml:"engine"`
 	Network Network       `toml:"network"`
 	News    News          `toml:"news"`
 	Retries Retries       `toml:"retries"`
 	Callers Callers       `toml:"callers"`
-	// FailureDomains are where entries and engines stand.
+	// FailureDomains hold the entries and engines.
 	FailureDomains []FailureDomain `toml:"failureDomains"`
 	Kinds          []Kind          `toml:"kinds"`
 	Workspaces     []Workspace     `toml:"workspaces"`
@@ -40,7 +40,7 @@
 	Without ablator.Set `toml:"without"`
 }
 
-// Engine are the figures of all engines, those of matcher.Engine and some besides.
+// Engine holds the figures of all engines, those of matcher.Engine and further ones.
 type Engine struct {
 	Slots           int           `toml:"slots"`
 	Stride          int           `toml:"stride"`
@@ -58,13 +58,13 @@
 	Memory int `toml:"memory"`
 	// Queue is how many requests an engine queues beyond its batch.
 	Queue int `toml:"queue"`
-	// ColdRate is how many requests a second a cold engine bears, ColdFactor and ColdSlack
-	// the bound on what it may get, and Cold how long it is cold after a start.
+	// ColdRate is how many requests a second a cold engine can serve, ColdFactor and ColdSlack
+	// the bound on the requests sent to it, and Cold how long it is cold after a start.
 	ColdRate   float64       `toml:"coldRate"`
 	ColdFactor float64       `toml:"coldFactor"`
 	ColdSlack  float64       `toml:"coldSlack"`
 	Cold       time.Duration `toml:"cold"`
-	// Look is how often its agent asks an engine how it does.
+	// Look is how often an agent polls its engine.
 	Look time.Duration `toml:"look"`
 }
 
@@ -76,58 +76,58 @@
 	}
 }
 
-// Network is how long messages take, one way.
+// Network holds the one-way delays of messages.
 type Network struct {
 	SameDomain  time.Duration `toml:"sameDomain"`
 	SameRegion  time.Duration `toml:"sameRegion"`
 	OtherRegion time.Duration `toml:"otherRegion"`
 	Callers     time.Duration `toml:"callers"`
-	// Connect is what a new connection takes beyond its round trip.
+	// Connect is the time of a new connection beyond its round trip.
 	Connect time.Duration `toml:"connect"`
 }
 
-// News is how late entries hear what changes.
+// News holds the delays with which changes reach entries.
 type News struct {
-	// Delay is the longest; each entry and change has its own from half of it on.
+	// Delay is the longest delay; each entry and change has its own, of half of it or more.
 	Delay time.Duration `toml:"delay"`
-	// Lapse is how long the record of an engine that is gone stays.
+	// Lapse is how long the record of an engine that is gone remains.
 	Lapse time.Duration `toml:"lapse"`
 }
 
-// Retries bound what entries send beyond first attempts.
+// Retries bounds the attempts of entries beyond first ones.
 type Retries struct {
 	Ratio  float64       `toml:"ratio"`
 	Slack  float64       `toml:"slack"`
 	Window time.Duration `toml:"window"`
 }
 
-// Callers is how callers behave.
+// Callers describes the behaviour of callers.
 type Callers struct {
-	// Ignoring is the share of callers that come back at once, up to Repeats times, whatever
-	// they are told.
+	// Ignoring is the share of callers that come back at once, up to Repeats times, and ignore
+	// Retry-After.
 	Ignoring float64 `toml:"ignoring"`
 	Repeats  int     `toml:"repeats"`
-	// Patience is by which share callers' time limits differ.
+	// Patience is the share by which callers' time limits vary.
 	Patience float64 `toml:"patience"`
-	// Hint is how far callers' guesses of the answer's size are off, as the standard
-	// deviation of their logarithm.
+	// Hint is the error of callers' estimates of the answer's size, as the standard deviation
+	// of their logarithm.
 	Hint float64 `toml:"hint"`
 }
 
-// FailureDomain is where VMs stand.
+// FailureDomain is the location of VMs.
 type FailureDomain struct {
 	Name    string `toml:"name"`
 	Region  string `toml:"region"`
 	Entries int    `toml:"entries"`
 	Engines int    `toml:"engines"`
-	// Callers is its part of all callers.
+	// Callers is its share of all callers.
 	Callers float64 `toml:"callers"`
 }
 
 // Kind is a kind of request.
 type Kind struct {
 	Name string `toml:"name"`
-	// PerSecond is how many come in a second over all.
+	// PerSecond is the mean number of arrivals a second over all entries.
 	PerSecond float64 `toml:"perSecond"`
 	// Objective is for the first event, PauseObjective for pauses between events.
 	Objective      time.Duration `toml:"objective"`
@@ -138,15 +138,15 @@
 	// Retries is how often a refused caller comes back.
 	Retries int     `toml:"retries"`
 	Worth   float64 `toml:"worth"`
-	// LateWorth is what a late reply is worth.
+	// LateWorth is the worth of a late reply.
 	LateWorth float64 `toml:"lateWorth"`
 	Prompt    Size    `toml:"prompt"`
 	Answer    Size    `toml:"answer"`
-	// Priority is from 0 for the most urgent to 9; none where it isn't given.
+	// Priority is from 0 for the most urgent to 9; none if omitted.
 	Priority *int `toml:"priority"`
 }
 
-// Size is a size in tokens that differs from request to request.
+// Size is a size in tokens that varies between requests.
 type Size struct {
 	Mean float64 `toml:"mean"`
 	// Spread is the standard deviation as a share of the mean.
@@ -154,80 +154,80 @@
 	Most   int     `toml:"most"`
 }
 
-// Workspace is whom requests are for.
+// Workspace is a customer that requests belong to.
 type Workspace struct {
 	Name string `toml:"name"`
-	// Share is its part of all requests.
+	// Share is its share of all requests.
 	Share float64 `toml:"share"`
-	// Priority takes precedence over that of kinds; none where it isn't given.
+	// Priority takes precedence over that of kinds; none if omitted.
 	Priority *int `toml:"priority"`
 }
 
-// Surge is a time in which more callers come.
+// Surge is a period with more callers.
 type Surge struct {
 	At    time.Duration `toml:"at"`
 	Lasts time.Duration `toml:"lasts"`
-	// Factor is by how much more, Kind of which kind; empty for all.
+	// Factor multiplies the rate of callers of a kind; an empty Kind means all.
 	Factor float64 `toml:"factor"`
 	Kind   string  `toml:"kind"`
-	// AtOnce is how many callers of each kind come in the same moment, instead.
+	// AtOnce, instead, is the number of callers of each kind that arrive at the same time.
 	AtOnce int `toml:"atOnce"`
 }
 
 // The faults of an experiment.
 const (
-	// FaultCrash ends engines: connections break, and they come back cold and without memory.
+	// FaultCrash crashes engines: connections break, and they come back cold and with an empty memory.
 	FaultCrash = "crash"
 	// FaultReplace is FaultCrash with an engine that comes back under another ID, while the record of
-	// the one before stays for News.Lapse.
+	// its predecessor remains for News.Lapse.
 	FaultReplace = "replace"
-	// FaultSilent cuts the VMs of engines off: they work on, and nothing goes in or out.
+	// FaultSilent partitions the VMs of engines: they continue, but no messages go in or out.
 	FaultSilent = "silent"
-	// FaultSlow has engines work slower by Pace.
+	// FaultSlow slows engines down by Pace.
 	FaultSlow = "slow"
-	// FaultAgentDown ends agents, while their engines work on.
+	// FaultAgentDown ends agents, while their engines continue.
 	FaultAgentDown = "agentDown"
-	// FaultNoWeights has engines take nothing for want of weights.
+	// FaultNoWeights has engines refuse requests because they have no weights.
 	FaultNoWeights = "noWeights"
-	// FaultSwitch has engines switch to new weights one after the other within Lasts: each ends
-	// its requests, takes no new ones meanwhile, and loads.
+	// FaultSwitch has engines switch to new weights one after the other within Lasts: each completes
+	// its requests, accepts no new ones meanwhile, and loads.
 	FaultSwitch = "switch"
-	// FaultRest has engines turn requests away and ask each entry for a rest of Rest.
+	// FaultRest has engines reject requests and ask each entry for a backoff of Rest.
 	FaultRest = "rest"
-	// FaultLeave has engines state for Lasts that they leave, while their records don't, and then come
-	// back as by FaultReplace.
+	// FaultLeave has engines state for Lasts that they are leaving, while their records don't, and then
+	// come back as by FaultReplace.
 	FaultLeave = "leave"
 	// FaultTear has engines break replies off inside an event: each event is the last one by Chance. A request
 	// whose reply another engine broke off fails by NextFails as well: it is cut again, answered 500, refused, or
-	// gets nothing.
+	// gets no reply.
 	FaultTear = "tear"
-	// FaultUneven has engines work slower by Pace now and then: each draws every Every whether it does, by the chance
-	// Share. They state that in their replies.
+	// FaultUneven slows engines down by Pace at times: each draws every Every whether it is slow, by the chance Share.
+	// They state that in their replies.
 	FaultUneven = "uneven"
-	// FaultPause has engines send nothing for Lasts and then go on, with all that they made meanwhile.
+	// FaultPause has engines send no events for Lasts and then all that they made meanwhile.
 	FaultPause = "pause"
 )
 
-// Fault is something that befalls engines.
+// Fault is a fault of engines.
 type Fault struct {
 	Fault string        `toml:"fault"`
 	At    time.Duration `toml:"at"`
 	Lasts time.Duration `toml:"lasts"`
-	// FailureDomain is where; empty for all. Share is the part of the engines there.
+	// FailureDomain is the affected domain; empty for all. Share is the affected share of its engines.
 	FailureDomain string  `toml:"failureDomain"`
 	Share         float64 `toml:"share"`
 	Pace          float64 `toml:"pace"`
-	// Overrun is how much later than its engine's turn to switch a request may be expected to
+	// Overrun is how much later than its engine's switch a request may be expected to
 	// end.
 	Overrun time.Duration `toml:"overrun"`
 	Rest    time.Duration `toml:"rest"`
 	Every   time.Duration `toml:"every"`
 	Chance  float64       `toml:"chance"`
-	// NextFails is the chance of a request that broke off to fail at the next engine too.
+	// NextFails is the chance that a request that was broken off fails at the next engine too.
 	NextFails float64 `toml:"nextFails"`
-	// SlowFor is for how long engines that have crashed work by Pace after each start, without stating it.
+	// SlowFor is how long crashed engines are slower by Pace after each start, without stating it.
 	SlowFor time.Duration `toml:"slowFor"`
-	// Bears is above how many requests a second they crash again within BearsFor of a start; 0 for any.
+	// Bears is the rate of requests a second above which they crash again within BearsFor of a start; 0 for any rate.
 	Bears    int           `toml:"bears"`
 	BearsFor time.Duration `toml:"bearsFor"`
 	// Again is how often they crash again, each time UpFor after a start.
@@ -235,19 +235,19 @@
 	UpFor time.Duration `toml:"upFor"`
 }
 
-// Fatal are callers of a kind whose prompts have one part that crashes engines as they begin to write an
-// answer. They come every so often for a time, each over any entry, and earn nothing.
+// Fatal describes callers of a kind whose prompts have one part that crashes engines when they start to write
+// an answer. They arrive at intervals for a time, each at any entry, and earn nothing.
 type Fatal struct {
 	At    time.Duration `toml:"at"`
 	Lasts time.Duration `toml:"lasts"`
-	// Every is the pause between two of them; 0 for none.
+	// Every is the interval between two of them; 0 for none.
 	Every time.Duration `toml:"every"`
 	Kind  string        `toml:"kind"`
 	// Down is how long a crashed engine takes to come back.
 	Down time.Duration `toml:"down"`
 }
 
-// FileError reports an experiment that can't be played.
+// FileError reports an invalid experiment file.
 type FileError struct {
 	Path, Problem string
 	Err           error
@@ -280,8 +280,8 @@
 	return e, nil
 }
 
-// over reads a base and then the file over it. Lists that the file names replace those of the
-// base: the reader would else fill in, field by field, what stands at the same position.
+// mergeBase reads a base and then the file on top. Lists that the file defines replace those of
+// the base: the decoder would otherwise merge the elements at the same index field by field.
 func mergeBase(base, path string, meta toml.MetaData) (*Experiment, error) {
 	merged := &Experiment{}
 	if _, err := merged.read(base); err != nil {
@@ -320,7 +320,7 @@
 	return meta, nil
 }
 
-// problem is what is missing or makes no sense; empty when nothing is.
+// problem describes what is missing or invalid; empty if the experiment is valid.
 func (e *Experiment) problem() string {
 	entries, engines := 0, 0
 	domains := map[string]bool{"": true}
@@ -408,7 +408,7 @@
 	return ""
 }
 
-// startProblem is problem for what a fault says of starts.
+// startProblem is the problem with the fields of a fault that concern starts.
 func (f Fault) startProblem() string {
 	hasStartFaults := f.SlowFor > 0 || f.Bears > 0 || f.Again > 0
 	switch {
--- a/internal/simulator/fatal.go
+++ b/internal/simulator/fatal.go
@@ -9,26 +9,26 @@
 )
 
 const (
-	// fatalPart is the part of prompts that crashes engines. Prompts are of one of some farms.
+	// fatalPart is the part of prompts that crashes engines. Each prompt belongs to one of farmCount farms.
 	fatalPart = "fatal"
 	farmCount = 40
-	// pushInterval is how often entries exchange evidence and weigh it.
+	// pushInterval is how often entries exchange evidence and evaluate it.
 	pushInterval = 50 * time.Millisecond
-	// knownCrashes is after how many crashes, and knownAfter how much later, entries should refuse the part.
+	// knownCrashes is the number of crashes after which, and knownAfter the delay by which, entries should refuse the part.
 	knownCrashes = 5
 	knownAfter   = 3 * time.Second
 )
 
-// fatals is what is known of requests that crash engines.
+// fatals is the state of requests that crash engines.
 type fatals struct {
 	requests map[string]bool
-	// callers is how many came.
+	// callers is the number of callers so far.
 	callers int
-	// lateFrom is from when on none should be sent; zero before the fifth crash.
+	// lateAfter is the time from which none should be sent; zero before the fifth crash.
 	lateAfter time.Time
 }
 
-// planFatal puts the callers with a fatal part on the agenda, and the exchange of evidence.
+// scheduleFatal schedules the callers with a fatal part, and the exchange of evidence.
 func (w *world) scheduleFatal() {
 	w.fatals.requests = map[string]bool{}
 	f := w.Fatal
@@ -40,14 +40,14 @@
 	w.time.In(pushInterval, w.exchangeEvidence)
 }
 
-// arriveFatal has a caller with the fatal part come. It isn't among the requests that are reported.
+// addFatalCaller adds a caller with the fatal part. It isn't among the reported requests.
 func (w *world) addFatalCaller() {
 	k := &w.Kinds[slices.IndexFunc(w.Kinds, func(k Kind) bool { return k.Name == w.Fatal.Kind })]
 	w.openRequests++
 	w.fatals.callers++
 	n := w.fatals.callers
 	c := &caller{world: w, kind: k, timeLimit: k.Timeout, fatal: true, hint: 100}
-	// Numbers below zero are nobody else's.
+	// Negative numbers are used for no other requests.
 	c.Request = &Request{Number: -n, Kind: k.Name, Prompt: int(k.Prompt.Mean), Answer: int(k.Answer.Mean)}
 	w.time.Go(func() {
 		c.run()
@@ -57,7 +57,7 @@
 	})
 }
 
-// parts are those of the caller's prompt, of which the last is its own. The fatal one comes first, in the
+// parts are those of the caller's prompt, of which the last is unique. The fatal one comes first, in the
 // middle, and among parts that never recur.
 func (c *caller) parts() []string {
 	kind, own := "kind-"+c.Kind, fmt.Sprintf("own%d", c.Number)
@@ -68,7 +68,7 @@
 	return [][]string{{fatalPart, farm, own}, {kind, fatalPart, farm, own}, {own + "a", fatalPart, own + "b", own}}[-c.Number%3]
 }
 
-// reach notes that a request with the fatal part is about to reach an engine.
+// recordSent counts a request with the fatal part that is about to reach an engine.
 func (f *fatals) recordSent(c *caller, id string) {
 	f.requests[id] = true
 	c.report.FatalSent++
@@ -77,7 +77,7 @@
 	}
 }
 
-// crashUnder ends the engine under a request with the fatal part, and starts it again after a time.
+// crashByPrompt crashes the engine because of a request with the fatal part, and restarts it after a time.
 func (h *host) crashByPrompt() {
 	if h.report.Crashes++; h.report.Crashes == knownCrashes {
 		h.fatals.lateAfter = h.time.Now().Add(knownAfter)
@@ -85,7 +85,7 @@
 	h.startFault(Fault{Fault: FaultCrash, Lasts: h.Fatal.Down})
 }
 
-// exchange has entries push their evidence to each other and decide.
+// exchangeEvidence has entries push their evidence to each other and evaluate it.
 func (w *world) exchangeEvidence() {
 	for _, e := range w.entries {
 		e.relayer.Localizer.Tick()
@@ -111,7 +111,7 @@
 	})
 }
 
-// blamed lists the parts that entries refuse.
+// blamedParts lists the parts that entries refuse.
 func (w *world) blamedParts() []string {
 	parts := map[string]bool{}
 	for _, e := range w.entries {
@@ -122,7 +122,7 @@
 	return slices.Sorted(maps.Keys(parts))
 }
 
-// prober knows at once whether an engine is down.
+// prober reports at once whether an engine is down.
 type prober struct{ *world }
 
 // Refuses implements relayer.Prober.
--- a/internal/simulator/host.go
+++ b/internal/simulator/host.go
@@ -24,56 +24,56 @@
 	id      string
 	domain  *FailureDomain
 	address netip.AddrPort
-	// starts counts the engine's starts; what was planned in an earlier one is void. StartedAt is the
-	// last one, observedStart the one that the agent knows, and observedAt when it last looked.
+	// starts counts the engine's starts; events scheduled during an earlier one are void. startedAt is the
+	// last start, observedStart the one that the agent last saw, and observedAt the time of its last poll.
 	starts                               int
 	startedAt, observedStart, observedAt time.Time
 	engine                               *emulator.Engine
 	ledger                               *scheduler.Ledger
 	granter                              *granter.Granter
 	streams                              map[string]*sequencer.Mailbox[replyPart]
-	// armed is the end of the last pass that was planned.
+	// scheduledEnd is the end of the last scheduled pass.
 	scheduledEnd time.Time
-	// silent VMs are cut off: they work on, but nothing goes in or out. Engines that are down
-	// refuse connections, and those without weights take no request.
+	// partitioned VMs continue, but no messages go in or out. Engines that are down refuse
+	// connections, and those without weights accept no requests.
 	partitioned, down, noWeights bool
-	// agentDown tells that the agent's process is gone.
+	// agentDown is set while the agent's process is down.
 	agentDown bool
-	// rest is what the engine asks of each entry that it turns away, 0 while it turns none away. Leaving
-	// engines state that in their replies. Quiet are the entries that know of one or the other.
+	// backoff is the time that the engine asks of each entry that it rejects, 0 while it rejects none. Leaving
+	// engines state that in their replies. backoffs are the entries that received one statement or the other.
 	backoff  time.Duration
 	leaving  bool
 	backoffs map[string]backoffSpan
-	// tear is the chance of each event to be the one inside which its reply breaks off.
+	// tearChance is the chance of each event that the reply breaks off inside it.
 	tearChance float64
-	// nextFails is the chance of a request to fail that broke off at another engine.
+	// failAgainChance is the chance that a request fails that broke off at another engine.
 	failAgainChance float64
-	// pausedUntil is when the engine sends something again.
+	// pausedUntil is when the engine sends events again.
 	pausedUntil time.Time
-	// ordered engines load new weights once they have ended their requests.
+	// switching engines load new weights once they have completed their requests.
 	switching bool
-	// coldUntil is when the engine bears a full load again.
+	// coldUntil is when the engine can serve a full load again.
 	coldUntil time.Time
-	// accepted are the moments of a cold engine's requests, for the bound on them.
+	// accepted are the arrival times of a cold engine's requests, for the bound on them.
 	accepted []time.Time
-	// falls is what makes the engine fall over; nil for an engine that doesn't.
+	// overload is the fault by which load crashes the engine; nil for none.
 	overload *overloadFault
-	// hidesPace tells that the engine doesn't state its pace.
+	// hidesPace is set if the engine doesn't state its pace.
 	hidesPace bool
 }
 
-// part is what comes of a request at an engine: an event, or a failure, and what the engine states of
-// itself.
+// replyPart is a part of an engine's reply to a request: an event, or a failure, and the statements of the
+// engine.
 type replyPart struct {
 	emulator.Event
 	failure *relayer.SendError
-	// pace is the engine's momentary one as the reply states it; 0 if it doesn't.
+	// pace is the engine's momentary pace as stated in the reply; 0 if it isn't.
 	pace       float64
 	statements observer.Statements
 }
 
-// UpstreamError is an engine's refusal or end, as an entry sees it. Err is what its connection gave; nil for
-// nothing.
+// UpstreamError is an engine's refusal or end, as an entry sees it. Err is the error of its connection; nil for
+// none.
 type UpstreamError struct {
 	Problem string
 	Err     error
@@ -95,7 +95,7 @@
 	return h
 }
 
-// look is the agent's look at its engine, and the next one.
+// poll has the agent poll its engine, and schedules the next poll.
 func (h *host) poll() {
 	if !h.partitioned {
 		h.observe()
@@ -126,7 +126,7 @@
 	h.ledger.Open(h.engine.Figures)
 }
 
-// stated is what the engine states in its replies.
+// statements are those that the engine makes in its replies.
 func (h *host) statements() observer.Statements {
 	if h.leaving {
 		return observer.Statements{observer.Leaving{}}
@@ -134,13 +134,13 @@
 	return nil
 }
 
-// quietSpan is when an entry is to send nothing.
+// backoffSpan is the time in which an entry must send no requests.
 type backoffSpan struct{ from, until time.Time }
 
-// quietAfter is how long after an engine's answer requests may still be on their way.
+// backoffGrace is how long after an engine's reply requests may still be in transit.
 const backoffGrace = 500 * time.Millisecond
 
-// ask keeps that the engine asked an entry to send nothing for a time.
+// requestBackoff records that the engine asked an entry to send no requests for a time.
 func (h *host) requestBackoff(entry string, d time.Duration) {
 	now := h.time.Now()
 	s := h.backoffs[entry]
@@ -151,15 +151,15 @@
 	h.backoffs[entry] = s
 }
 
-// reject refuses a request of an entry and asks for rest.
+// reject refuses a request of an entry and asks for a backoff.
 func (h *host) reject(entry string, mailbox *sequencer.Mailbox[replyPart], latency time.Duration) {
 	h.requestBackoff(entry, h.backoff)
-	refusal := replyPart{failure: h.failure(retrier.NotRun, http.StatusServiceUnavailable, "asks for rest")}
+	refusal := replyPart{failure: h.failure(retrier.NotRun, http.StatusServiceUnavailable, "requests backoff")}
 	refusal.statements = append(h.statements(), observer.Backoff{For: h.backoff})
 	h.deliver(mailbox, latency, refusal)
 }
 
-// take brings a request of an entry to the engine; what becomes of it comes into the mailbox.
+// receive passes a request of an entry to the engine; the reply is put into the mailbox.
 func (h *host) receive(r emulator.Request, entry string, mailbox *sequencer.Mailbox[replyPart], latency time.Duration) {
 	if h.partitioned {
 		return
@@ -199,7 +199,7 @@
 	h.schedulePass()
 }
 
-// failNext has a request fail that another engine has broken off, if it is drawn to.
+// failAgain makes a request fail that another engine has broken off, by the chance for it.
 func (h *host) failAgain(id string, mailbox *sequencer.Mailbox[replyPart], latency time.Duration) bool {
 	if h.failAgainChance == 0 || !h.torn[id] || h.random.Float64() >= h.failAgainChance {
 		return false
@@ -214,12 +214,12 @@
 	case 2:
 		h.deliver(mailbox, latency, replyPart{failure: h.failure(retrier.NotRun, http.StatusServiceUnavailable, "refuses")})
 	default:
-		// Nothing comes.
+		// No reply is sent.
 	}
 	return true
 }
 
-// unwilling is why the engine takes no request now; empty when it does.
+// rejectReason is why the engine accepts no request now; empty when it does.
 func (h *host) rejectReason() string {
 	switch {
 	case h.down:
@@ -243,7 +243,7 @@
 	h.time.In(max(delay, h.pausedUntil.Sub(h.time.Now())), func() { mailbox.Put(p) })
 }
 
-// arm plans the end of the pass under way, unless that was done already.
+// schedulePass schedules the end of the current pass, unless that is already scheduled.
 func (h *host) schedulePass() {
 	end, busy := h.engine.PassEnd()
 	if !busy || end.Equal(h.scheduledEnd) {
@@ -258,7 +258,7 @@
 	})
 }
 
-// finish ends a pass and sends its events on their way.
+// finishPass ends a pass and sends its events.
 func (h *host) finishPass() {
 	now := h.time.Now()
 	for _, v := range h.engine.FinishPass() {
@@ -282,7 +282,7 @@
 	h.schedulePass()
 }
 
-// breakOff ends a reply inside an event.
+// tearReply ends a reply inside an event.
 func (h *host) tearReply(v emulator.Event, mailbox *sequencer.Mailbox[replyPart], now time.Time) {
 	h.report.Torn++
 	h.torn[v.ID] = true
@@ -291,7 +291,7 @@
 	h.deliver(mailbox, v.At.Sub(now), replyPart{failure: h.failure(retrier.Unknown, 0, "reply cut inside an event")})
 }
 
-// drop ends a request whose entry has given it up.
+// cancel ends a request that its entry has cancelled.
 func (h *host) cancel(id string) {
 	if h.partitioned {
 		return
@@ -301,8 +301,8 @@
 	h.loadWhenIdle()
 }
 
-// planSwitch has the engine switch to new weights after a time. Until then its agent lets in
-// only what should end soon after that.
+// planSwitch schedules the engine's switch to new weights. Until then its agent admits only
+// requests that should end soon after the switch.
 func (h *host) planSwitch(overrun, after time.Duration) {
 	h.ledger.OpenUntil(h.time.Now().Add(after + overrun))
 	starts := h.starts
@@ -315,7 +315,7 @@
 	})
 }
 
-// loadWhenIdle loads what was ordered once the engine has ended its requests.
+// loadWhenIdle loads the new weights once the engine has completed its requests.
 func (h *host) loadWhenIdle() {
 	if !h.switching || h.noWeights || len(h.streams) > 0 {
 		return
@@ -336,7 +336,7 @@
 	return reset
 }
 
-// end ends the engine with all that it runs.
+// crash ends the engine with all its requests.
 func (h *host) crash() {
 	h.starts++
 	h.down = true
@@ -348,7 +348,7 @@
 	clear(h.streams)
 }
 
-// start has the engine begin anew, cold and without weights at first.
+// restart restarts the engine, cold and without weights at first.
 func (h *host) restart() {
 	h.starts++
 	pace, momentary := h.engine.Pace, h.engine.Momentary
@@ -368,7 +368,7 @@
 	h.time.In(h.Engine.Load, func() { h.noWeights = false })
 }
 
-// noteCold counts requests beyond what a cold engine may get in a second.
+// countColdExcess counts requests beyond the bound of a cold engine for a second.
 func (h *host) countColdExcess() {
 	now := h.time.Now()
 	for len(h.accepted) > 0 && now.Sub(h.accepted[0]) >= time.Second {
--- a/internal/simulator/patterns_test.go
+++ b/internal/simulator/patterns_test.go
@@ -10,13 +10,13 @@
 	"github.com/oriolecroft/oriolecroft/internal/simulator"
 )
 
-// seeds is how many seeds a load is played with.
+// seeds is the number of seeds for each load.
 const seeds = 5
 
-// seedSpread is by how much the worth of one seed differs from that of the next.
+// seedSpread is the difference in worth between one seed and the next.
 const seedSpread = 0.02
 
-// played are the reports of one load with all seeds.
+// seedReports are the reports of one load with all seeds.
 type seedReports []*simulator.Report
 
 func playAll(t *testing.T, e *simulator.Experiment) seedReports {
@@ -29,7 +29,7 @@
 		p.share(allRequests, simulator.Refused), p.share(allRequests, simulator.Failed))
 	for _, r := range p {
 		must.Zero(t, r.ColdExcess)
-		// Crashes of engines blame no prompt, unless it has the fatal part.
+		// Crashes of engines must blame no prompt, unless it has the fatal part.
 		must.Eq(t, e.Fatal.Every > 0, len(r.Blamed) > 0, must.Sprintf("%v", r.Blamed))
 		for _, q := range r.Requests {
 			must.Eq(t, 1, q.Ends)
@@ -40,7 +40,7 @@
 
 func allRequests(*simulator.Request) bool { return true }
 
-// came picks requests whose callers came in some seconds.
+// arrivedBetween selects requests whose callers arrived in a range of seconds.
 func arrivedBetween(from, to int) func(*simulator.Request) bool {
 	return func(q *simulator.Request) bool {
 		return q.At >= time.Duration(from)*time.Second && q.At < time.Duration(to)*time.Second
@@ -51,7 +51,7 @@
 	return func(q *simulator.Request) bool { return q.Kind == name }
 }
 
-// worth is the share earned of what was owed for some requests.
+// worth is the earned share of the worth of the selected requests.
 func (p seedReports) worth(selected func(*simulator.Request) bool) float64 {
 	owed, earned := 0.0, 0.0
 	for _, r := range p {
@@ -65,7 +65,7 @@
 	return earned / owed
 }
 
-// share is the part of some requests that ended in one way.
+// share is the share of the selected requests with an outcome.
 func (p seedReports) share(selected func(*simulator.Request) bool, o simulator.Outcome) float64 {
 	asked, ended := 0, 0
 	for _, r := range p {
@@ -82,17 +82,17 @@
 	return float64(ended) / float64(asked)
 }
 
-// Less comes than the engines bear, and nothing fails. Whoever is late or refused then
-// suffers from the system itself.
+// The load is below the engines' capacity, and nothing fails. The cause of a late or refused
+// request is then the system itself.
 func TestSteadyLoadIsServed(t *testing.T) {
 	p := playAll(t, load(t, "base"))
 	must.Greater(t, 0.995, p.worth(allRequests))
 	must.Zero(t, p.share(allRequests, simulator.Refused))
 }
 
-// Three times the usual load comes from the first moment on, and 120 callers at once. All
-// entries see the same idle engines and nobody knows the others' requests; sent there
-// together they would all be late. The engines bear two fifths of what comes.
+// Three times the usual load arrives from the start, and 120 callers at once. All entries see
+// the same idle engines, and none sees the others' requests; if all were sent there, all would
+// be late. The engines can serve two fifths of the load.
 func TestBurstAtTheStart(t *testing.T) {
 	p := playAll(t, load(t, "burstAtStart"))
 	inBurst, after := p.share(arrivedBetween(0, 3), simulator.InTime), p.share(arrivedBetween(7, 30), simulator.InTime)
@@ -103,8 +103,8 @@
 	must.Less(t, 0.02, p.share(allRequests, simulator.Late))
 }
 
-// A third of the callers who are refused come back at once and up to three times. They get
-// no more for it than others, and those who wait as told must not pay for them.
+// A third of the refused callers come back at once and up to three times. They must gain
+// nothing by it, at the cost of those who obey Retry-After.
 func TestCallersThatRepeatAtOnce(t *testing.T) {
 	e := load(t, "repeatAtOnce")
 	repeating := playAll(t, e).worth(allRequests)
@@ -114,19 +114,19 @@
 	must.Greater(t, waiting-0.02, repeating)
 }
 
-// Half of the engines crash within a moment; streams break, and entries still believe in
-// those engines for seconds. They come back cold and get no more than they bear then.
+// Half of the engines crash at once; streams break, and entries still have those engines'
+// records for seconds. They come back cold and must get no more than they can serve then.
 func TestHalfTheEnginesCrash(t *testing.T) {
 	p := playAll(t, load(t, "halfGone"))
 	without, after := p.share(arrivedBetween(11, 18), simulator.InTime), p.share(arrivedBetween(23, 30), simulator.InTime)
 	t.Logf("in time without them %.3f, after %.3f", without, after)
 	must.Greater(t, 0.85, p.worth(allRequests))
-	must.Greater(t, 0.57, without, must.Sprint("six engines bear 0.59 of the load"))
+	must.Greater(t, 0.57, without, must.Sprint("six engines can serve 0.59 of the load"))
 	must.Greater(t, 0.98, after)
 }
 
-// One engine works at a quarter of its pace. Its agent doesn't know until replies are late;
-// the callers whose requests went there notice, others don't.
+// One engine works at a quarter of its pace. Its agent detects that only by late replies; the
+// callers whose requests went there are affected, others must not be.
 func TestOneSlowEngine(t *testing.T) {
 	p := playAll(t, load(t, "slowEngine"))
 	must.Greater(t, 0.97, p.worth(allRequests))
@@ -134,8 +134,8 @@
 }
 
 // All engines of a failure domain are lost and come back together. Each entry has requests
-// waiting for them; with more than they bear while they are cold they would fall over, and
-// all that runs there would be lost once more.
+// waiting for them; with more than they can serve while cold they would crash, and all their
+// requests would be lost once more.
 func TestColdReturnOfAFailureDomain(t *testing.T) {
 	p := playAll(t, load(t, "coldReturn"))
 	without, cold, after := p.share(arrivedBetween(9, 13), simulator.InTime), p.share(arrivedBetween(13, 17), simulator.InTime), p.share(arrivedBetween(18, 30), simulator.InTime)
@@ -145,9 +145,9 @@
 	must.Greater(t, 0.98, after)
 }
 
-// A few callers send prompts that take an engine over half a second to read. Those who
-// write there have a pause meanwhile, and those who wait are late. Nothing in the system
-// keeps them apart: more than one in five of the others is late.
+// A few callers send prompts that take an engine over half a second to read. Replies that are
+// being written there pause meanwhile, and waiting requests are late. Nothing in the system
+// separates them: more than one in five of the others is late.
 func TestLongPromptsAmongShortOnes(t *testing.T) {
 	p := playAll(t, load(t, "longPrompt"))
 	t.Logf("short ones late: %.3f", p.share(ofKind("short"), simulator.Late))
@@ -156,8 +156,8 @@
 	must.Zero(t, p.share(ofKind("short"), simulator.Refused))
 }
 
-// Half as much again comes as ten engines bear. On a recorded day with such a load ten
-// engines gave 9.7 replies a second each, with nearly all their places taken all the time.
+// The load is one and a half times the capacity of ten engines. On a recorded day with such a
+// load ten engines gave 9.7 replies a second each, with nearly all their slots in use all the time.
 func TestLastingOverload(t *testing.T) {
 	const from, to, engines = 8 * time.Second, 30 * time.Second, 10
 	p := playAll(t, load(t, "lastingOverload"))
@@ -177,7 +177,7 @@
 }
 
 // Guards against starvation by objective: under overload a kind with a longer objective, whose
-// requests may queue for longer, keeps those with a shorter one out.
+// requests may queue for longer, displaces those with a shorter one.
 func TestKindsAreServedEquallyUnderOverload(t *testing.T) {
 	p := playAll(t, load(t, "lastingOverload"))
 	best := max(p.worth(ofKind("draft")), p.worth(ofKind("summary")), p.worth(ofKind("notice")))
@@ -186,7 +186,7 @@
 	}
 }
 
-// misdirected is how many requests came to another engine than was meant.
+// misdirected is the number of requests that reached another engine than the intended one.
 func (p seedReports) misdirected() int {
 	n := 0
 	for _, r := range p {
@@ -202,7 +202,7 @@
 	must.Greater(t, 0.86, p.worth(allRequests))
 }
 
-// disturbed counts the requests to engines that had told their entry to send none.
+// disturbed counts the requests to engines that had asked their entry to send none.
 func (p seedReports) disturbed() int {
 	n := 0
 	for _, r := range p {
@@ -211,8 +211,8 @@
 	return n
 }
 
-// Guards against requests to engines that asked their entry for rest or stated that they leave, and
-// against callers who pay for that.
+// Guards against requests to engines that asked their entry for a backoff or stated that they are
+// leaving, and against a loss of worth for callers by it.
 func TestEnginesThatBackOffOrLeave(t *testing.T) {
 	for _, name := range []string{"rest", "restOfAll", "leavers"} {
 		t.Run(name, func(t *testing.T) {
@@ -227,8 +227,8 @@
 	}
 }
 
-// Guards against replies that end as complete without all their events, and against callers who lose replies
-// that another engine can go on with.
+// Guards against replies that end as complete without all their events, and against losing replies
+// that another engine can continue.
 func TestEnginesThatTearReplies(t *testing.T) {
 	for _, name := range []string{"tear", "tearEverywhere"} {
 		t.Run(name, func(t *testing.T) {
@@ -247,7 +247,7 @@
 	}
 }
 
-// Guards against answers that end as complete without all their events where two engines in turn fail at them.
+// Guards against answers that end as complete without all their events when two engines in turn fail at them.
 func TestEnginesThatFailInTurn(t *testing.T) {
 	p := playAll(t, load(t, "tearTwice"))
 	twice, cut, failed := 0, 0, 0
@@ -261,11 +261,11 @@
 	}
 	t.Logf("%d requests failed at two engines, %d callers saw a cut, %d failed in all, worth %.3f", twice, cut, failed, p.worth(allRequests))
 	must.Positive(t, twice)
-	// A refusal by the second engine leaves another attempt, and a part of the others had their answer by then.
+	// A refusal by the second engine leaves another attempt, and some of the others had their answer by then.
 	must.Less(t, failed, twice/2)
 }
 
-// Guards against refusing callers for good that come back after a full restart, although slots come free
+// Guards against refusing callers for good that come back after a full restart, although slots become free
 // within a second.
 func TestCallersThatComeBackAfterAFullRestart(t *testing.T) {
 	e := load(t, "fullRestart")
@@ -273,11 +273,11 @@
 	e.Without = ablator.Set{ablator.LateWait}
 	refused := playAll(t, e)
 	must.Less(t, 0.85*refused.share(allRequests, simulator.Refused), waited.share(allRequests, simulator.Refused))
-	must.Less(t, 0.003, refused.worth(allRequests)-waited.worth(allRequests), must.Sprint("first attempts don't pay for them"))
+	must.Less(t, 0.003, refused.worth(allRequests)-waited.worth(allRequests), must.Sprint("first attempts must not lose by the waits"))
 }
 
-// Guards against requests with a part that crashes engines being sent on, and against sound callers who are
-// not served meanwhile.
+// Guards against forwarding requests with a part that crashes engines, and against refusing other callers
+// meanwhile.
 func TestPartThatCrashesEngines(t *testing.T) {
 	e := load(t, "fatalPart")
 	p := playAll(t, e)
@@ -291,11 +291,11 @@
 	sent := playAll(t, e)
 	must.Greater(t, sent.worth(allRequests), p.worth(allRequests))
 	usual := playAll(t, load(t, "base"))
-	// Six seconds after the crashes, while such requests still come.
+	// Six seconds after the crashes, while such requests still arrive.
 	must.GreaterEq(t, usual.worth(arrivedBetween(15, 18))-seedSpread, p.worth(arrivedBetween(15, 18)))
 }
 
-// Guards against replies that are lost because their engine sends nothing for a second.
+// Guards against losing replies because their engine sends nothing for a second.
 func TestPausedEnginesLoseNoReplies(t *testing.T) {
 	const lasts = time.Second
 	e := load(t, "pause")
@@ -314,15 +314,15 @@
 	must.GreaterEq(t, lasts, longest)
 }
 
-// withoutPace gives an experiment without the mechanisms for uneven pace.
+// withoutPace returns an experiment without the mechanisms for uneven pace.
 func withoutPace(e *simulator.Experiment) *simulator.Experiment {
 	changed := *e
 	changed.Without = ablator.Set{ablator.PaceFeedback, ablator.DeadlineAdmission, ablator.PauseLimit, ablator.StreamMove}
 	return &changed
 }
 
-// Guards against streams that go to slow engines as to others where a third of the engines are 2.5 times slower, redrawn
-// every 600 ms: pauses and first events are late there, and streams are cut at their callers' deadline.
+// Guards against streams that are sent to slow engines as to others where a third of the engines are 2.5 times slower,
+// redrawn every 600 ms: pauses and first events are late there, and streams are cut at their callers' deadline.
 func TestAThirdOfTheEnginesSlowerChangingEvery600Milliseconds(t *testing.T) {
 	e := load(t, "unevenPace")
 	p, before := playAll(t, e), playAll(t, withoutPace(e))
@@ -343,7 +343,7 @@
 	must.Zero(t, p.share(allRequests, simulator.Refused))
 }
 
-// Guards against streams that are cut where engines are slow for good and now and then, and both meet.
+// Guards against streams that are cut where some engines are slow permanently, some at times, and some both.
 func TestEnginesSlowPermanentlyAndAtTimes(t *testing.T) {
 	e := load(t, "mixedPace")
 	p, before := playAll(t, e), playAll(t, withoutPace(e))
--- a/internal/simulator/plan.go
+++ b/internal/simulator/plan.go
@@ -6,7 +6,7 @@
 	"time"
 )
 
-// plan puts callers and faults on the agenda.
+// schedule schedules the callers and faults.
 func (w *world) schedule() {
 	for i := range w.Kinds {
 		w.scheduleKind(i)
@@ -16,7 +16,7 @@
 	}
 }
 
-// planKind has the callers of a kind come by chance, each at its own moment.
+// scheduleKind schedules the callers of a kind at random times, as a Poisson process.
 func (w *world) scheduleKind(kind int) {
 	k := &w.Kinds[kind]
 	most := 1.0
@@ -41,12 +41,12 @@
 	}
 }
 
-// gap is the time to the next caller at a rate a second.
+// nextGap draws the time to the next caller at a rate a second.
 func (w *world) nextGap(rate float64) time.Duration {
 	return time.Duration(w.callerRandom.ExpFloat64() / rate * float64(time.Second))
 }
 
-// factor is how many more callers come at a moment.
+// surgeFactor is the factor by which the rate of callers is higher at a time.
 func (w *world) surgeFactor(k *Kind, at time.Duration) float64 {
 	f := 1.0
 	for _, s := range w.Surges {
@@ -57,7 +57,7 @@
 	return f
 }
 
-// draw draws a size, log-normally spread as prompts and answers are.
+// drawSize draws a size, log-normally distributed as prompts and answers are.
 func (w *world) drawSize(s Size) int {
 	variance := math.Log(1 + s.Spread*s.Spread)
 	size := s.Mean * math.Exp(w.callerRandom.NormFloat64()*math.Sqrt(variance)-variance/2)
@@ -67,7 +67,7 @@
 	return max(1, int(size))
 }
 
-// befall has a fault begin, and end after its time.
+// injectFault starts a fault, and ends it after its duration.
 func (w *world) injectFault(f Fault) {
 	var there []*host
 	for _, h := range w.hosts {
@@ -96,14 +96,14 @@
 	}
 }
 
-// retire ends the engine. Its record lapses a while after the given time.
+// terminate ends the engine. Its record expires a while after the given time.
 func (h *host) terminate(after time.Duration) {
 	h.crash()
 	former := h.id
 	h.time.In(after+h.News.Lapse, func() { h.writeRecord(former, nil, h.News.Delay) })
 }
 
-// succeed starts another engine at the address of the one that has ended.
+// replace starts another engine at the address of the terminated one.
 func (h *host) replace() {
 	h.id = fmt.Sprintf("%s.%d", h.id, h.starts)
 	h.byID[h.id] = h
@@ -111,7 +111,7 @@
 	h.writeRecord(h.id, h.storeRecord(h.Engine.Cold), h.News.Delay)
 }
 
-// drawPace draws the pace of an engine for the next while, and does so again then.
+// drawPace draws the pace of an engine for the next interval, and schedules the next draw.
 func (h *host) drawPace(f Fault) {
 	h.engine.Momentary = 1
 	if f.Lasts > 0 && h.time.Since(start) >= f.At+f.Lasts || !h.active() {
@@ -170,7 +170,7 @@
 		h.agentDown = true
 		after(func() {
 			h.agentDown = false
-			// A new process knows nothing of the slots that the one before granted.
+			// A restarted agent has no record of the slots that its predecessor granted.
 			h.ledger.Reset()
 		})
 	case FaultNoWeights:
--- a/internal/simulator/print.go
+++ b/internal/simulator/print.go
@@ -16,7 +16,7 @@
 	chartWidth  = 66
 )
 
-// Print writes the reports of several seeds: the worth with each of them, and tables and
+// Print writes the reports of several seeds: the worth with each of them, and tables and a
 // chart over all together.
 func Print(w io.Writer, reports []*Report) error {
 	if len(reports) == 0 {
@@ -38,7 +38,7 @@
 	return p.flush()
 }
 
-// printer keeps the first error of a run of lines.
+// printer keeps the first error of several writes.
 type printer struct {
 	w   *tabwriter.Writer
 	err error
@@ -50,7 +50,7 @@
 	}
 }
 
-// flush writes what is left, and gives the first error.
+// flush writes the buffered lines, and returns the first error.
 func (p *printer) flush() error {
 	if p.err != nil {
 		return p.err
@@ -129,7 +129,7 @@
 	}
 }
 
-// chart shows how many callers of each second were served in time and how many were not.
+// chart shows how many callers of each second arrived and how many were served in time.
 func (p *printer) chart(reports []*Report) {
 	seconds := len(reports[0].Seconds) - 1
 	if seconds < 2 {
--- a/internal/simulator/priority_test.go
+++ b/internal/simulator/priority_test.go
@@ -15,8 +15,8 @@
 	return func(q *simulator.Request) bool { return q.Workspace == name }
 }
 
-// Guards against a surge of batch requests that has live ones refused, and against a surge's end after which slots
-// stay kept.
+// Guards against a surge of batch requests that causes refusals of live ones, and against slots that stay reserved
+// after the surge's end.
 func TestBatchSurgeAgainstLiveTraffic(t *testing.T) {
 	e := load(t, "batchSurge")
 	p := playAll(t, e)
@@ -30,8 +30,8 @@
 	must.Greater(t, playAll(t, e).worth(allRequests)+0.1, p.worth(allRequests))
 }
 
-// Guards against a workspace that is served worse than one with more of the demand, or that loses its own
-// priority's precedence over its requests' kinds.
+// Guards against a workspace that is served worse than one with more of the demand, or whose own priority doesn't
+// take precedence over its requests' kinds.
 func TestWorkspaceWithAThirdOfTheDemand(t *testing.T) {
 	p := playAll(t, load(t, "smallWorkspace"))
 	third, large, urgent := p.worth(ofWorkspace("third")), p.worth(ofWorkspace("large")), p.worth(ofWorkspace("urgent"))
@@ -40,7 +40,7 @@
 	must.Greater(t, 0.95, urgent)
 }
 
-// Guards against decisions that change for kinds of which all state the same priority.
+// Guards against decisions that change when all kinds state the same priority.
 func TestEqualPrioritiesChangeNothing(t *testing.T) {
 	e := load(t, "lastingOverload")
 	want := simulator.Run(e, 1)
--- a/internal/simulator/report.go
+++ b/internal/simulator/report.go
@@ -15,30 +15,30 @@
 	// InTime and Late requests got their whole answer.
 	InTime
 	Late
-	// Refused requests were refused at their last try, and Failed ones broke off or ran out
-	// of time.
+	// Refused requests were refused at their last try, and Failed ones broke off or timed
+	// out.
 	Refused
 	Failed
 )
 
-// Request is a request and what became of it.
+// Request is a request and its course.
 type Request struct {
 	Number                         int
 	Kind, Workspace, FailureDomain string
-	// At is when the caller came.
+	// At is when the caller arrived.
 	At             time.Duration
 	Prompt, Answer int
 	Outcome        Outcome
-	// Refusals is how often it was refused, and Ends how often it ended; once, if all is well.
+	// Refusals is how often it was refused, and Ends how often it ended, which must be once.
 	Refusals, Ends int
 	// First is when its first event reached the caller, Pause the longest between two, Took
 	// the whole time; from the caller's first try.
 	First, Pause, Took time.Duration
-	// Owed is what it is worth in time, Earned what was earned.
+	// Owed is its worth in time, Earned the worth earned.
 	Owed, Earned float64
 	// Size is its class by size within its kind.
 	Size string
-	// atStarted tells that it was sent to an engine shortly after its start.
+	// sentAfterStart is set if it was sent to an engine shortly after its start.
 	sentAfterStart bool
 }
 
@@ -49,21 +49,21 @@
 	SizeRest    = "others"
 )
 
-// Report is what came of an experiment.
+// Report is the result of an experiment with one seed.
 type Report struct {
 	Experiment *Experiment
 	Seed       uint64
 	Requests   []*Request
-	// Disturbed counts requests that came to an engine from an entry that it had told to rest, or that
-	// it leaves.
+	// Disturbed counts requests that reached an engine from an entry that it had asked for a backoff, or that
+	// had its statement of leaving.
 	Disturbed int
 	// Torn counts replies that engines broke off inside an event, and Twice requests that failed at the next
 	// engine as well. Cut callers had a part of their answer and saw that it was cut; Short ones had an answer that
 	// ended as complete without all its events.
 	Torn, Twice, Cut, Short int
-	// Moved counts streams that went on at another engine as they would have ended too late.
+	// Moved counts streams that continued at another engine because they would have ended too late.
 	Moved int
-	// Misdirected counts requests that came to another engine than was meant.
+	// Misdirected counts requests that reached another engine than the intended one.
 	Misdirected int
 	// ColdExcess counts requests beyond the bound of cold engines.
 	ColdExcess int
@@ -71,19 +71,19 @@
 	// these their callers sent later than three seconds after the fifth crash of Crashes, and FatalRefused how
 	// many callers of such requests were refused.
 	FatalSent, FatalLate, FatalRefused, Crashes int
-	// Blamed are the parts of prompts that any entry has come to refuse, sorted.
+	// Blamed are the parts of prompts that any entry refuses at the end, sorted.
 	Blamed []string
-	// Starts is what became of requests at engines that had just started.
+	// Starts counts requests at engines that had just started.
 	Starts Starts
 	// Total is over all requests.
 	Total Row
 	// Tables are by kind, workspace, size and failure domain.
 	Tables []Table
-	// Seconds are by the second in which callers came.
+	// Seconds are by the second in which callers arrived.
 	Seconds []Row
 }
 
-// Table are rows by something that requests differ in.
+// Table holds rows by an attribute of requests.
 type Table struct {
 	By   string
 	Rows []Row
@@ -98,7 +98,7 @@
 	Owed, Earned float64
 }
 
-// Worth is the share earned of what was owed.
+// Worth returns the earned share of the worth owed.
 func (r Row) Worth() float64 {
 	if r.Owed == 0 {
 		return 0
@@ -126,20 +126,20 @@
 }
 
 const (
-	// A generation is worth baseShare, and sizeShare times its size against the mean of its
-	// kind, at most mostWorth times the kind's worth. An answer's tokens count answerWeight
+	// A generation's worth is baseShare, and sizeShare times its size relative to the mean of its
+	// kind, at most maxWorthFactor times the kind's worth. An answer's tokens count answerWeight
 	// times.
 	baseShare      = 0.3
 	sizeShare      = 0.7
 	maxWorthFactor = 4
 	answerWeight   = 10
-	// largestShare and largeShare are the parts of a kind's requests in the classes of large
+	// largestShare and largeShare are the shares of a kind's requests in the classes of large
 	// ones.
 	largestShare = 0.1
 	largeShare   = 0.2
 )
 
-// sum works out worth, classes and tables.
+// summarize computes worth, classes and tables.
 func (r *Report) summarize() {
 	for i := range r.Experiment.Kinds {
 		r.computeWorth(&r.Experiment.Kinds[i])
@@ -174,7 +174,7 @@
 	}
 }
 
-// value works out worth and class of the requests of a kind.
+// computeWorth computes worth and class of the requests of a kind.
 func (r *Report) computeWorth(k *Kind) {
 	var requests []*Request
 	mean := 0.0
--- a/internal/simulator/simulator_test.go
+++ b/internal/simulator/simulator_test.go
@@ -14,8 +14,8 @@
 	"github.com/oriolecroft/oriolecroft/internal/simulator"
 )
 
-// TestMain keeps the lines of thousands of requests out of the tests' output, and fixes
-// rapid's seed, so that each run gives the same verdict.
+// TestMain keeps the logs of thousands of requests out of the tests' output, and fixes
+// rapid's seed, so that each run gives the same result.
 func TestMain(m *testing.M) {
 	if err := flag.Set("rapid.seed", "1"); err != nil {
 		panic(err)
@@ -43,8 +43,8 @@
 	return r
 }
 
-// The same seed gives the same report, so that two runs differ by what was changed between
-// them and nothing else.
+// The same seed must give the same report, so that two runs differ only by what was changed
+// between them.
 func TestSameSeedSameReport(t *testing.T) {
 	for _, name := range []string{"base", "halfGone", "repeatAtOnce"} {
 		a, b := play(t, name), play(t, name)
@@ -54,8 +54,8 @@
 	}
 }
 
-// Two changes of a decision are compared under the same callers; otherwise a lucky draw looks
-// like a gain.
+// Two versions of a decision are compared under the same callers; otherwise a difference
+// between draws looks like a gain.
 func TestSameSeedSameCallers(t *testing.T) {
 	few := load(t, "base")
 	many := load(t, "base")
--- a/internal/simulator/starts.go
+++ b/internal/simulator/starts.go
@@ -2,21 +2,21 @@
 
 import "time"
 
-// justStarted is for how long after an engine's start its requests and idle slots are reported apart.
+// startPeriod is how long after an engine's start its requests and idle slots are reported separately.
 const startPeriod = 10 * time.Second
 
-// Starts is what became of requests and slots at engines in the first seconds after their starts.
+// Starts counts requests and slots at engines in the first seconds after their starts.
 type Starts struct {
 	// Sent counts requests that were sent there, of which InTime had their whole answer in time and
-	// Failed broke off or ran out of time, wherever their last attempt was.
+	// Failed broke off or timed out, regardless of where their last attempt was.
 	Sent, InTime, Failed int
-	// Crashes counts engines that fell over under too many requests.
+	// Crashes counts engines that crashed under too many requests.
 	Crashes int
-	// slots and idle are sums over the agents' looks at engines that take requests.
+	// slots and idle are sums over the agents' polls of engines that accept requests.
 	slots, idle int
 }
 
-// Idle is the share of the slots that were idle.
+// Idle returns the share of the slots that were idle.
 func (s Starts) Idle() float64 { return float64(s.idle) / float64(max(1, s.slots)) }
 
 func (s *Starts) add(o Starts) {
@@ -28,10 +28,10 @@
 	s.idle += o.idle
 }
 
-// hasJustStarted tells whether the engine restarted during the experiment a short time ago.
+// hasJustStarted reports whether the engine restarted during the experiment a short time ago.
 func (h *host) hasJustStarted() bool { return h.starts > 0 && h.time.Since(h.startedAt) < startPeriod }
 
-// noteSlots counts the engine's idle slots after a start.
+// countIdleSlots counts the engine's idle slots after a start.
 func (h *host) countIdleSlots(running int) {
 	if h.hasJustStarted() && !h.noWeights && !h.switching {
 		h.report.Starts.slots += h.Engine.Slots
@@ -56,7 +56,7 @@
 	}
 }
 
-// begin has an engine that has just started show what its fault says of its starts.
+// applyStartFaults applies the parts of a fault that concern starts to an engine that has just started.
 func (h *host) applyStartFaults(f Fault) {
 	starts := h.starts
 	after := func(d time.Duration, do func()) {
@@ -81,7 +81,7 @@
 	}
 }
 
-// statedPace is the pace in the engine's report.
+// reportedPace is the pace in the engine's report.
 func (h *host) reportedPace() float64 {
 	if h.hidesPace {
 		return 0
@@ -89,14 +89,14 @@
 	return h.engine.Pace
 }
 
-// falls is an engine that falls over under more requests a second than it bears.
+// overloadFault is the fault of an engine that crashes above a rate of requests a second.
 type overloadFault struct {
 	fault Fault
 	until time.Time
 	taken []time.Time
 }
 
-// fallsOver counts one more request and tells whether the engine falls over under it.
+// crashesByLoad counts one more request and reports whether the engine crashes because of it.
 func (h *host) crashesByLoad() bool {
 	now := h.time.Now()
 	if h.overload == nil || now.After(h.overload.until) {
--- a/internal/simulator/starts_test.go
+++ b/internal/simulator/starts_test.go
@@ -9,7 +9,7 @@
 	"github.com/oriolecroft/oriolecroft/internal/simulator"
 )
 
-// played with and without slow starts.
+// slowStarts returns the reports with and without slow starts.
 func slowStarts(t *testing.T, name string) (with, without seedReports) {
 	t.Helper()
 	e := load(t, name)
@@ -26,13 +26,13 @@
 	return n
 }
 
-// Engines are slow for three seconds after their start, and nothing states it. Guards against a flood there.
+// Engines are slow for three seconds after their start, without stating it. Guards against a flood there.
 func TestEnginesSlowAfterTheirStart(t *testing.T) {
 	with, without := slowStarts(t, "slowStart")
 	must.Greater(t, without.worth(allRequests)+0.005, with.worth(allRequests))
 }
 
-// Engines fall over above a rate. Guards against a server that is felled by the same flood at each return.
+// Engines crash above a rate. Guards against a server that crashes under the same flood after each restart.
 func TestEnginesThatFallOver(t *testing.T) {
 	with, without := slowStarts(t, "fallsOver")
 	t.Logf("engines fell over %d times, without slow starts %d", with.crashes(), without.crashes())
@@ -40,20 +40,20 @@
 	must.Greater(t, without.worth(allRequests)+0.01, with.worth(allRequests))
 }
 
-// Engines recover and fail again whatever they get, while the others are full. Slow starts must cost nothing
-// to speak of there.
+// Engines recover and fail again regardless of their load, while the others are full. Slow starts must cost almost
+// nothing there.
 func TestEnginesThatFailAgain(t *testing.T) {
 	with, without := slowStarts(t, "failsAgain")
 	must.Greater(t, without.worth(allRequests)-0.005, with.worth(allRequests))
 }
 
-// A whole service starts at once. Guards against engines that are held back although there are no others.
+// A whole service starts at once. Guards against limiting engines although there are no others.
 func TestWholeServiceStarts(t *testing.T) {
 	with, without := slowStarts(t, "startTogether")
 	must.Between(t, without.worth(allRequests)-0.003, with.worth(allRequests), without.worth(allRequests)+0.003)
 }
 
-// Nothing starts, fails or recovers. Guards against decisions that slow starts change there.
+// No engine starts, fails or recovers. Guards against slow starts that change decisions there.
 func TestSlowStartsChangeNothingWithoutStarts(t *testing.T) {
 	for _, name := range []string{"base", "burstAtStart", "lastingOverload", "longPrompt", "repeatAtOnce"} {
 		e := load(t, name)
--- a/internal/simulator/world.go
+++ b/internal/simulator/world.go
@@ -23,36 +23,36 @@
 )
 
 const (
-	// model and version are what all engines hold, service is what they belong to.
+	// model and version are those that all engines hold, service is the one they belong to.
 	model   = "m"
 	version = 1
 	service = "engines"
-	// agentPort is a port like any other; nothing listens.
+	// agentPort is an arbitrary port; nothing listens on it.
 	agentPort = 1
-	// unboundRetries is more than any experiment makes.
+	// unboundRetries is more than the retries of any experiment.
 	unboundRetries = 1e9
 )
 
-// start is when virtual time begins. Any moment will do.
+// start is the arbitrary start of virtual time.
 var start = time.Unix(1_000_000, 0)
 
-// world is an experiment under way.
+// world is the state of a running experiment.
 type world struct {
 	*Experiment
 	time   *sequencer.Sequencer
 	random *rand.Rand
-	// callers draws who comes and for what. It is apart from random, so that a seed's callers
-	// are the same whatever decisions are made.
+	// callerRandom draws the callers and their requests. It is separate from random, so that a
+	// seed's callers don't depend on the decisions made.
 	callerRandom *rand.Rand
 	table        *matcher.Table
 	hosts        []*host
 	byID         map[string]*host
 	byAgent      map[netip.AddrPort]*host
 	entries      []*entry
-	// facts are what records of the store say, by key and revision.
+	// facts are the contents of the store's records, by key and revision.
 	facts    map[string]map[uint64]registrar.Fact
 	revision uint64
-	// open are the requests that have not ended.
+	// openRequests counts the requests that have not ended.
 	openRequests int
 	report       *Report
 	fatals       fatals
@@ -60,7 +60,7 @@
 	torn map[string]bool
 }
 
-// entry is an entry with its own beliefs.
+// entry is an entry with its own view of the deployment.
 type entry struct {
 	*world
 	name    string
@@ -70,7 +70,7 @@
 	acked map[*entry]uint64
 }
 
-// Run plays an experiment. The same seed gives the same report.
+// Run runs an experiment. The same seed gives the same report.
 func Run(e *Experiment, seed uint64) *Report {
 	w := &world{
 		Experiment: e, time: &sequencer.Sequencer{Start: start}, random: rand.New(rand.NewPCG(seed, 1)), callerRandom: rand.New(rand.NewPCG(seed, 3)),
@@ -87,7 +87,7 @@
 	return w.report
 }
 
-// active tells whether anything may still happen to requests.
+// active reports whether requests are open or still arrive.
 func (w *world) active() bool { return w.openRequests > 0 || w.time.Since(start) < w.Length }
 
 func (w *world) makeTable() *matcher.Table {
@@ -109,8 +109,8 @@
 	return t
 }
 
-// build sets up engines and entries. All know the engines, and hear of each other late, as
-// after a start of all.
+// addMembers sets up engines and entries. All entries start with the engines' records, and
+// receive each other's late, as after a restart of the whole deployment.
 func (w *world) addMembers() {
 	for i := range w.FailureDomains {
 		d := &w.FailureDomains[i]
@@ -126,7 +126,7 @@
 	w.writeRecord("table", registrar.Table{Table: w.table}, 0)
 	for _, h := range w.hosts {
 		w.writeRecord(h.id, h.storeRecord(0), 0)
-		// Agents look at different moments.
+		// Agents poll at different times.
 		w.time.In(time.Duration(w.random.Int64N(int64(w.Engine.Look))), h.poll)
 	}
 	for _, e := range w.entries {
@@ -163,8 +163,8 @@
 
 func (w *world) newRandom() *rand.Rand { return rand.New(rand.NewPCG(w.random.Uint64(), 2)) }
 
-// change writes a record of the store, of which each entry hears within a delay of its own. A
-// nil fact deletes the record.
+// writeRecord writes a record of the store, which each entry receives within a delay of its
+// own. A nil fact deletes the record.
 func (w *world) writeRecord(key string, f registrar.Fact, delay time.Duration) {
 	w.revision++
 	if w.facts[key] == nil {
@@ -191,7 +191,7 @@
 	}
 }
 
-// decode gives the fact of a record, whose value is its revision.
+// decode returns the fact of a record, whose value is its revision.
 func (w *world) decode(key string, value []byte) (registrar.Fact, error) {
 	var revision uint64
 	if _, err := fmt.Sscan(string(value), &revision); err != nil {
@@ -200,13 +200,13 @@
 	return w.facts[key][revision], nil
 }
 
-// record is what the store says of an engine.
+// storeRecord is the store's record of an engine.
 func (h *host) storeRecord(cold time.Duration) registrar.Upstream {
 	return registrar.Upstream{ID: h.id, Service: service, Address: h.address, FailureDomain: h.domain.Name, Slots: h.Engine.Slots,
 		StartedAt: h.startedAt, Cold: cold, Models: []registrar.HeldModel{{Name: model, Version: version}}}
 }
 
-// way is how long a message takes between two failure domains.
+// latency is how long a message takes between two failure domains.
 func (w *world) latency(a, b *FailureDomain) time.Duration {
 	switch {
 	case a == b:
@@ -218,7 +218,7 @@
 	}
 }
 
-// road is the way from an entry to an agent.
+// agentLink is the connection from an entry to an agent.
 type agentLink struct {
 	*entry
 	host *host
