--- a/cmd/oriolecroft/roll.go
+++ b/cmd/oriolecroft/roll.go
@@ -133,7 +133,7 @@
 // shows which entries have it.
 func offerBundle(ctx context.Context, i inspector.Inspector, addresses []netip.AddrPort, record *bundler.Record) {
 	for _, a := range addresses {
-		if err := i.Offer(ctx, a, record); err != nil {
+		if err := i.SendBundle(ctx, a, record); err != nil {
 			fmt.Fprintf(os.Stderr, "bundle not handed to the entry at %v: %v\n", a, err)
 		}
 	}
--- a/internal/agent/links.go
+++ b/internal/agent/links.go
@@ -55,7 +55,7 @@
 }
 
 // reportNow makes all links report at once.
-func (l *links) reportNow() { l.reportDue.Wake() }
+func (l *links) reportNow() { l.reportDue.NotifyAll() }
 
 // reconcile opens links to the chosen entries and closes the others. Until an entry
 // has answered, only the seeds from the settings are known.
--- a/internal/entry/exchange.go
+++ b/internal/entry/exchange.go
@@ -106,5 +106,5 @@
 	}
 	e.Limiter.SetPeerDemand(x.State.ID, x.RequestRates)
 	e.Router.ReceiveDemand(x.State.ID, x.Demand)
-	e.Tracker.Introduce(x.OriginFetchers)
+	e.Tracker.MergeOriginFetchers(x.OriginFetchers)
 }
--- a/internal/entry/members.go
+++ b/internal/entry/members.go
@@ -259,4 +259,4 @@
 }
 
 // wakeLinks triggers exchanges at once.
-func (m *members) wakeLinks() { m.wakeup.Wake() }
+func (m *members) wakeLinks() { m.wakeup.NotifyAll() }
--- a/internal/registrar/outage.go
+++ b/internal/registrar/outage.go
@@ -140,7 +140,7 @@
 	}
 	r.recordLongOutage(r.unreachableAt)
 	r.unreachable = true
-	r.change.Wake()
+	r.change.NotifyAll()
 }
 
 // StoreCallSucceeded records that the store answered.
--- a/internal/registrar/registrar.go
+++ b/internal/registrar/registrar.go
@@ -392,7 +392,7 @@
 func (r *Registrar) publish() {
 	r.pruneTombstones()
 	r.view.Store(newView(r))
-	r.change.Wake()
+	r.change.NotifyAll()
 }
 
 // View returns the current facts; nil before the first batch.
--- a/internal/relayer/liveness.go
+++ b/internal/relayer/liveness.go
@@ -58,7 +58,7 @@
 
 // upstreamAlive reports whether an upstream still runs. One that accepts no requests gets a connection at most.
 func (l *Relayer) upstreamAlive(ctx context.Context, u *registrar.UpstreamView) bool {
-	if l.Placer.terms(u).Closed() != "" {
+	if l.Placer.terms(u).ClosedReason() != "" {
 		return NetworkLivenessChecker{}.Alive(ctx, u.Upstream)
 	}
 	return l.Liveness.Alive(ctx, u.Upstream)
--- a/internal/relayer/liveness_test.go
+++ b/internal/relayer/liveness_test.go
@@ -145,11 +145,11 @@
 // Guards against checking an upstream that is backing off or draining, and against refusing its replies because
 // the check gets no answer.
 func TestBackingOffUpstreamGetsNoLivenessCheck(t *testing.T) {
-	for what, statement := range map[string]observer.Statement{"rests": observer.Rest{For: time.Minute}, "leaves": observer.Leaving{}} {
+	for what, statement := range map[string]observer.Statement{"rests": observer.Backoff{For: time.Minute}, "leaves": observer.Leaving{}} {
 		t.Run(what, func(t *testing.T) {
 			var w *testEntry
 			u := newUpstream(t, "u", func(_ int, id string, conn net.Conn) bool {
-				w.relayer.Placer.Observer.Note(observer.Start{ID: "u"}, observer.Statements{statement})
+				w.relayer.Placer.Observer.Record(observer.Start{ID: "u"}, observer.Statements{statement})
 				return reply{framing: byConnection, ending: ends, sent: events(1, 3)}.write(id, conn)
 			})
 			w = newTestEntry(t, u)
--- a/internal/relayer/terms.go
+++ b/internal/relayer/terms.go
@@ -51,7 +51,7 @@
 // RecordStatements records what an upstream states about itself in a reply.
 func (p *Placer) RecordStatements(u registrar.Upstream, stated observer.Statements) {
 	if !p.Without.Has(ablator.UpstreamTerms) {
-		p.Observer.Note(upstreamStart(u), stated)
+		p.Observer.Record(upstreamStart(u), stated)
 	}
 }
 
@@ -69,7 +69,7 @@
 // checkWithheld reports whether a placed request must not be sent after all. Errors are
 // *WithheldError.
 func (p *Placer) checkWithheld(u *registrar.UpstreamView) error {
-	if reason := p.terms(u).Closed(); reason != "" {
+	if reason := p.terms(u).ClosedReason(); reason != "" {
 		return &WithheldError{Reason: reason}
 	}
 	return nil
--- a/internal/scheduler/lost_connection_test.go
+++ b/internal/scheduler/lost_connection_test.go
@@ -40,8 +40,8 @@
 	startedAt := map[string]time.Time{}
 	// runUntil runs the engine until a given time.
 	runUntil := func(until time.Time) {
-		for next, busy := e.Next(); busy && !next.After(until); next, busy = e.Next() {
-			for _, v := range e.Finish() {
+		for next, busy := e.PassEnd(); busy && !next.After(until); next, busy = e.PassEnd() {
+			for _, v := range e.FinishPass() {
 				if v.First {
 					startedAt[v.ID] = v.At
 					l.Started(v.ID)
--- a/internal/simulator/fatal.go
+++ b/internal/simulator/fatal.go
@@ -9,45 +9,45 @@
 )
 
 const (
-	// fatalPart is the part of prompts that crashes engines. Prompts are of one of some farms.
+	// fatalPart is the part of prompts that crashes engines. Each prompt belongs to one of farmCount farms.
 	fatalPart = "fatal"
-	farms     = 40
-	// pushInterval is how often entries exchange evidence and weigh it.
+	farmCount = 40
+	// pushInterval is how often entries exchange evidence and evaluate it.
 	pushInterval = 50 * time.Millisecond
-	// knownCrashes is after how many crashes, and knownAfter how much later, entries should refuse the part.
+	// knownCrashes is the number of crashes after which, and knownAfter the delay by which, entries should refuse the part.
 	knownCrashes = 5
 	knownAfter   = 3 * time.Second
 )
 
-// fatals is what is known of requests that crash engines.
+// fatals is the state of requests that crash engines.
 type fatals struct {
 	requests map[string]bool
-	// callers is how many came.
+	// callers is the number of callers so far.
 	callers int
-	// lateFrom is from when on none should be sent; zero before the fifth crash.
-	lateFrom time.Time
+	// lateAfter is the time from which none should be sent; zero before the fifth crash.
+	lateAfter time.Time
 }
 
-// planFatal puts the callers with a fatal part on the agenda, and the exchange of evidence.
-func (w *world) planFatal() {
+// scheduleFatal schedules the callers with a fatal part, and the exchange of evidence.
+func (w *world) scheduleFatal() {
 	w.fatals.requests = map[string]bool{}
 	f := w.Fatal
 	if f.Every > 0 {
 		for at := f.At; at < f.At+f.Lasts; at += f.Every {
-			w.time.In(at, w.arriveFatal)
+			w.time.In(at, w.addFatalCaller)
 		}
 	}
-	w.time.In(pushInterval, w.exchange)
+	w.time.In(pushInterval, w.exchangeEvidence)
 }
 
-// arriveFatal has a caller with the fatal part come. It isn't among the requests that are reported.
-func (w *world) arriveFatal() {
+// addFatalCaller adds a caller with the fatal part. It isn't among the reported requests.
+func (w *world) addFatalCaller() {
 	k := &w.Kinds[slices.IndexFunc(w.Kinds, func(k Kind) bool { return k.Name == w.Fatal.Kind })]
-	w.open++
+	w.openRequests++
 	w.fatals.callers++
 	n := w.fatals.callers
-	c := &caller{world: w, kind: k, patience: k.Timeout, fatal: true, hint: 100}
-	// Numbers below zero are nobody else's.
+	c := &caller{world: w, kind: k, timeLimit: k.Timeout, fatal: true, hint: 100}
+	// Negative numbers are used for no other requests.
 	c.Request = &Request{Number: -n, Kind: k.Name, Prompt: int(k.Prompt.Mean), Answer: int(k.Answer.Mean)}
 	w.time.Go(func() {
 		c.run()
@@ -57,62 +57,62 @@
 	})
 }
 
-// parts are those of the caller's prompt, of which the last is its own. The fatal one comes first, in the
+// parts are those of the caller's prompt, of which the last is unique. The fatal one comes first, in the
 // middle, and among parts that never recur.
 func (c *caller) parts() []string {
 	kind, own := "kind-"+c.Kind, fmt.Sprintf("own%d", c.Number)
-	farm := fmt.Sprintf("farm%d", c.Number*c.Number%farms)
+	farm := fmt.Sprintf("farm%d", c.Number*c.Number%farmCount)
 	if !c.fatal {
 		return [][]string{{kind, own}, {kind, farm, own}, {own + "a", kind, own}}[c.Number%3]
 	}
 	return [][]string{{fatalPart, farm, own}, {kind, fatalPart, farm, own}, {own + "a", fatalPart, own + "b", own}}[-c.Number%3]
 }
 
-// reach notes that a request with the fatal part is about to reach an engine.
-func (f *fatals) reach(c *caller, id string) {
+// recordSent counts a request with the fatal part that is about to reach an engine.
+func (f *fatals) recordSent(c *caller, id string) {
 	f.requests[id] = true
 	c.report.FatalSent++
-	if !f.lateFrom.IsZero() && c.sentAt.After(f.lateFrom) {
+	if !f.lateAfter.IsZero() && c.tryStartedAt.After(f.lateAfter) {
 		c.report.FatalLate++
 	}
 }
 
-// crashUnder ends the engine under a request with the fatal part, and starts it again after a time.
-func (h *host) crashUnder() {
+// crashByPrompt crashes the engine because of a request with the fatal part, and restarts it after a time.
+func (h *host) crashByPrompt() {
 	if h.report.Crashes++; h.report.Crashes == knownCrashes {
-		h.fatals.lateFrom = h.time.Now().Add(knownAfter)
+		h.fatals.lateAfter = h.time.Now().Add(knownAfter)
 	}
-	h.befall(Fault{Fault: FaultCrash, Lasts: h.Fatal.Down})
+	h.startFault(Fault{Fault: FaultCrash, Lasts: h.Fatal.Down})
 }
 
-// exchange has entries push their evidence to each other and decide.
-func (w *world) exchange() {
+// exchangeEvidence has entries push their evidence to each other and evaluate it.
+func (w *world) exchangeEvidence() {
 	for _, e := range w.entries {
 		e.relayer.Localizer.Tick()
 		for _, to := range w.entries {
 			if to != e {
-				e.push(to)
+				e.pushEvidence(to)
 			}
 		}
 	}
 	if w.active() {
-		w.time.In(pushInterval, w.exchange)
+		w.time.In(pushInterval, w.exchangeEvidence)
 	}
 }
 
-func (e *entry) push(to *entry) {
+func (e *entry) pushEvidence(to *entry) {
 	u, sequence := e.relayer.Localizer.ChangesSince(e.acked[to])
 	e.acked[to] = sequence
 	if u.Empty() {
 		return
 	}
-	e.time.In(e.way(e.domain, to.domain), func() {
+	e.time.In(e.latency(e.domain, to.domain), func() {
 		e.relayer.Localizer.HandleAck(u, to.relayer.Localizer.Handle(u))
 	})
 }
 
-// blamed lists the parts that entries refuse.
-func (w *world) blamed() []string {
+// blamedParts lists the parts that entries refuse.
+func (w *world) blamedParts() []string {
 	parts := map[string]bool{}
 	for _, e := range w.entries {
 		for _, b := range e.relayer.Localizer.Blames() {
@@ -122,7 +122,7 @@
 	return slices.Sorted(maps.Keys(parts))
 }
 
-// prober knows at once whether an engine is down.
+// prober reports at once whether an engine is down.
 type prober struct{ *world }
 
 // CheckRefused implements relayer.Prober.
--- a/internal/simulator/plan.go
+++ b/internal/simulator/plan.go
@@ -6,48 +6,48 @@
 	"time"
 )
 
-// plan puts callers and faults on the agenda.
-func (w *world) plan() {
+// schedule schedules the callers and faults.
+func (w *world) schedule() {
 	for i := range w.Kinds {
-		w.planKind(i)
+		w.scheduleKind(i)
 	}
 	for _, f := range w.Faults {
-		w.time.In(f.At, func() { w.befall(f) })
+		w.time.In(f.At, func() { w.injectFault(f) })
 	}
 }
 
-// planKind has the callers of a kind come by chance, each at its own moment.
-func (w *world) planKind(kind int) {
+// scheduleKind schedules the callers of a kind at random times, as a Poisson process.
+func (w *world) scheduleKind(kind int) {
 	k := &w.Kinds[kind]
 	most := 1.0
 	for _, s := range w.Surges {
 		most *= max(1, s.Factor)
 	}
 	if k.PerSecond > 0 {
-		at := w.gap(k.PerSecond * most)
+		at := w.nextGap(k.PerSecond * most)
 		for at < w.Length {
-			if w.callers.Float64()*most < w.factor(k, at) {
-				w.arrive(kind, at)
+			if w.callerRandom.Float64()*most < w.surgeFactor(k, at) {
+				w.addCaller(kind, at)
 			}
-			at += w.gap(k.PerSecond * most)
+			at += w.nextGap(k.PerSecond * most)
 		}
 	}
 	for _, s := range w.Surges {
 		if s.Kind == "" || s.Kind == k.Name {
 			for range s.AtOnce {
-				w.arrive(kind, s.At)
+				w.addCaller(kind, s.At)
 			}
 		}
 	}
 }
 
-// gap is the time to the next caller at a rate a second.
-func (w *world) gap(rate float64) time.Duration {
-	return time.Duration(w.callers.ExpFloat64() / rate * float64(time.Second))
+// nextGap draws the time to the next caller at a rate a second.
+func (w *world) nextGap(rate float64) time.Duration {
+	return time.Duration(w.callerRandom.ExpFloat64() / rate * float64(time.Second))
 }
 
-// factor is how many more callers come at a moment.
-func (w *world) factor(k *Kind, at time.Duration) float64 {
+// surgeFactor is the factor by which the rate of callers is higher at a time.
+func (w *world) surgeFactor(k *Kind, at time.Duration) float64 {
 	f := 1.0
 	for _, s := range w.Surges {
 		if s.Factor > 0 && at >= s.At && at < s.At+s.Lasts && (s.Kind == "" || s.Kind == k.Name) {
@@ -57,18 +57,18 @@
 	return f
 }
 
-// draw draws a size, log-normally spread as prompts and answers are.
-func (w *world) draw(s Size) int {
+// drawSize draws a size, log-normally distributed as prompts and answers are.
+func (w *world) drawSize(s Size) int {
 	variance := math.Log(1 + s.Spread*s.Spread)
-	size := s.Mean * math.Exp(w.callers.NormFloat64()*math.Sqrt(variance)-variance/2)
+	size := s.Mean * math.Exp(w.callerRandom.NormFloat64()*math.Sqrt(variance)-variance/2)
 	if s.Most > 0 {
 		size = min(size, float64(s.Most))
 	}
 	return max(1, int(size))
 }
 
-// befall has a fault begin, and end after its time.
-func (w *world) befall(f Fault) {
+// injectFault starts a fault, and ends it after its duration.
+func (w *world) injectFault(f Fault) {
 	var there []*host
 	for _, h := range w.hosts {
 		if f.FailureDomain == "" || h.domain.Name == f.FailureDomain {
@@ -92,26 +92,26 @@
 			h.planSwitch(f.Overrun, f.Lasts*time.Duration(i)/time.Duration(n))
 			continue
 		}
-		h.befall(f)
+		h.startFault(f)
 	}
 }
 
-// retire ends the engine. Its record lapses a while after the given time.
-func (h *host) retire(after time.Duration) {
-	h.end()
+// terminate ends the engine. Its record expires a while after the given time.
+func (h *host) terminate(after time.Duration) {
+	h.crash()
 	former := h.id
-	h.time.In(after+h.News.Lapse, func() { h.change(former, nil, h.News.Delay) })
+	h.time.In(after+h.News.Lapse, func() { h.writeRecord(former, nil, h.News.Delay) })
 }
 
-// succeed starts another engine at the address of the one that has ended.
-func (h *host) succeed() {
+// replace starts another engine at the address of the terminated one.
+func (h *host) replace() {
 	h.id = fmt.Sprintf("%s.%d", h.id, h.starts)
 	h.byID[h.id] = h
-	h.start()
-	h.change(h.id, h.record(h.Engine.Cold), h.News.Delay)
+	h.restart()
+	h.writeRecord(h.id, h.storeRecord(h.Engine.Cold), h.News.Delay)
 }
 
-// drawPace draws the pace of an engine for the next while, and does so again then.
+// drawPace draws the pace of an engine for the next interval, and schedules the next draw.
 func (h *host) drawPace(f Fault) {
 	h.engine.Momentary = 1
 	if f.Lasts > 0 && h.time.Since(start) >= f.At+f.Lasts || !h.active() {
@@ -123,7 +123,7 @@
 	h.time.In(f.Every, func() { h.drawPace(f) })
 }
 
-func (h *host) befall(f Fault) {
+func (h *host) startFault(f Fault) {
 	after := func(do func()) {
 		if f.Lasts > 0 {
 			h.time.In(f.Lasts, do)
@@ -131,38 +131,38 @@
 	}
 	switch f.Fault {
 	case FaultReplace:
-		h.retire(f.Lasts)
-		after(h.succeed)
+		h.terminate(f.Lasts)
+		after(h.replace)
 	case FaultLeave:
 		h.leaving = true
 		after(func() {
-			h.retire(0)
-			h.succeed()
+			h.terminate(0)
+			h.replace()
 		})
 	case FaultTear:
-		h.tear, h.nextFails = f.Chance, f.NextFails
-		after(func() { h.tear, h.nextFails = 0, 0 })
+		h.tearChance, h.failAgainChance = f.Chance, f.NextFails
+		after(func() { h.tearChance, h.failAgainChance = 0, 0 })
 	case FaultPause:
 		h.pausedUntil = h.time.Now().Add(f.Lasts)
 	case FaultRest:
-		h.rest = f.Rest
-		after(func() { h.rest = 0 })
+		h.backoff = f.Rest
+		after(func() { h.backoff = 0 })
 	case FaultCrash:
-		h.end()
+		h.crash()
 		starts := h.starts
 		h.time.In(h.News.Lapse, func() {
 			if h.starts == starts {
-				h.change(h.id, nil, h.News.Delay)
+				h.writeRecord(h.id, nil, h.News.Delay)
 			}
 		})
 		after(func() {
-			h.start()
-			h.begin(f)
-			h.change(h.id, h.record(h.Engine.Cold), h.News.Delay)
+			h.restart()
+			h.applyStartFaults(f)
+			h.writeRecord(h.id, h.storeRecord(h.Engine.Cold), h.News.Delay)
 		})
 	case FaultSilent:
-		h.silent = true
-		after(func() { h.silent = false })
+		h.partitioned = true
+		after(func() { h.partitioned = false })
 	case FaultSlow:
 		h.engine.Pace = f.Pace
 		after(func() { h.engine.Pace = 0 })
@@ -170,7 +170,7 @@
 		h.agentDown = true
 		after(func() {
 			h.agentDown = false
-			// A new process knows nothing of the slots that the one before granted.
+			// A restarted agent has no record of the slots that its predecessor granted.
 			h.ledger.Reset()
 		})
 	case FaultNoWeights:
--- a/internal/simulator/print.go
+++ b/internal/simulator/print.go
@@ -16,7 +16,7 @@
 	chartWidth  = 66
 )
 
-// Print writes the reports of several seeds: the worth with each of them, and tables and
+// Print writes the reports of several seeds: the worth with each of them, and tables and a
 // chart over all together.
 func Print(w io.Writer, reports []*Report) error {
 	if len(reports) == 0 {
@@ -29,7 +29,7 @@
 		rows := map[string]*Row{}
 		for _, r := range reports {
 			for _, row := range r.Tables[i].Rows {
-				join(rows, row)
+				addRow(rows, row)
 			}
 		}
 		p.table(t.By, rows)
@@ -38,7 +38,7 @@
 	return p.flush()
 }
 
-// printer keeps the first error of a run of lines.
+// printer keeps the first error of several writes.
 type printer struct {
 	w   *tabwriter.Writer
 	err error
@@ -50,7 +50,7 @@
 	}
 }
 
-// flush writes what is left, and gives the first error.
+// flush writes the buffered lines, and returns the first error.
 func (p *printer) flush() error {
 	if p.err != nil {
 		return p.err
@@ -58,7 +58,7 @@
 	return p.w.Flush()
 }
 
-func join(rows map[string]*Row, row Row) {
+func addRow(rows map[string]*Row, row Row) {
 	sum := rows[row.Name]
 	if sum == nil {
 		rows[row.Name] = &row
@@ -88,7 +88,7 @@
 	var starts Starts
 	for _, r := range reports {
 		p.row(fmt.Sprint(r.Seed), r.Total)
-		join(all, r.Total)
+		addRow(all, r.Total)
 		excess += r.ColdExcess
 		moved += r.Moved
 		starts.add(r.Starts)
@@ -100,7 +100,7 @@
 	if starts.Sent > 0 {
 		p.line("")
 		p.line("requests sent to engines within %v of a start: %d, in time %.3f, failed %d; slots idle there: %.3f, engines that fell over: %d",
-			justStarted, starts.Sent, float64(starts.InTime)/float64(starts.Sent), starts.Failed, starts.Idle(), starts.Crashes)
+			startPeriod, starts.Sent, float64(starts.InTime)/float64(starts.Sent), starts.Failed, starts.Idle(), starts.Crashes)
 	}
 	if excess > 0 {
 		p.line("")
@@ -129,7 +129,7 @@
 	}
 }
 
-// chart shows how many callers of each second were served in time and how many were not.
+// chart shows how many callers of each second arrived and how many were served in time.
 func (p *printer) chart(reports []*Report) {
 	seconds := len(reports[0].Seconds) - 1
 	if seconds < 2 {
--- a/internal/simulator/starts.go
+++ b/internal/simulator/starts.go
@@ -2,21 +2,21 @@
 
 import "time"
 
-// justStarted is for how long after an engine's start its requests and idle slots are reported apart.
-const justStarted = 10 * time.Second
+// startPeriod is how long after an engine's start its requests and idle slots are reported separately.
+const startPeriod = 10 * time.Second
 
-// Starts is what became of requests and slots at engines in the first seconds after their starts.
+// Starts counts requests and slots at engines in the first seconds after their starts.
 type Starts struct {
 	// Sent counts requests that were sent there, of which InTime had their whole answer in time and
-	// Failed broke off or ran out of time, wherever their last attempt was.
+	// Failed broke off or timed out, regardless of where their last attempt was.
 	Sent, InTime, Failed int
-	// Crashes counts engines that fell over under too many requests.
+	// Crashes counts engines that crashed under too many requests.
 	Crashes int
-	// slots and idle are sums over the agents' looks at engines that take requests.
+	// slots and idle are sums over the agents' polls of engines that accept requests.
 	slots, idle int
 }
 
-// Idle is the share of the slots that were idle.
+// Idle returns the share of the slots that were idle.
 func (s Starts) Idle() float64 { return float64(s.idle) / float64(max(1, s.slots)) }
 
 func (s *Starts) add(o Starts) {
@@ -28,12 +28,12 @@
 	s.idle += o.idle
 }
 
-// hasJustStarted tells whether the engine restarted during the experiment a short time ago.
-func (h *host) hasJustStarted() bool { return h.starts > 0 && h.time.Since(h.startedAt) < justStarted }
+// hasJustStarted reports whether the engine restarted during the experiment a short time ago.
+func (h *host) hasJustStarted() bool { return h.starts > 0 && h.time.Since(h.startedAt) < startPeriod }
 
-// noteSlots counts the engine's idle slots after a start.
-func (h *host) noteSlots(running int) {
-	if h.hasJustStarted() && !h.noWeights && !h.ordered {
+// countIdleSlots counts the engine's idle slots after a start.
+func (h *host) countIdleSlots(running int) {
+	if h.hasJustStarted() && !h.noWeights && !h.switching {
 		h.report.Starts.slots += h.Engine.Slots
 		h.report.Starts.idle += max(0, h.Engine.Slots-running)
 	}
@@ -42,7 +42,7 @@
 // sumStarts counts the requests that were sent to engines after their starts.
 func (r *Report) sumStarts() {
 	for _, q := range r.Requests {
-		if !q.atStarted {
+		if !q.sentAfterStart {
 			continue
 		}
 		r.Starts.Sent++
@@ -56,8 +56,8 @@
 	}
 }
 
-// begin has an engine that has just started show what its fault says of its starts.
-func (h *host) begin(f Fault) {
+// applyStartFaults applies the parts of a fault that concern starts to an engine that has just started.
+func (h *host) applyStartFaults(f Fault) {
 	starts := h.starts
 	after := func(d time.Duration, do func()) {
 		h.time.In(d, func() {
@@ -73,44 +73,44 @@
 	if f.Again > 0 {
 		again := f
 		again.Again--
-		after(f.UpFor, func() { h.befall(again) })
+		after(f.UpFor, func() { h.startFault(again) })
 	}
-	h.falls = nil
+	h.overload = nil
 	if f.Bears > 0 {
-		h.falls = &falls{fault: f, until: h.time.Now().Add(f.BearsFor)}
+		h.overload = &overloadFault{fault: f, until: h.time.Now().Add(f.BearsFor)}
 	}
 }
 
-// statedPace is the pace in the engine's report.
-func (h *host) statedPace() float64 {
+// reportedPace is the pace in the engine's report.
+func (h *host) reportedPace() float64 {
 	if h.hidesPace {
 		return 0
 	}
 	return h.engine.Pace
 }
 
-// falls is an engine that falls over under more requests a second than it bears.
-type falls struct {
+// overloadFault is the fault of an engine that crashes above a rate of requests a second.
+type overloadFault struct {
 	fault Fault
 	until time.Time
 	taken []time.Time
 }
 
-// fallsOver counts one more request and tells whether the engine falls over under it.
-func (h *host) fallsOver() bool {
+// crashesByLoad counts one more request and reports whether the engine crashes because of it.
+func (h *host) crashesByLoad() bool {
 	now := h.time.Now()
-	if h.falls == nil || now.After(h.falls.until) {
+	if h.overload == nil || now.After(h.overload.until) {
 		return false
 	}
-	taken := h.falls.taken
+	taken := h.overload.taken
 	for len(taken) > 0 && now.Sub(taken[0]) >= time.Second {
 		taken = taken[1:]
 	}
-	h.falls.taken = append(taken, now)
-	if len(h.falls.taken) <= h.falls.fault.Bears {
+	h.overload.taken = append(taken, now)
+	if len(h.overload.taken) <= h.overload.fault.Bears {
 		return false
 	}
 	h.report.Starts.Crashes++
-	h.befall(h.falls.fault)
+	h.startFault(h.overload.fault)
 	return true
 }
--- a/internal/stager/stager.go
+++ b/internal/stager/stager.go
@@ -194,7 +194,7 @@
 }
 
 // Poll polls the engine at once instead of at the end of the interval.
-func (s *Stager) Poll() { s.poll.Wake() }
+func (s *Stager) Poll() { s.poll.NotifyAll() }
 
 // EngineStart returns the engine's start as last reported, and how long ago that was; a zero start
 // before the first report.
@@ -327,7 +327,7 @@
 	}
 	var backoff *BackoffError
 	if errors.As(err, &backoff) {
-		s.closeGateUntil(observer.RestingUpstream, polledAt.Add(backoff.Rest))
+		s.closeGateUntil(observer.UpstreamBackingOff, polledAt.Add(backoff.Rest))
 		return false
 	}
 	if err != nil {
@@ -357,7 +357,7 @@
 func (s *Stager) updateGate(e *matcher.Engine, model string, held uint64) {
 	switch {
 	case s.report.Leaving:
-		s.closeGate(observer.LeavingUpstream)
+		s.closeGate(observer.UpstreamLeaving)
 	case held == 0:
 		s.closeGateUntil("no weights", s.expectedOpening(e, held))
 	case s.report.Busy || s.loadOrdered(held):
