--- a/standins/caller.go
+++ b/standins/caller.go
@@ -34,7 +34,7 @@
 	f.String(&out, "", "out", "file for the result")
 	return command{f, func(ctx context.Context) error {
 		var err error
-		if c.Entries, err = addresses(entries); err != nil {
+		if c.Entries, err = parseAddresses(entries); err != nil {
 			return err
 		}
 		started := time.Now()
--- a/standins/check.go
+++ b/standins/check.go
@@ -19,18 +19,18 @@
 	f.String(&drained, "", "drained", `file with {"drained":[{"address","since"}]}`)
 	return command{f, func(ctx context.Context) error {
 		var c imitator.Checker
-		if err := setStandins(&c, services, engines, origins); err != nil {
+		if err := setAddresses(&c, services, engines, origins); err != nil {
 			return err
 		}
-		for _, f := range split(results) {
+		for _, f := range splitList(results) {
 			var r imitator.Result
-			if err := readFile(f, &r); err != nil {
+			if err := readJSONFile(f, &r); err != nil {
 				return err
 			}
 			c.Results = append(c.Results, r)
 		}
 		if drained != "" {
-			if err := readFile(drained, &c.Drained); err != nil {
+			if err := readJSONFile(drained, &c.Drained); err != nil {
 				return err
 			}
 		}
@@ -47,18 +47,18 @@
 	}}
 }
 
-func setStandins(c *imitator.Checker, services, engines, origins string) (err error) {
-	if c.Services, err = addresses(services); err != nil {
+func setAddresses(c *imitator.Checker, services, engines, origins string) (err error) {
+	if c.Services, err = parseAddresses(services); err != nil {
 		return err
 	}
-	if c.Engines, err = addresses(engines); err != nil {
+	if c.Engines, err = parseAddresses(engines); err != nil {
 		return err
 	}
-	c.Origins, err = addresses(origins)
+	c.Origins, err = parseAddresses(origins)
 	return err
 }
 
-func readFile(file string, v any) error {
+func readJSONFile(file string, v any) error {
 	b, err := os.ReadFile(file)
 	if err != nil {
 		return err
--- a/standins/imitator/ask.go
+++ b/standins/imitator/ask.go
@@ -12,18 +12,19 @@
 	"k8s.io/klog/v2"
 )
 
-// ask makes a model request. It is made again only after "not run".
-func (s *session) ask(number int) reply {
+// generate makes a model request. It retries only if the request did not run or no
+// token was received.
+func (s *session) generate(number int) reply {
 	for try := 0; ; try++ {
-		r := s.askOnce(number, try > 0)
-		if !r.mayAskAnew() || try == maxRetries {
+		r := s.generateOnce(number, try > 0)
+		if !r.safeToRetry() || try == maxRetries {
 			return r
 		}
-		s.rest(r.pause)
+		s.waitBeforeRetry(r.retryDelay)
 	}
 }
 
-func (s *session) askOnce(number int, another bool) reply {
+func (s *session) generateOnce(number int, avoidLast bool) reply {
 	ctx, cancel := context.WithTimeout(context.Background(), s.caller.Timeout)
 	defer cancel()
 	body, err := json.Marshal(struct {
@@ -37,51 +38,51 @@
 	if err != nil {
 		return reply{broken: true}
 	}
-	h := http.Header{"Content-Type": {"application/json"}}
-	res, err := s.send(ctx, "/v1/generate", h, body, another)
+	header := http.Header{"Content-Type": {"application/json"}}
+	res, err := s.send(ctx, "/v1/generate", header, body, avoidLast)
 	if isUnsent(err) {
-		return reply{outcome: outcomeNotRun, pause: defaultPause}
+		return reply{outcome: outcomeNotRun, retryDelay: defaultPause}
 	}
 	if err != nil {
-		return reply{broken: true, unbegun: true, pause: defaultPause}
+		return reply{broken: true, notStarted: true, retryDelay: defaultPause}
 	}
 	if res.StatusCode != http.StatusOK {
 		f := readRefusal(res)
-		return reply{outcome: f.outcome, pause: f.pause}
+		return reply{outcome: f.outcome, retryDelay: f.retryDelay}
 	}
 	defer res.Body.Close()
-	var a reading
+	var a replyReader
 	r := a.read(res.Body)
-	if r.cut && len(a.tokens) == 0 {
-		r.unbegun, r.pause = true, defaultPause
+	if r.disconnected && len(a.tokens) == 0 {
+		r.notStarted, r.retryDelay = true, defaultPause
 		return r
 	}
-	if r.cut {
-		return s.readOn(ctx, &a, body, res.Header.Get(resumeHeader))
+	if r.disconnected {
+		return s.resume(ctx, &a, body, res.Header.Get(resumeHeader))
 	}
-	// A connection is used again only when its last answer was read to the end.
+	// A connection is reused only if its last response was read to the end.
 	if _, err := io.Copy(io.Discard, res.Body); err != nil {
 		klog.V(1).InfoS("no clean end after the last event", "err", err)
 	}
 	return r
 }
 
-// readOn asks another entry for the rest of a reply whose connection was cut.
-func (s *session) readOn(ctx context.Context, a *reading, body []byte, token string) reply {
+// resume requests the rest of a reply from another entry after a disconnection.
+func (s *session) resume(ctx context.Context, a *replyReader, body []byte, token string) reply {
 	r := reply{broken: true, mixed: a.mixed}
 	for try := 0; try < maxRetries && r.broken && token != "" && len(a.tokens) > 0; try++ {
-		h := http.Header{
+		header := http.Header{
 			"Content-Type":  {"application/json"},
 			resumeHeader:    {token},
 			"Last-Event-Id": {strconv.Itoa(len(a.tokens) - 1)},
 		}
-		res, err := s.send(ctx, "/v1/generate", h, body, true)
+		res, err := s.send(ctx, "/v1/generate", header, body, true)
 		if err != nil {
 			return r
 		}
 		if res.StatusCode != http.StatusOK {
 			f := readRefusal(res)
-			s.rest(f.pause)
+			s.waitBeforeRetry(f.retryDelay)
 			continue
 		}
 		r = a.read(res.Body)
@@ -90,11 +91,11 @@
 	return r
 }
 
-// prompt returns one of a few long beginnings, which prefix caches can share,
-// and an end of its own.
+// prompt returns one of a few long prefixes, which prefix caches can share, with a
+// unique suffix.
 func (s *session) prompt(number int) string {
-	const beginnings = 8
-	text := fmt.Sprintf("You draft rosters for shed %d. ", (s.caller.Seed+uint64(number))%beginnings)
+	const prefixCount = 8
+	text := fmt.Sprintf("You draft rosters for shed %d. ", (s.caller.Seed+uint64(number))%prefixCount)
 	for len(text) < 2*PrefixBlockBytes {
 		text += "Be brief and keep to the facts. "
 	}
--- a/standins/imitator/book.go
+++ b/standins/imitator/book.go
@@ -7,11 +7,11 @@
 	"net/url"
 )
 
-// book makes one booking, with retries: with the same key while it is unknown
-// whether it ran, with a new key once it is known not to have run.
-func (s *session) book(name string) Fate {
+// book makes one booking. Retries use the same key while it is unknown whether the
+// booking ran, and a new key once it is known not to have run.
+func (s *session) book(name string) BookingOutcome {
 	key := ""
-	fate := FateNotRun
+	result := BookingNotRun
 	for try := 0; ; try++ {
 		var f refusal
 		if key == "" {
@@ -22,25 +22,26 @@
 		}
 		switch f.outcome {
 		case outcomeRan:
-			return FateDone
+			return BookingDone
 		case outcomeNotRun:
-			fate, key = FateNotRun, ""
+			result, key = BookingNotRun, ""
 		case outcomeNotSent:
 		default:
-			fate = FateUnknown
+			result = BookingUnknown
 		}
 		if try == maxRetries {
-			return fate
+			return result
 		}
-		s.rest(f.pause)
+		s.waitBeforeRetry(f.retryDelay)
 	}
 }
 
-// newKey returns the key that makes one booking idempotent, or none with the
-// pause before a retry: without a key nothing of the booking was sent.
-func (s *session) newKey(another bool) (string, refusal) {
-	failed := refusal{outcome: outcomeNotRun, pause: defaultPause}
-	ctx, cancel := context.WithTimeout(context.Background(), askTimeout)
+// newKey returns the key that makes one booking idempotent. On failure the key is
+// empty and the refusal states the delay before a retry; it counts as not run
+// because nothing of the booking was sent.
+func (s *session) newKey(avoidLast bool) (string, refusal) {
+	failed := refusal{outcome: outcomeNotRun, retryDelay: defaultPause}
+	ctx, cancel := context.WithTimeout(context.Background(), lookupTimeout)
 	defer cancel()
 	body, err := json.Marshal(struct {
 		Workspace string `json:"workspace"`
@@ -49,12 +50,12 @@
 	if err != nil {
 		return "", failed
 	}
-	res, err := s.send(ctx, "/v1/keys", http.Header{"Content-Type": {"application/json"}}, body, another)
+	res, err := s.send(ctx, "/v1/keys", http.Header{"Content-Type": {"application/json"}}, body, avoidLast)
 	if err != nil {
 		return "", failed
 	}
 	if res.StatusCode != http.StatusOK {
-		failed.pause = readRefusal(res).pause
+		failed.retryDelay = readRefusal(res).retryDelay
 		return "", failed
 	}
 	defer res.Body.Close()
@@ -67,21 +68,21 @@
 	return answer.Key, failed
 }
 
-func (s *session) bookOnce(name, key string, another bool) refusal {
+func (s *session) bookOnce(name, key string, avoidLast bool) refusal {
 	ctx, cancel := context.WithTimeout(context.Background(), s.caller.Timeout)
 	defer cancel()
-	h := http.Header{}
-	h.Set(workspaceHeader, s.caller.Workspace)
-	h.Set(keyHeader, key)
-	h.Set("Booking", name)
-	h.Set("Content-Type", "application/json")
+	header := http.Header{}
+	header.Set(workspaceHeader, s.caller.Workspace)
+	header.Set(keyHeader, key)
+	header.Set("Booking", name)
+	header.Set("Content-Type", "application/json")
 	path := "/v1/services/" + url.PathEscape(s.caller.Service) + "/bookings"
-	res, err := s.send(ctx, path, h, []byte(`{"slot":"`+name+`"}`), another)
+	res, err := s.send(ctx, path, header, []byte(`{"slot":"`+name+`"}`), avoidLast)
 	if isUnsent(err) {
-		return refusal{outcome: outcomeNotSent, pause: defaultPause}
+		return refusal{outcome: outcomeNotSent, retryDelay: defaultPause}
 	}
 	if err != nil {
-		return refusal{outcome: outcomeUnknown, pause: defaultPause}
+		return refusal{outcome: outcomeUnknown, retryDelay: defaultPause}
 	}
 	if res.StatusCode != http.StatusOK {
 		return readRefusal(res)
@@ -91,7 +92,7 @@
 		Booking string `json:"booking"`
 	}
 	if json.NewDecoder(res.Body).Decode(&answer) != nil || answer.Booking != name {
-		return refusal{outcome: outcomeUnknown, pause: defaultPause}
+		return refusal{outcome: outcomeUnknown, retryDelay: defaultPause}
 	}
 	return refusal{outcome: outcomeRan}
 }
--- a/standins/imitator/cache.go
+++ b/standins/imitator/cache.go
@@ -12,16 +12,15 @@
 )
 
 const (
-	// PrefixBlockBytes is the length of the blocks of a prompt that the prefix
-	// cache tells apart.
+	// PrefixBlockBytes is the block size at which the prefix cache splits prompts.
 	PrefixBlockBytes = 64
 
-	lostEventEvery  = 7    // every so many events one is never shown
-	keptCacheEvents = 4096 // events shown at most
+	lostEventInterval = 7    // one event in this many is never shown
+	maxCacheEvents    = 4096 // oldest events beyond this are dropped
 )
 
-// prefixes returns the names of the prompt's prefixes that are whole blocks,
-// shortest first: 16 hex digits of their xxHash64.
+// prefixes returns the names of the prompt's prefixes that consist of whole blocks,
+// shortest first. A name is the xxHash64 of the prefix in 16 hex digits.
 func prefixes(prompt string) []string {
 	var names []string
 	for n := PrefixBlockBytes; n <= len(prompt); n += PrefixBlockBytes {
@@ -35,63 +34,64 @@
 	Prefix string `json:"prefix"`
 	Kind   string `json:"kind"`
 
-	at time.Time
+	recordedAt time.Time
 }
 
-// prefixCache holds the prefixes that were used last.
+// prefixCache holds the most recently used prefixes.
 type prefixCache struct {
 	limit  int
-	held   []string // least recently used first
+	cached []string // least recently used first
 	seq    int64
 	events []cacheEvent
 }
 
-// hit returns how many of the blocks are held without a gap from the first on.
-func (c *prefixCache) hit(blocks []string) int {
+// countHits returns the number of leading blocks that are cached without a gap.
+func (c *prefixCache) countHits(blocks []string) int {
 	for i, p := range blocks {
-		if !slices.Contains(c.held, p) {
+		if !slices.Contains(c.cached, p) {
 			return i
 		}
 	}
 	return len(blocks)
 }
 
-// store makes the prefix the last used one.
+// store adds the prefix or marks it as the most recently used one.
 func (c *prefixCache) store(prefix string, now time.Time) {
-	i := slices.Index(c.held, prefix)
+	i := slices.Index(c.cached, prefix)
 	if i >= 0 {
-		c.held = slices.Delete(c.held, i, i+1)
+		c.cached = slices.Delete(c.cached, i, i+1)
 	} else {
-		c.record("stored", prefix, now)
+		c.recordEvent("stored", prefix, now)
 	}
-	c.held = append(c.held, prefix)
-	if len(c.held) > c.limit {
-		c.record("evicted", c.held[0], now)
-		c.held = c.held[1:]
+	c.cached = append(c.cached, prefix)
+	if len(c.cached) > c.limit {
+		c.recordEvent("evicted", c.cached[0], now)
+		c.cached = c.cached[1:]
 	}
 }
 
-// clear forgets all prefixes without an event, as a restart does.
+// clear removes all prefixes without recording events, as a restart does.
 func (c *prefixCache) clear() {
-	c.held = nil
+	c.cached = nil
 }
 
-func (c *prefixCache) record(kind, prefix string, now time.Time) {
+func (c *prefixCache) recordEvent(kind, prefix string, now time.Time) {
 	c.seq++
-	if c.seq%lostEventEvery == 0 {
+	if c.seq%lostEventInterval == 0 {
 		return
 	}
-	c.events = append(c.events, cacheEvent{Seq: c.seq, Prefix: prefix, Kind: kind, at: now})
-	if len(c.events) > keptCacheEvents {
+	c.events = append(c.events, cacheEvent{Seq: c.seq, Prefix: prefix, Kind: kind, recordedAt: now})
+	if len(c.events) > maxCacheEvents {
 		c.events = c.events[1:]
 	}
 }
 
-// since returns the events after that number that are no younger than horizon.
-func (c *prefixCache) since(after int64, horizon time.Time) []cacheEvent {
+// eventsAfter returns the events with a higher number than after that were recorded
+// at horizon or before.
+func (c *prefixCache) eventsAfter(after int64, horizon time.Time) []cacheEvent {
 	shown := []cacheEvent{}
 	for _, v := range c.events {
-		if v.Seq > after && !v.at.After(horizon) {
+		if v.Seq > after && !v.recordedAt.After(horizon) {
 			shown = append(shown, v)
 		}
 	}
@@ -105,15 +105,15 @@
 		return
 	}
 	e.mu.Lock()
-	events := e.cache.since(after, e.Clock.Now().Add(-e.EventLag))
+	events := e.cache.eventsAfter(after, e.Clock.Now().Add(-e.EventLag))
 	e.mu.Unlock()
 	writeJSON(w, http.StatusOK, struct {
 		Events []cacheEvent `json:"events"`
 	}{events})
 }
 
-// cacheEntry is the exported form of a prefix. It is of use only to an engine
-// that holds the same weights.
+// cacheEntry is the exported form of a prefix. Only an engine that has loaded the
+// same weights can import it.
 type cacheEntry struct {
 	Prefix  string `json:"prefix"`
 	Weights string `json:"weights"`
@@ -122,9 +122,9 @@
 func (e *Engine) exportCache(w http.ResponseWriter, r *http.Request) {
 	c := cacheEntry{Prefix: r.PathValue("prefix")}
 	e.mu.Lock()
-	found := e.held != nil && slices.Contains(e.cache.held, c.Prefix)
+	found := e.loaded != nil && slices.Contains(e.cache.cached, c.Prefix)
 	if found {
-		c.Weights = e.held.weights
+		c.Weights = e.loaded.weights
 	}
 	e.mu.Unlock()
 	if !found {
@@ -141,12 +141,12 @@
 		return
 	}
 	e.mu.Lock()
-	fits := e.held != nil && c.Weights == e.held.weights
-	if fits {
+	matches := e.loaded != nil && c.Weights == e.loaded.weights
+	if matches {
 		e.cache.store(c.Prefix, e.Clock.Now())
 	}
 	e.mu.Unlock()
-	if !fits {
+	if !matches {
 		writeError(w, http.StatusConflict, "other weights are loaded")
 		return
 	}
--- a/standins/imitator/caller.go
+++ b/standins/imitator/caller.go
@@ -15,14 +15,14 @@
 	"k8s.io/utils/clock"
 )
 
-// Fate is what a caller knows of a booking in the end.
-type Fate string
+// BookingOutcome is the final result of a booking as its caller knows it.
+type BookingOutcome string
 
-// The fates of a booking.
+// Values of BookingOutcome.
 const (
-	FateDone    Fate = "done"
-	FateNotRun  Fate = "notRun"
-	FateUnknown Fate = "unknown"
+	BookingDone    BookingOutcome = "done"
+	BookingNotRun  BookingOutcome = "notRun"
+	BookingUnknown BookingOutcome = "unknown"
 )
 
 const (
@@ -30,32 +30,32 @@
 	maxLatency   = time.Hour
 	defaultPause = 200 * time.Millisecond // before a retry without Retry-After
 	maxPause     = 5 * time.Second
-	promptTokens = 24 // tokens asked for in each model request
+	promptTokens = 24 // tokens requested by each model request
 )
 
-// Caller plays callers of the system, and checks each answer.
+// Caller simulates callers of the system and checks each response.
 type Caller struct {
 	// Clock measures latencies and pauses. Nil means the real clock.
 	Clock clock.Clock
-	// Entries are the addresses asked for the list of entries.
+	// Entries are the addresses from which the list of entries is requested.
 	Entries []netip.AddrPort
-	// Requests and Bookings are the numbers to make of each, unless Duration is
-	// set. Bookings are made alongside the model requests.
+	// Requests and Bookings are the numbers of model requests and bookings to make,
+	// unless Duration is set. Bookings are interleaved with the model requests.
 	Requests int
 	Bookings int
-	// Workspace, Model and Service are named in the calls.
+	// Workspace, Model and Service are sent with the calls.
 	Workspace string
 	Model     string
 	Service   string
-	// Concurrency is the number of calls at once. Zero means one.
+	// Concurrency is the number of concurrent calls. Zero means one.
 	Concurrency int
-	// Duration, if set, is how long to go on calling. Then Requests and Bookings
-	// are the shares of each kind; both zero mean model requests only.
+	// Duration, if set, is how long to make calls. Requests and Bookings are then
+	// the shares of each kind; if both are zero, only model requests are made.
 	Duration time.Duration
-	// Timeout is how long a call may take. Zero means a minute.
+	// Timeout is the time limit of a call. Zero means a minute.
 	Timeout time.Duration
-	// Seed fixes prompts, and is part of the booking names: callers against the
-	// same services need different seeds.
+	// Seed determines the prompts and is part of the booking names, so callers of
+	// the same services need different seeds.
 	Seed uint64
 
 	mu        sync.Mutex
@@ -63,22 +63,22 @@
 	latencies *hdrhistogram.Histogram
 }
 
-// Result is what a Caller found. Each request is one of whole, refused, unknown
-// and broken; mixed ones are counted besides.
+// Result holds the counts of a Caller. Each request is one of whole, refused,
+// unknown and broken; mixed ones are counted in addition.
 type Result struct {
-	Requests        int             `json:"requests"`
-	Whole           int             `json:"whole"`
-	Refused         int             `json:"refused"`
-	Unknown         int             `json:"unknown"`
-	Broken          int             `json:"broken"`
-	Mixed           int             `json:"mixed"`
-	Bookings        int             `json:"bookings"`
-	BookingsDone    int             `json:"bookingsDone"`
-	BookingsRefused int             `json:"bookingsRefused"`
-	BookingsUnknown int             `json:"bookingsUnknown"`
-	P50Ms           float64         `json:"p50Ms"`
-	P99Ms           float64         `json:"p99Ms"`
-	Fates           map[string]Fate `json:"fates"`
+	Requests        int                       `json:"requests"`
+	Whole           int                       `json:"whole"`
+	Refused         int                       `json:"refused"`
+	Unknown         int                       `json:"unknown"`
+	Broken          int                       `json:"broken"`
+	Mixed           int                       `json:"mixed"`
+	Bookings        int                       `json:"bookings"`
+	BookingsDone    int                       `json:"bookingsDone"`
+	BookingsRefused int                       `json:"bookingsRefused"`
+	BookingsUnknown int                       `json:"bookingsUnknown"`
+	P50Ms           float64                   `json:"p50Ms"`
+	P99Ms           float64                   `json:"p99Ms"`
+	BookingOutcomes map[string]BookingOutcome `json:"fates"`
 }
 
 // Summary returns the result in one line.
@@ -95,20 +95,20 @@
 	number  int
 }
 
-// Run makes the calls and returns what came of them. When ctx ends it makes no
-// further calls, but follows those under way to their end.
+// Run makes the calls and returns their results. When ctx ends, it starts no
+// further calls but completes those in progress.
 func (c *Caller) Run(ctx context.Context) Result {
-	c.Clock = clockOr(c.Clock)
+	c.Clock = clockOrReal(c.Clock)
 	if c.Timeout == 0 {
 		c.Timeout = time.Minute
 	}
-	c.result = Result{Fates: map[string]Fate{}}
+	c.result = Result{BookingOutcomes: map[string]BookingOutcome{}}
 	c.latencies = hdrhistogram.New(1, maxLatency.Microseconds(), 3)
 	jobs := make(chan job)
-	go c.plan(ctx, jobs)
+	go c.produceJobs(ctx, jobs)
 	var workers sync.WaitGroup
 	for i := range max(c.Concurrency, 1) {
-		workers.Go(func() { c.work(i, jobs) })
+		workers.Go(func() { c.runJobs(i, jobs) })
 	}
 	workers.Wait()
 	c.result.P50Ms = float64(c.latencies.ValueAtQuantile(50)) / 1000
@@ -116,8 +116,9 @@
 	return c.result
 }
 
-// plan hands out the calls, the bookings evenly among the model requests.
-func (c *Caller) plan(ctx context.Context, jobs chan<- job) {
+// produceJobs sends the jobs to the workers, with the bookings spread evenly among
+// the model requests.
+func (c *Caller) produceJobs(ctx context.Context, jobs chan<- job) {
 	defer close(jobs)
 	requests, bookings := c.Requests, c.Bookings
 	if c.Duration > 0 {
@@ -139,7 +140,7 @@
 	}
 }
 
-func (c *Caller) work(number int, jobs <-chan job) {
+func (c *Caller) runJobs(number int, jobs <-chan job) {
 	d := &net.Dialer{Timeout: dialTimeout}
 	s := &session{
 		caller: c,
@@ -151,16 +152,16 @@
 		started := c.Clock.Now()
 		if j.booking {
 			name := fmt.Sprintf("b-%d-%d", c.Seed, j.number)
-			fate := s.book(name)
-			c.countBooking(name, fate)
+			result := s.book(name)
+			c.countBooking(name, result)
 		} else {
-			c.countReply(s.ask(j.number))
+			c.countReply(s.generate(j.number))
 		}
-		c.countLatency(c.Clock.Since(started))
+		c.recordLatency(c.Clock.Since(started))
 	}
 }
 
-func (c *Caller) countLatency(d time.Duration) {
+func (c *Caller) recordLatency(d time.Duration) {
 	c.mu.Lock()
 	defer c.mu.Unlock()
 	us := min(max(d.Microseconds(), 1), maxLatency.Microseconds())
@@ -169,15 +170,15 @@
 	}
 }
 
-func (c *Caller) countBooking(name string, fate Fate) {
+func (c *Caller) countBooking(name string, result BookingOutcome) {
 	c.mu.Lock()
 	defer c.mu.Unlock()
 	c.result.Bookings++
-	c.result.Fates[name] = fate
-	switch fate {
-	case FateDone:
+	c.result.BookingOutcomes[name] = result
+	switch result {
+	case BookingDone:
 		c.result.BookingsDone++
-	case FateNotRun:
+	case BookingNotRun:
 		c.result.BookingsRefused++
 	default:
 		c.result.BookingsUnknown++
--- a/standins/imitator/caller_test.go
+++ b/standins/imitator/caller_test.go
@@ -12,19 +12,19 @@
 	"github.com/oriolecroft/oriolecroft/standins/imitator"
 )
 
-// entry is an entry of the system that answers each call from a script. Past
-// the script's end it repeats the last step.
-type entry struct {
+// scriptedEntry is an entry that responds to each call from a script and repeats the
+// last step after its end.
+type scriptedEntry struct {
 	mu     sync.Mutex
 	script []func(w http.ResponseWriter, r *http.Request)
 	calls  int
-	keys   []string // of the bookings, in their order
+	keys   []string // of the bookings, in order of arrival
 	issued int
 }
 
-func (e *entry) start(t *testing.T) netip.AddrPort {
+func (e *scriptedEntry) start(t *testing.T) netip.AddrPort {
 	m := http.NewServeMux()
-	p := startPeer(t, m)
+	p := startServer(t, m)
 	a := netip.MustParseAddrPort(p.url[len("http://"):])
 	m.HandleFunc("GET /v1/entries", func(w http.ResponseWriter, _ *http.Request) {
 		fmt.Fprintf(w, `{"entries":[{"address":%q}],"keepForMs":60000}`, a)
@@ -35,12 +35,12 @@
 		e.issued++
 		fmt.Fprintf(w, `{"key":"k%d"}`, e.issued)
 	})
-	m.HandleFunc("POST /v1/generate", e.step)
-	m.HandleFunc("POST /v1/services/{service}/{path...}", e.step)
+	m.HandleFunc("POST /v1/generate", e.answerNext)
+	m.HandleFunc("POST /v1/services/{service}/{path...}", e.answerNext)
 	return a
 }
 
-func (e *entry) step(w http.ResponseWriter, r *http.Request) {
+func (e *scriptedEntry) answerNext(w http.ResponseWriter, r *http.Request) {
 	e.mu.Lock()
 	defer e.mu.Unlock()
 	if k := r.Header.Get("Oriolecroft-Key"); k != "" {
@@ -71,11 +71,11 @@
 	fmt.Fprintf(w, `{"booking":%q}`, r.Header.Get("Booking"))
 }
 
-func breakOff(http.ResponseWriter, *http.Request) {
+func abortConnection(http.ResponseWriter, *http.Request) {
 	panic(http.ErrAbortHandler)
 }
 
-func TestCallerJudgesReplies(t *testing.T) {
+func TestCallerClassifiesReplies(t *testing.T) {
 	end := fmt.Sprintf(`{"done":true,"tokens":2,"version":"v1","weights":"w","digest":%q}`, digest("a b"))
 	first := `{"index":0,"token":"a","version":"v1","weights":"w"}`
 	second := `{"index":1,"token":"b","version":"v1","weights":"w"}`
@@ -105,10 +105,10 @@
 		},
 	} {
 		t.Run(c.name, func(t *testing.T) {
-			e := &entry{script: []func(http.ResponseWriter, *http.Request){stream(c.events...)}}
+			e := &scriptedEntry{script: []func(http.ResponseWriter, *http.Request){stream(c.events...)}}
 			r := (&imitator.Caller{Entries: []netip.AddrPort{e.start(t)}, Requests: 1}).Run(t.Context())
 			c.want.Requests = 1
-			c.want.Fates = map[string]imitator.Fate{}
+			c.want.BookingOutcomes = map[string]imitator.BookingOutcome{}
 			r.P50Ms, r.P99Ms = 0, 0
 			must.Eq(t, c.want, r)
 			must.Eq(t, 1, e.calls)
@@ -116,21 +116,21 @@
 	}
 }
 
-// Refusals and broken connections come before the confirmation. The caller
-// keeps its key while the booking may have run, and takes a new one once it is
-// told that it has not.
-func TestCallerBooksWithOneKeyUntilNotRun(t *testing.T) {
-	e := &entry{script: []func(http.ResponseWriter, *http.Request){
-		breakOff, refuse("unknown"), refuse("notRun"), confirm,
+// Guards against doubled bookings after aborted connections and refusals. The caller
+// keeps its key while the booking may have run, and requests a new one once the
+// response states that it has not.
+func TestCallerKeepsKeyUntilNotRun(t *testing.T) {
+	e := &scriptedEntry{script: []func(http.ResponseWriter, *http.Request){
+		abortConnection, refuse("unknown"), refuse("notRun"), confirm,
 	}}
 	r := (&imitator.Caller{Entries: []netip.AddrPort{e.start(t)}, Bookings: 1, Seed: 3}).Run(t.Context())
 	must.Eq(t, 1, r.BookingsDone)
-	must.Eq(t, map[string]imitator.Fate{"b-3-0": imitator.FateDone}, r.Fates)
+	must.Eq(t, map[string]imitator.BookingOutcome{"b-3-0": imitator.BookingDone}, r.BookingOutcomes)
 	must.Eq(t, []string{"k1", "k1", "k1", "k2"}, e.keys)
 }
 
 func TestCallerGivesUp(t *testing.T) {
-	e := &entry{script: []func(http.ResponseWriter, *http.Request){refuse("notRun")}}
+	e := &scriptedEntry{script: []func(http.ResponseWriter, *http.Request){refuse("notRun")}}
 	c := &imitator.Caller{Entries: []netip.AddrPort{e.start(t)}, Requests: 1, Bookings: 1}
 	r := c.Run(t.Context())
 	must.Eq(t, 1, r.Refused)
@@ -138,11 +138,11 @@
 	must.Eq(t, 12, e.calls)
 }
 
-// One booking ran at two services, another ran though its caller was told that
-// it had not, and a third ran without any caller's knowledge.
-func TestCheckerFindsFalseWords(t *testing.T) {
-	p := startPeer(t, (&imitator.Service{}).Handler())
-	q := startPeer(t, (&imitator.Service{}).Handler())
+// One booking ran at two services, another ran although its caller was informed that
+// it had not, and a third has no caller.
+func TestCheckerDetectsFalseOutcomes(t *testing.T) {
+	p := startServer(t, (&imitator.Service{}).Handler())
+	q := startServer(t, (&imitator.Service{}).Handler())
 	for _, b := range []string{"doubled", "refused", "stray"} {
 		must.Eq(t, 200, book(p, b))
 	}
@@ -152,9 +152,9 @@
 			netip.MustParseAddrPort(p.url[len("http://"):]),
 			netip.MustParseAddrPort(q.url[len("http://"):]),
 		},
-		Results: []imitator.Result{{Bookings: 2, Fates: map[string]imitator.Fate{
-			"doubled": imitator.FateDone,
-			"refused": imitator.FateNotRun,
+		Results: []imitator.Result{{Bookings: 2, BookingOutcomes: map[string]imitator.BookingOutcome{
+			"doubled": imitator.BookingDone,
+			"refused": imitator.BookingNotRun,
 		}}},
 	}
 	totals, err := c.Run(t.Context())
--- a/standins/imitator/checker.go
+++ b/standins/imitator/checker.go
@@ -11,19 +11,19 @@
 	"time"
 )
 
-// Checker compares what callers were told with what the stand-ins did.
+// Checker compares the results of callers with the counts of the stand-ins.
 type Checker struct {
-	// Services, Engines and Origins are the addresses of stand-ins.
+	// Services, Engines and Origins are the addresses of the stand-ins.
 	Services []netip.AddrPort
 	Engines  []netip.AddrPort
 	Origins  []netip.AddrPort
-	// Results are those of all callers.
+	// Results are the results of all callers.
 	Results []Result
-	// Drained are the stand-ins that were to get no new work from some time on.
+	// Drained lists the stand-ins that should have received no new work.
 	Drained Drained
 }
 
-// Drained names stand-ins that were to get no new work from some time on.
+// Drained lists stand-ins that should have received no new work from a given time on.
 type Drained struct {
 	Drained []struct {
 		Address netip.AddrPort `json:"address"`
@@ -42,18 +42,18 @@
 	Bookings int `json:"bookings"`
 	// Doubled counts bookings that ran more than once over all services.
 	Doubled int `json:"doubled"`
-	// FalseNotRun counts bookings that ran although the caller was told that
-	// they had not, or was told nothing.
+	// FalseNotRun counts bookings that ran although their caller was informed that
+	// they had not, or have no caller result.
 	FalseNotRun int   `json:"falseNotRun"`
 	Mixed       int   `json:"mixed"`
 	OriginBytes int64 `json:"originBytes"`
 	FellOver    int64 `json:"fellOver"`
 	WorstCold   int   `json:"worstCold"`
-	// LateWork counts drained stand-ins that took work after their time.
+	// LateWork counts drained stand-ins that accepted work after Drained.Since.
 	LateWork int `json:"lateWork,omitempty"`
 }
 
-// standinCounts are the counts of any kind of stand-in that matter here.
+// standinCounts holds the counts of any kind of stand-in that Checker evaluates.
 type standinCounts struct {
 	ChunkBytes int64     `json:"chunkBytes"`
 	FellOver   int64     `json:"fellOver"`
@@ -62,7 +62,7 @@
 	LastWorkAt time.Time `json:"lastWorkAt"`
 }
 
-// Run asks all stand-ins for their counts. It fails when one does not answer.
+// Run fetches the counts of all stand-ins. It fails if one does not respond.
 func (c *Checker) Run(ctx context.Context) (Totals, error) {
 	var t Totals
 	for _, r := range c.Results {
@@ -77,7 +77,7 @@
 	if err != nil {
 		return t, err
 	}
-	t.addRuns(runs, c.fates())
+	t.addRuns(runs, c.bookingOutcomes())
 	return t, nil
 }
 
@@ -124,21 +124,21 @@
 	return runs, nil
 }
 
-func (c *Checker) fates() map[string]Fate {
-	fates := map[string]Fate{}
+func (c *Checker) bookingOutcomes() map[string]BookingOutcome {
+	outcomes := map[string]BookingOutcome{}
 	for _, r := range c.Results {
-		maps.Copy(fates, r.Fates)
+		maps.Copy(outcomes, r.BookingOutcomes)
 	}
-	return fates
+	return outcomes
 }
 
-func (t *Totals) addRuns(runs map[string]int64, fates map[string]Fate) {
+func (t *Totals) addRuns(runs map[string]int64, outcomes map[string]BookingOutcome) {
 	for b, n := range runs {
 		if n > 1 {
 			t.Doubled++
 		}
-		fate := fates[b]
-		if n > 0 && fate != FateDone && fate != FateUnknown {
+		result := outcomes[b]
+		if n > 0 && result != BookingDone && result != BookingUnknown {
 			t.FalseNotRun++
 		}
 	}
--- a/standins/imitator/engine.go
+++ b/standins/imitator/engine.go
@@ -14,56 +14,57 @@
 )
 
 // Engine is a model engine with continuous batching, a queue ordered by
-// priority, a cold start, streams that resume and cancel, and a prefix cache.
+// priority, a cold start, streams that can be resumed and cancelled, and a prefix
+// cache.
 //
-// It answers /load from the bytes it fetched, whatever they are: whoever orders
-// the load is to verify them.
+// It does not verify the weights that it fetches for /load. The sender of the
+// order must do so.
 type Engine struct {
-	// Clock measures tokens and cold starts. Nil means the real clock.
+	// Clock times tokens and cold starts. Nil means the real clock.
 	Clock clock.Clock
 	// Client fetches weights. Nil means http.DefaultClient.
 	Client *http.Client
-	// Limit is the number of requests that run at once. Zero means 16.
+	// Limit is the number of requests that run concurrently. Zero means 16.
 	Limit int
 	// Queue is the number of requests that may wait. Zero means 32.
 	Queue int
-	// ColdLimit is the number of requests that may run at once in a cold start.
-	// Zero means 2.
+	// ColdLimit is the number of requests that may run concurrently during a cold
+	// start. Zero means 2.
 	ColdLimit int
 	// ColdFor is how long a cold start lasts after a load.
 	ColdFor time.Duration
 	// TokenTime is the time from one token to the next in a small batch.
 	TokenTime time.Duration
-	// IgnoreFence makes the engine take orders whatever their fencing number.
+	// IgnoreFence makes the engine accept orders with any fencing number.
 	IgnoreFence bool
-	// LoadLag is how old the reported load is.
+	// LoadLag is the age of the reported load.
 	LoadLag time.Duration
-	// CacheEntries is how many prefixes the cache holds. Zero means 256.
+	// CacheEntries is the capacity of the cache in prefixes. Zero means 256.
 	CacheEntries int
-	// EventLag is how old a cache event is before it is shown.
+	// EventLag is the age at which a cache event becomes visible.
 	EventLag time.Duration
 
-	mu        sync.Mutex
-	startID   string
-	started   time.Time
-	held      *holding // nil when nothing whole is loaded
-	coldUntil time.Time
-	fence     int64
-	role      string
-	stopLoad  context.CancelFunc // ends the load under way
-	loads     int64              // number of load orders taken
-	streams   map[string]*stream
-	finished  []string // ids of ended streams, oldest first
-	running   int
-	queued    []*stream // ordered by priority, then by arrival
-	samples   []loadSample
-	cache     prefixCache
-	faults    engineFaults
-	counts    engineCounts
-	hang      hanger
+	mu          sync.Mutex
+	startID     string
+	started     time.Time
+	loaded      *loadedModel // nil if no complete model is loaded
+	coldUntil   time.Time
+	fence       int64
+	role        string
+	cancelLoad  context.CancelFunc // cancels the load in progress
+	loadID      int64              // changes with each load order and restart
+	streams     map[string]*stream
+	endedIDs    []string // ids of ended streams, oldest first
+	running     int
+	queued      []*stream // ordered by priority, then by arrival
+	loadSamples []loadSample
+	cache       prefixCache
+	faults      engineFaults
+	counts      engineCounts
+	gate        hangGate
 }
 
-// Adapter is one adapter of a load order or of an engine's state.
+// Adapter describes one adapter in a load order or an engine's state.
 type Adapter struct {
 	Name       string `json:"name"`
 	Version    string `json:"version"`
@@ -72,7 +73,7 @@
 }
 
 // Order is an order to load a model with its adapters. Size is in bytes; zero
-// means that any size is taken.
+// means that any size is accepted.
 type Order struct {
 	Fence      int64     `json:"fence"`
 	Model      string    `json:"model"`
@@ -83,7 +84,7 @@
 	Adapters   []Adapter `json:"adapters"`
 }
 
-// EngineState is an engine's own account of itself.
+// EngineState is the response to GET /state.
 type EngineState struct {
 	StartID         string    `json:"startId"`
 	UptimeMs        int64     `json:"uptimeMs"`
@@ -99,18 +100,18 @@
 	TokensPerSecond float64   `json:"tokensPerSecond"`
 }
 
-// holding is what the engine holds: the order and the digests of the bytes that
-// it fetched for it.
-type holding struct {
+// loadedModel holds the order of the loaded model and the digests of the bytes that
+// were fetched for it.
+type loadedModel struct {
 	order    Order
 	weights  string
 	adapters map[string]string // digest of the weights by adapter name
 }
 
 type loadSample struct {
-	at      time.Time
-	running int
-	queued  int
+	sampledAt time.Time
+	running   int
+	queued    int
 }
 
 type engineFaults struct {
@@ -118,11 +119,11 @@
 	Cold    bool  `json:"cold"`
 	SlowMs  int64 `json:"slowMs"`
 	Hang    bool  `json:"hang"`
-	// Partial makes loads leave out the last byte and say that they are whole.
+	// Partial makes loads omit the last byte and still report success.
 	Partial bool `json:"partial"`
 	// Unframed replies have neither a length nor chunks and end with their connection.
 	Unframed bool `json:"unframed"`
-	// Torn replies end inside an event.
+	// Torn replies end in the middle of an event.
 	Torn bool `json:"torn"`
 }
 
@@ -145,22 +146,22 @@
 	e.cache.limit = e.CacheEntries
 	e.restart()
 	m := http.NewServeMux()
-	m.HandleFunc("GET /state", e.unlessHanging(e.getState))
-	m.HandleFunc("POST /load", e.unlessHanging(e.load))
-	m.HandleFunc("POST /role", e.unlessHanging(e.setRole))
-	m.HandleFunc("POST /generate", e.unlessHanging(e.generate))
-	m.HandleFunc("GET /generate/{id}", e.unlessHanging(e.resume))
-	m.HandleFunc("DELETE /generate/{id}", e.unlessHanging(e.cancel))
-	m.HandleFunc("GET /cache/events", e.unlessHanging(e.getCacheEvents))
-	m.HandleFunc("GET /cache/{prefix}", e.unlessHanging(e.exportCache))
-	m.HandleFunc("PUT /cache/{prefix}", e.unlessHanging(e.importCache))
+	m.HandleFunc("GET /state", e.gated(e.getState))
+	m.HandleFunc("POST /load", e.gated(e.load))
+	m.HandleFunc("POST /role", e.gated(e.setRole))
+	m.HandleFunc("POST /generate", e.gated(e.generate))
+	m.HandleFunc("GET /generate/{id}", e.gated(e.resume))
+	m.HandleFunc("DELETE /generate/{id}", e.gated(e.cancel))
+	m.HandleFunc("GET /cache/events", e.gated(e.getCacheEvents))
+	m.HandleFunc("GET /cache/{prefix}", e.gated(e.exportCache))
+	m.HandleFunc("PUT /cache/{prefix}", e.gated(e.importCache))
 	m.HandleFunc("POST /admin/faults", e.setFaults)
 	m.HandleFunc("GET /admin/counts", e.getCounts)
 	return m
 }
 
 func (e *Engine) setDefaults() {
-	e.Clock = clockOr(e.Clock)
+	e.Clock = clockOrReal(e.Clock)
 	if e.Client == nil {
 		e.Client = http.DefaultClient
 	}
@@ -178,16 +179,16 @@
 	}
 }
 
-// unlessHanging holds a request back while the engine hangs.
-func (e *Engine) unlessHanging(f http.HandlerFunc) http.HandlerFunc {
+// gated blocks requests while the engine hangs.
+func (e *Engine) gated(f http.HandlerFunc) http.HandlerFunc {
 	return func(w http.ResponseWriter, r *http.Request) {
-		if e.hang.holdRequest(r) {
+		if e.gate.awaitRequest(r) {
 			f(w, r)
 		}
 	}
 }
 
-// restart forgets everything, as a new process would.
+// restart resets all state, as a new process would.
 func (e *Engine) restart() {
 	e.unload()
 	e.startID = uuid.NewString()
@@ -196,52 +197,52 @@
 	e.role = "both"
 }
 
-// unload cuts all streams and leaves the engine with nothing loaded. It returns
-// the number of streams that were cut.
+// unload aborts all streams and drops the loaded model. It returns the number of
+// streams that were aborted.
 func (e *Engine) unload() int {
-	if e.stopLoad != nil {
-		e.stopLoad()
-		e.stopLoad = nil
+	if e.cancelLoad != nil {
+		e.cancelLoad()
+		e.cancelLoad = nil
 	}
-	e.loads++
-	e.held = nil
-	n := e.cutStreams()
+	e.loadID++
+	e.loaded = nil
+	n := e.abortStreams()
 	e.cache.clear()
-	e.sample()
+	e.recordLoad()
 	return n
 }
 
-// fallOver is what becomes of an engine under more load than it bears.
-func (e *Engine) fallOver(why string) {
-	klog.InfoS("engine falls over", "why", why, "running", e.running, "queued", len(e.queued))
+// crash restarts the engine because of overload.
+func (e *Engine) crash(reason string) {
+	klog.InfoS("engine falls over", "why", reason, "running", e.running, "queued", len(e.queued))
 	e.counts.FellOver++
 	e.restart()
 }
 
 func (e *Engine) cold() bool {
-	return e.held == nil || e.Clock.Now().Before(e.coldUntil)
+	return e.loaded == nil || e.Clock.Now().Before(e.coldUntil)
 }
 
-// sample records the present load for reports that lag.
-func (e *Engine) sample() {
-	s := loadSample{at: e.Clock.Now(), running: e.running, queued: len(e.queued)}
-	e.samples = append(e.samples, s)
+// recordLoad records the current load for delayed reports.
+func (e *Engine) recordLoad() {
+	s := loadSample{sampledAt: e.Clock.Now(), running: e.running, queued: len(e.queued)}
+	e.loadSamples = append(e.loadSamples, s)
 	e.laggedLoad()
 }
 
-// laggedLoad returns the newest sample that is at least LoadLag old, and forgets
-// those before.
+// laggedLoad returns the newest sample that is at least LoadLag old, and discards
+// older ones.
 func (e *Engine) laggedLoad() loadSample {
 	horizon := e.Clock.Now().Add(-e.LoadLag)
 	n := 0
-	for n < len(e.samples) && !e.samples[n].at.After(horizon) {
+	for n < len(e.loadSamples) && !e.loadSamples[n].sampledAt.After(horizon) {
 		n++
 	}
 	if n == 0 {
 		return loadSample{}
 	}
-	e.samples = e.samples[n-1:]
-	return e.samples[0]
+	e.loadSamples = e.loadSamples[n-1:]
+	return e.loadSamples[0]
 }
 
 func (e *Engine) state() EngineState {
@@ -257,13 +258,13 @@
 		Queued:          lagged.queued,
 		TokensPerSecond: e.tokensPerSecond(lagged.running),
 	}
-	if e.held == nil {
+	if e.loaded == nil {
 		return s
 	}
-	s.Model = e.held.order.Model
-	s.Version = e.held.order.Version
-	s.Manifest = e.held.order.Manifest
-	for _, a := range e.held.order.Adapters {
+	s.Model = e.loaded.order.Model
+	s.Version = e.loaded.order.Version
+	s.Manifest = e.loaded.order.Manifest
+	for _, a := range e.loaded.order.Adapters {
 		a.WeightsURL = ""
 		s.Adapters = append(s.Adapters, a)
 	}
@@ -271,7 +272,7 @@
 }
 
 func (e *Engine) tokensPerSecond(running int) float64 {
-	d := e.step(running)
+	d := e.tokenInterval(running)
 	if d <= 0 {
 		return 0
 	}
@@ -285,18 +286,19 @@
 	writeJSON(w, http.StatusOK, s)
 }
 
-// staleError tells that an order carried an older fencing number than one taken
-// before.
+// staleError is returned for an order whose fencing number is below that of an
+// order accepted earlier.
 type staleError struct {
-	fence int64 // the engine's
+	fence int64 // of the engine
 }
 
 func (e *staleError) Error() string {
 	return fmt.Sprintf("order is older than fence %d", e.fence)
 }
 
-// take heeds or ignores an order's fencing number.
-func (e *Engine) take(fence int64) error {
+// acceptFence rejects an order with a stale fencing number unless IgnoreFence is
+// set, and adopts the number otherwise.
+func (e *Engine) acceptFence(fence int64) error {
 	if !e.IgnoreFence && fence < e.fence {
 		return &staleError{fence: e.fence}
 	}
@@ -325,7 +327,7 @@
 		return
 	}
 	e.mu.Lock()
-	err := e.take(order.Fence)
+	err := e.acceptFence(order.Fence)
 	if err == nil {
 		e.role = order.Role
 	}
@@ -339,7 +341,7 @@
 }
 
 func (e *Engine) setFaults(w http.ResponseWriter, r *http.Request) {
-	takeFaults(w, r, func(faults engineFaults) {
+	handleFaults(w, r, func(faults engineFaults) {
 		e.mu.Lock()
 		e.faults = faults
 		if faults.Restart {
@@ -350,7 +352,7 @@
 			e.cache.clear()
 		}
 		e.mu.Unlock()
-		e.hang.set(faults.Hang)
+		e.gate.setHanging(faults.Hang)
 	})
 }
 
--- a/standins/imitator/engine_test.go
+++ b/standins/imitator/engine_test.go
@@ -16,8 +16,9 @@
 	"github.com/oriolecroft/oriolecroft/standins/imitator"
 )
 
-// weights serves "one" and "two", and holds "late" back until it is released.
-func startWeights(t *testing.T, release <-chan struct{}) peer {
+// startWeights serves each name as its own content, "late" only after release is
+// closed.
+func startWeights(t *testing.T, release <-chan struct{}) testServer {
 	m := http.NewServeMux()
 	m.HandleFunc("GET /{name}", func(w http.ResponseWriter, r *http.Request) {
 		if r.PathValue("name") == "late" {
@@ -25,21 +26,21 @@
 		}
 		w.Write([]byte(r.PathValue("name")))
 	})
-	return startPeer(t, m)
+	return startServer(t, m)
 }
 
 func order(fence, version, address string) string {
 	return `{"fence":` + fence + `,"model":"m","version":"` + version + `","weightsUrl":"` + address + `"}`
 }
 
-func engineState(p peer) imitator.EngineState {
+func engineState(p testServer) imitator.EngineState {
 	var s imitator.EngineState
 	must.NoError(p.t, json.Unmarshal([]byte(p.expect(200, "GET", "/state", "")), &s))
 	return s
 }
 
-// openStream begins a reply.
-func openStream(p peer, body string) *bufio.Scanner {
+// openStream starts a request and returns the lines of its reply.
+func openStream(p testServer, body string) *bufio.Scanner {
 	res, err := http.Post(p.url+"/generate", "application/json", strings.NewReader(body))
 	must.NoError(p.t, err)
 	must.Eq(p.t, 200, res.StatusCode)
@@ -47,41 +48,41 @@
 	return bufio.NewScanner(res.Body)
 }
 
-func drain(lines *bufio.Scanner) (rest string, err error) {
+func readRest(lines *bufio.Scanner) (rest string, err error) {
 	for lines.Scan() {
 		rest += lines.Text()
 	}
 	return rest, lines.Err()
 }
 
-// An order that was delayed on its way arrives after a newer one. An engine that
-// heeds fences refuses it.
-func TestEngineHeedsFence(t *testing.T) {
+// Guards against a delayed load order that arrives after a newer one and replaces its
+// weights: the engine checks the fencing number.
+func TestEngineRejectsStaleFence(t *testing.T) {
 	w := startWeights(t, nil)
-	p := startPeer(t, (&imitator.Engine{}).Handler())
+	p := startServer(t, (&imitator.Engine{}).Handler())
 	p.expect(200, "POST", "/load", order("2", "v2", w.url+"/two"))
 	must.StrContains(t, p.expect(409, "POST", "/load", order("1", "v1", w.url+"/one")), `"fence":2`)
 	p.expect(409, "POST", "/role", `{"fence":1,"role":"decode"}`)
 	must.Eq(t, "v2", engineState(p).Version)
 }
 
-// The same, but the engine ignores fences: it serves the older weights, and only
-// its state and its events tell.
+// A delayed load order replaces newer weights in an engine that ignores fences. Only
+// its state and its events show this.
 func TestEngineIgnoresFence(t *testing.T) {
 	w := startWeights(t, nil)
-	p := startPeer(t, (&imitator.Engine{IgnoreFence: true}).Handler())
+	p := startServer(t, (&imitator.Engine{IgnoreFence: true}).Handler())
 	p.expect(200, "POST", "/load", order("2", "v2", w.url+"/two"))
 	p.expect(200, "POST", "/load", order("1", "v1", w.url+"/one"))
 	must.Eq(t, "v1", engineState(p).Version)
 	must.Eq(t, int64(1), engineState(p).Fence)
 }
 
-// A load is under way when a newer order comes. The older must not land after
-// the newer one.
+// Guards against an older load that finishes after a newer one and replaces its
+// weights.
 func TestEngineNewestLoadWins(t *testing.T) {
 	release := make(chan struct{})
 	w := startWeights(t, release)
-	p := startPeer(t, (&imitator.Engine{}).Handler())
+	p := startServer(t, (&imitator.Engine{}).Handler())
 	statuses := make(chan int)
 	go func() {
 		status, _ := p.call("POST", "/load", order("1", "v1", w.url+"/late"))
@@ -98,7 +99,7 @@
 
 func TestEngineStreams(t *testing.T) {
 	w := startWeights(t, nil)
-	p := startPeer(t, (&imitator.Engine{}).Handler())
+	p := startServer(t, (&imitator.Engine{}).Handler())
 	p.expect(503, "POST", "/generate", `{"prompt":"p"}`)
 	p.expect(200, "POST", "/load", order("1", "v1", w.url+"/one"))
 	whole := p.expect(200, "POST", "/generate", `{"requestId":"r","prompt":"p","maxTokens":3}`)
@@ -110,19 +111,19 @@
 	p.expect(409, "POST", "/generate", `{"requestId":"r","prompt":"p"}`)
 }
 
-// An engine takes a load order while a reply is under way. The reply is cut, so
-// that no reply is ever of two kinds of weights.
-func TestEngineLoadCutsStreams(t *testing.T) {
+// Guards against replies generated with two sets of weights: a load order aborts the
+// replies in progress.
+func TestEngineLoadAbortsStreams(t *testing.T) {
 	c := clocktesting.NewFakeClock(epoch)
 	w := startWeights(t, nil)
-	p := startPeer(t, (&imitator.Engine{Clock: c, TokenTime: time.Second}).Handler())
+	p := startServer(t, (&imitator.Engine{Clock: c, TokenTime: time.Second}).Handler())
 	p.expect(200, "POST", "/load", order("1", "v1", w.url+"/one"))
 	lines := openStream(p, `{"requestId":"r","prompt":"p","maxTokens":3}`)
 	awaitTimers(c, 1)
 	c.Step(time.Second)
 	must.True(t, lines.Scan())
 	p.expect(200, "POST", "/load", order("2", "v2", w.url+"/two"))
-	rest, err := drain(lines)
+	rest, err := readRest(lines)
 	must.Error(t, err)
 	must.StrNotContains(t, rest, "done")
 	counts := p.expect(200, "GET", "/admin/counts", "")
@@ -132,25 +133,25 @@
 func TestEngineCancels(t *testing.T) {
 	c := clocktesting.NewFakeClock(epoch)
 	w := startWeights(t, nil)
-	p := startPeer(t, (&imitator.Engine{Clock: c, TokenTime: time.Second}).Handler())
+	p := startServer(t, (&imitator.Engine{Clock: c, TokenTime: time.Second}).Handler())
 	p.expect(200, "POST", "/load", order("1", "v1", w.url+"/one"))
 	lines := openStream(p, `{"requestId":"r"}`)
 	awaitTimers(c, 1)
 	p.expect(200, "DELETE", "/generate/r", "")
-	rest, err := drain(lines)
+	rest, err := readRest(lines)
 	must.NoError(t, err)
 	must.Eq(t, "", rest)
 	must.Eq(t, 0, engineState(p).Running)
 	must.StrContains(t, p.expect(200, "GET", "/admin/counts", ""), `"cancelled":1`)
 }
 
-// Requests go to an engine that was just loaded as if it were warm. Those that
-// it bears are cut too, and it has to be loaded anew.
-func TestEngineFallsOverWhenCold(t *testing.T) {
+// A freshly loaded engine receives more requests than its ColdLimit. It restarts,
+// aborts all requests and must load its model again.
+func TestEngineCrashesUnderLoadWhenCold(t *testing.T) {
 	c := clocktesting.NewFakeClock(epoch)
 	w := startWeights(t, nil)
 	e := &imitator.Engine{Clock: c, TokenTime: time.Second, ColdLimit: 1, ColdFor: time.Minute}
-	p := startPeer(t, e.Handler())
+	p := startServer(t, e.Handler())
 	p.expect(200, "POST", "/load", order("1", "v1", w.url+"/one"))
 	start := engineState(p).StartID
 	statuses := make(chan int)
@@ -169,7 +170,7 @@
 
 func TestEnginePrefixCache(t *testing.T) {
 	w := startWeights(t, nil)
-	p := startPeer(t, (&imitator.Engine{CacheEntries: 1}).Handler())
+	p := startServer(t, (&imitator.Engine{CacheEntries: 1}).Handler())
 	p.expect(200, "POST", "/load", order("1", "v1", w.url+"/one"))
 	prompt := strings.Repeat("x", imitator.PrefixBlockBytes)
 	p.expect(200, "POST", "/generate", `{"maxTokens":1,"prompt":"`+prompt+`"}`)
@@ -186,66 +187,66 @@
 	p.expect(409, "PUT", prefix, exported)
 }
 
-// An engine hangs while a load order reaches it, and whoever gave the order
-// gives up. The order lands all the same once the engine goes on.
-func TestEngineTakesOrderAfterHang(t *testing.T) {
+// A load order reaches an engine that hangs, and its client disconnects. The order
+// still takes effect once the engine resumes.
+func TestEngineExecutesOrderAfterHang(t *testing.T) {
 	w := startWeights(t, nil)
 	h := (&imitator.Engine{}).Handler()
-	p := startPeer(t, h)
+	p := startServer(t, h)
 	p.expect(200, "POST", "/admin/faults", `{"hang":true}`)
 	ctx, cancel := context.WithCancel(t.Context())
 	cancel()
-	landed := make(chan struct{})
+	finished := make(chan struct{})
 	go func() {
 		body := strings.NewReader(order("1", "v1", w.url+"/one"))
 		r := httptest.NewRequestWithContext(ctx, http.MethodPost, "/load", body)
 		h.ServeHTTP(httptest.NewRecorder(), r)
-		close(landed)
+		close(finished)
 	}()
 	p.expect(200, "POST", "/admin/faults", `{}`)
-	<-landed
+	<-finished
 	must.Eq(t, "v1", engineState(p).Version)
 }
 
 func TestEngineQueuesByPriority(t *testing.T) {
 	c := clocktesting.NewFakeClock(epoch)
 	w := startWeights(t, nil)
-	p := startPeer(t, (&imitator.Engine{Clock: c, TokenTime: time.Second, Limit: 1}).Handler())
+	p := startServer(t, (&imitator.Engine{Clock: c, TokenTime: time.Second, Limit: 1}).Handler())
 	p.expect(200, "POST", "/load", order("1", "v1", w.url+"/one"))
 	first := openStream(p, `{"requestId":"first","maxTokens":1}`)
 	lesser := openStream(p, `{"requestId":"lesser","maxTokens":1,"priority":1}`)
 	greater := openStream(p, `{"requestId":"greater","maxTokens":1,"priority":2}`)
 	awaitTimers(c, 1)
 	c.Step(time.Second)
-	_, err := drain(first)
+	_, err := readRest(first)
 	must.NoError(t, err)
 	awaitTimers(c, 1)
 	c.Step(time.Second)
 	awaitTimers(c, 1)
 	p.expect(200, "DELETE", "/generate/lesser", "")
-	rest, err := drain(lesser)
+	rest, err := readRest(lesser)
 	must.NoError(t, err)
 	must.Eq(t, "", rest)
-	rest, err = drain(greater)
+	rest, err = readRest(greater)
 	must.NoError(t, err)
 	must.StrContains(t, rest, `"done":true`)
 }
 
-// More requests come than the engine can run and queue. It falls over, and cuts
-// them all.
-func TestEngineFallsOverWhenFull(t *testing.T) {
+// More requests arrive than the engine can run and queue. It restarts and aborts all
+// of them.
+func TestEngineCrashesWhenQueueIsFull(t *testing.T) {
 	c := clocktesting.NewFakeClock(epoch)
 	w := startWeights(t, nil)
 	e := &imitator.Engine{Clock: c, TokenTime: time.Second, Limit: 1, Queue: 1}
-	p := startPeer(t, e.Handler())
+	p := startServer(t, e.Handler())
 	p.expect(200, "POST", "/load", order("1", "v1", w.url+"/one"))
 	running := openStream(p, `{"requestId":"running"}`)
 	queued := openStream(p, `{"requestId":"queued"}`)
 	status, _ := p.call("POST", "/generate", `{"requestId":"beyond"}`)
 	must.Eq(t, 0, status)
-	_, err := drain(running)
+	_, err := readRest(running)
 	must.Error(t, err)
-	_, err = drain(queued)
+	_, err = readRest(queued)
 	must.Error(t, err)
 	must.StrContains(t, p.expect(200, "GET", "/admin/counts", ""), `"fellOver":1,"worstCold":0`)
 }
--- a/standins/imitator/http.go
+++ b/standins/imitator/http.go
@@ -1,8 +1,8 @@
-// Package imitator plays the outside systems that oriolecroft meets: the
+// Package imitator simulates the external systems that oriolecroft talks to: the
 // key-value service, the list of VMs, the weight store and origin, the model
 // engine and the plain service. Each stand-in is one type whose exported fields
-// are set before its Handler is first used. The wires are those of
-// docs/PEERS.md.
+// are set before its Handler is first used. docs/PEERS.md specifies the
+// protocols.
 package imitator
 
 import (
@@ -17,7 +17,7 @@
 	"github.com/oriolecroft/oriolecroft/internal/connector"
 )
 
-// writeJSON answers with the status and v as the JSON body.
+// writeJSON responds with the status and v as the JSON body.
 func writeJSON(w http.ResponseWriter, status int, v any) {
 	w.Header().Set("Content-Type", "application/json")
 	w.WriteHeader(status)
@@ -26,15 +26,15 @@
 	}
 }
 
-// writeError answers with the status and the text in the "error" field.
+// writeError responds with the status and the text in the "error" field.
 func writeError(w http.ResponseWriter, status int, text string) {
 	writeJSON(w, status, struct {
 		Error string `json:"error"`
 	}{text})
 }
 
-// readJSON decodes the request's body into v. When the body is no JSON of that
-// shape it answers 400 and returns false.
+// readJSON decodes the request's body into v. If decoding fails, it responds with
+// 400 and returns false.
 func readJSON(w http.ResponseWriter, r *http.Request, v any) bool {
 	if err := json.NewDecoder(r.Body).Decode(v); err != nil {
 		writeError(w, http.StatusBadRequest, err.Error())
@@ -43,35 +43,36 @@
 	return true
 }
 
-// cut closes the connection without a further byte, so that the client cannot
-// tell whether its request took effect.
-func cut() {
+// abortConnection closes the connection without sending anything more, so that
+// the client cannot tell whether its request took effect.
+func abortConnection() {
 	panic(http.ErrAbortHandler)
 }
 
-// unframe has a reply end with its connection, without a length or chunks.
+// unframe makes the end of the connection mark the end of the response, which
+// then has neither a length nor chunks.
 func unframe(w http.ResponseWriter) { w.Header().Set("Transfer-Encoding", "identity") }
 
-// resetMidway sends the beginning of a reply, a JSON value by itself, and resets the connection.
+// resetMidway sends the start of a response, a complete JSON value, and resets the connection.
 func resetMidway(w http.ResponseWriter) {
 	writeJSON(w, http.StatusOK, struct{}{})
 	conn, _, err := http.NewResponseController(w).Hijack()
 	if err != nil {
-		cut()
+		abortConnection()
 	}
 	connector.Reset(conn)
 }
 
-// clockOr returns c, or the real clock when c is nil.
-func clockOr(c clock.Clock) clock.Clock {
+// clockOrReal returns c, or the real clock if c is nil.
+func clockOrReal(c clock.Clock) clock.Clock {
 	if c == nil {
 		return clock.RealClock{}
 	}
 	return c
 }
 
-// pause waits for d by the clock. It returns false when done is closed first.
-func pause(c clock.Clock, d time.Duration, done <-chan struct{}) bool {
+// sleep waits for d on the clock. It returns false if done is closed first.
+func sleep(c clock.Clock, d time.Duration, done <-chan struct{}) bool {
 	if d <= 0 {
 		return true
 	}
@@ -85,54 +86,54 @@
 	}
 }
 
-// signal wakes all goroutines that wait for a state guarded by a mutex to
-// change. Its methods are called with that mutex held.
-type signal struct {
+// notifier signals changes of a state to all goroutines that wait for one. The
+// state is guarded by a mutex, which callers of its methods must hold.
+type notifier struct {
 	changed chan struct{}
 }
 
 // wait returns a channel that is closed at the next call of notify.
-func (s *signal) wait() <-chan struct{} {
+func (s *notifier) wait() <-chan struct{} {
 	if s.changed == nil {
 		s.changed = make(chan struct{})
 	}
 	return s.changed
 }
 
-func (s *signal) notify() {
+func (s *notifier) notify() {
 	if s.changed != nil {
 		close(s.changed)
 		s.changed = nil
 	}
 }
 
-// hanger holds requests back while its fault is set. A request other than a GET
-// stays in the socket's buffer, as it were: it takes effect once the fault is
-// over, also when its client has gone meanwhile.
-type hanger struct {
+// hangGate blocks requests while the hang fault is set. A request other than a GET
+// takes effect once the fault is cleared, even if its client has disconnected, as
+// if it had remained in the socket's buffer.
+type hangGate struct {
 	mu      sync.Mutex
 	hanging bool
-	changed signal
+	changed notifier
 }
 
-func (h *hanger) set(hanging bool) {
+func (h *hangGate) setHanging(hanging bool) {
 	h.mu.Lock()
 	defer h.mu.Unlock()
 	h.hanging = hanging
 	h.changed.notify()
 }
 
-// holdRequest waits until nothing hangs. It returns false when the request is
-// not to be served any more.
-func (h *hanger) holdRequest(r *http.Request) bool {
+// awaitRequest waits until the fault is cleared. It returns false if the client of
+// a GET disconnects first.
+func (h *hangGate) awaitRequest(r *http.Request) bool {
 	if r.Method != http.MethodGet {
-		return h.hold(nil)
+		return h.await(nil)
 	}
-	return h.hold(r.Context().Done())
+	return h.await(r.Context().Done())
 }
 
-// hold waits until nothing hangs. It returns false when done is closed first.
-func (h *hanger) hold(done <-chan struct{}) bool {
+// await waits until the fault is cleared. It returns false if done is closed first.
+func (h *hangGate) await(done <-chan struct{}) bool {
 	for {
 		h.mu.Lock()
 		hanging, changed := h.hanging, h.changed.wait()
@@ -148,8 +149,8 @@
 	}
 }
 
-// takeFaults reads what a stand-in is to do wrong from now on and has it set.
-func takeFaults[T any](w http.ResponseWriter, r *http.Request, set func(T)) {
+// handleFaults decodes the faults to inject, passes them to set and echoes them.
+func handleFaults[T any](w http.ResponseWriter, r *http.Request, set func(T)) {
 	var faults T
 	if !readJSON(w, r, &faults) {
 		return
--- a/standins/imitator/http_test.go
+++ b/standins/imitator/http_test.go
@@ -15,23 +15,23 @@
 
 var epoch = time.Date(2026, 12, 2, 0, 0, 0, 0, time.UTC)
 
-// peer is a stand-in behind a real socket.
-type peer struct {
+// testServer is a handler that listens on a real socket.
+type testServer struct {
 	t   *testing.T
 	url string
 }
 
-func startPeer(t *testing.T, h http.Handler) peer {
+func startServer(t *testing.T, h http.Handler) testServer {
 	t.Helper()
 	s := httptest.NewServer(h)
 	t.Cleanup(s.Close)
 	t.Cleanup(s.CloseClientConnections)
-	return peer{t, s.URL}
+	return testServer{t, s.URL}
 }
 
-// call returns the status and the body. The status is 0 when the connection was
-// cut before the answer.
-func (p peer) call(method, path, body string) (int, string) {
+// call returns the status and the body. The status is 0 if the connection was closed
+// before the end of the response.
+func (p testServer) call(method, path, body string) (int, string) {
 	p.t.Helper()
 	r, err := http.NewRequest(method, p.url+path, strings.NewReader(body))
 	must.NoError(p.t, err)
@@ -48,14 +48,14 @@
 }
 
 // expect makes the call and requires the status. It returns the body.
-func (p peer) expect(status int, method, path, body string) string {
+func (p testServer) expect(status int, method, path, body string) string {
 	p.t.Helper()
 	got, answer := p.call(method, path, body)
 	must.Eq(p.t, status, got, must.Sprint(answer))
 	return answer
 }
 
-// awaitTimers waits until that many goroutines wait for the clock.
+// awaitTimers waits until at least n timers of the clock are pending.
 func awaitTimers(c *clocktesting.FakeClock, n int) {
 	for c.Waiters() < n {
 		runtime.Gosched()
--- a/standins/imitator/kv.go
+++ b/standins/imitator/kv.go
@@ -16,17 +16,17 @@
 	"k8s.io/utils/clock"
 )
 
-// MaxValueBytes is the greatest size of a value that KV takes.
+// MaxValueBytes is the maximum size of a value.
 const MaxValueBytes = 1 << 20
 
-// defaultWatch is how long a watch waits when the request names no wait.
-const defaultWatch = 20 * time.Second
+// defaultWatchWait is the wait limit of a watch whose request sets none.
+const defaultWatchWait = 20 * time.Second
 
 // KV is a key-value service with compare-and-swap, leases and watches.
 type KV struct {
-	// Clock measures leases, watches and delays. Nil means the real clock.
+	// Clock times leases, watches and delays. Nil means the real clock.
 	Clock clock.Clock
-	// Seed fixes which answers are lost.
+	// Seed determines which answers are lost.
 	Seed uint64
 
 	mu       sync.Mutex
@@ -35,10 +35,10 @@
 	faults   kvFaults
 	counts   kvCounts
 	random   *rand.Rand
-	changed  signal
+	changed  notifier
 }
 
-// Item is one key with its value and the version of its last change.
+// Item is a key with its value and the version of its last change.
 type Item struct {
 	Key     string `json:"key"`
 	Value   []byte `json:"value"`
@@ -48,8 +48,8 @@
 }
 
 type kvLease struct {
-	ttl    time.Duration
-	lapses time.Time
+	ttl     time.Duration
+	expires time.Time
 }
 
 type kvState struct {
@@ -81,7 +81,7 @@
 
 // Handler returns the service's HTTP interface.
 func (k *KV) Handler() http.Handler {
-	k.Clock = clockOr(k.Clock)
+	k.Clock = clockOrReal(k.Clock)
 	k.random = rand.New(rand.NewPCG(k.Seed, 0))
 	k.state = kvState{
 		items:   map[string]Item{},
@@ -94,8 +94,8 @@
 	m.HandleFunc("PUT /kv/{key...}", k.write(k.put))
 	m.HandleFunc("DELETE /kv/{key...}", k.write(k.remove))
 	m.HandleFunc("GET /watch/{key...}", k.watch)
-	m.HandleFunc("POST /leases", k.write(k.grant))
-	m.HandleFunc("POST /leases/{id}/renew", k.write(k.renew))
+	m.HandleFunc("POST /leases", k.write(k.grantLease))
+	m.HandleFunc("POST /leases/{id}/renew", k.write(k.renewLease))
 	m.HandleFunc("POST /admin/faults", k.setFaults)
 	m.HandleFunc("POST /admin/snapshot", k.takeSnapshot)
 	m.HandleFunc("POST /admin/restore", k.restore)
@@ -103,7 +103,7 @@
 	return m
 }
 
-// answer is a status and a JSON body, made while the state is locked.
+// answer is a status and a JSON body, created while the state is locked.
 type answer struct {
 	status int
 	body   any
@@ -129,7 +129,7 @@
 		}
 		k.mu.Lock()
 		k.counts.Reads++
-		k.sweep()
+		k.expireLeases()
 		a := f(r)
 		k.mu.Unlock()
 		writeJSON(w, a.status, a.body)
@@ -148,23 +148,24 @@
 		}
 		k.mu.Lock()
 		k.counts.Writes++
-		k.sweep()
+		k.expireLeases()
 		a := f(r, body)
 		lost := k.random.Float64() < k.faults.LoseAnswers
 		k.mu.Unlock()
 		if lost {
-			cut()
+			abortConnection()
 		}
 		writeJSON(w, a.status, a.body)
 	}
 }
 
-// admit waits out the delay and refuses while the service is down.
+// admit applies the injected delay. It refuses the request and returns false while
+// the service is down.
 func (k *KV) admit(w http.ResponseWriter, r *http.Request) bool {
 	k.mu.Lock()
 	faults := k.faults
 	k.mu.Unlock()
-	if !pause(k.Clock, time.Duration(faults.DelayMs)*time.Millisecond, r.Context().Done()) {
+	if !sleep(k.Clock, time.Duration(faults.DelayMs)*time.Millisecond, r.Context().Done()) {
 		return false
 	}
 	if faults.Down {
@@ -173,28 +174,28 @@
 	return !faults.Down
 }
 
-// sweep removes the leases that have lapsed, with their keys.
-func (k *KV) sweep() {
+// expireLeases deletes expired leases and their keys.
+func (k *KV) expireLeases() {
 	now := k.Clock.Now()
 	for id, l := range k.state.leases {
-		if now.Before(l.lapses) {
+		if now.Before(l.expires) {
 			continue
 		}
 		delete(k.state.leases, id)
-		k.dropLeased(id)
+		k.deleteLeased(id)
 	}
 }
 
-func (k *KV) dropLeased(lease string) {
+func (k *KV) deleteLeased(lease string) {
 	for _, it := range k.state.items {
 		if it.lease == lease {
-			k.drop(it.Key)
+			k.deleteKey(it.Key)
 		}
 	}
 }
 
-// drop deletes a key and wakes the watches.
-func (k *KV) drop(key string) {
+// deleteKey deletes a key and notifies the watches.
+func (k *KV) deleteKey(key string) {
 	k.state.version++
 	delete(k.state.items, key)
 	k.state.deleted[key] = k.state.version
@@ -258,30 +259,30 @@
 	if it.Version != want {
 		return errorAnswer(http.StatusConflict, "version differs", it.Version)
 	}
-	k.drop(key)
+	k.deleteKey(key)
 	return versionAnswer(k.state.version)
 }
 
-func (k *KV) grant(r *http.Request, _ []byte) answer {
+func (k *KV) grantLease(r *http.Request, _ []byte) answer {
 	ttl, err := time.ParseDuration(r.URL.Query().Get("ttl"))
 	if err != nil || ttl <= 0 {
 		return errorAnswer(http.StatusBadRequest, "ttl is no positive duration", 0)
 	}
 	id := uuid.NewString()
-	k.state.leases[id] = kvLease{ttl: ttl, lapses: k.Clock.Now().Add(ttl)}
+	k.state.leases[id] = kvLease{ttl: ttl, expires: k.Clock.Now().Add(ttl)}
 	k.changed.notify()
 	return answer{http.StatusOK, struct {
 		ID string `json:"id"`
 	}{id}}
 }
 
-func (k *KV) renew(r *http.Request, _ []byte) answer {
+func (k *KV) renewLease(r *http.Request, _ []byte) answer {
 	id := r.PathValue("id")
 	l, ok := k.state.leases[id]
 	if !ok {
 		return errorAnswer(http.StatusNotFound, "no such lease", 0)
 	}
-	l.lapses = k.Clock.Now().Add(l.ttl)
+	l.expires = k.Clock.Now().Add(l.ttl)
 	k.state.leases[id] = l
 	return answer{http.StatusOK, struct{}{}}
 }
@@ -303,7 +304,7 @@
 		<-r.Context().Done()
 		return
 	}
-	a := k.await(r, after, k.Clock.Now().Add(wait))
+	a := k.awaitChange(r, after, k.Clock.Now().Add(wait))
 	if a.status == http.StatusNoContent {
 		w.WriteHeader(a.status)
 		return
@@ -313,7 +314,7 @@
 
 func watchLimits(r *http.Request) (after int64, wait time.Duration, err error) {
 	q := r.URL.Query()
-	wait = defaultWatch
+	wait = defaultWatchWait
 	if s := q.Get("after"); s != "" {
 		if after, err = strconv.ParseInt(s, 10, 64); err != nil {
 			return 0, 0, err
@@ -327,15 +328,15 @@
 	return after, wait, nil
 }
 
-// await returns the answer of a watch once there is one.
-func (k *KV) await(r *http.Request, after int64, deadline time.Time) answer {
+// awaitChange waits until a watch has an answer or reaches its deadline.
+func (k *KV) awaitChange(r *http.Request, after int64, deadline time.Time) answer {
 	key := r.PathValue("key")
 	for {
 		k.mu.Lock()
-		k.sweep()
-		a, found := k.poll(key, after)
+		k.expireLeases()
+		a, found := k.watchAnswer(key, after)
 		changed := k.changed.wait()
-		wake := k.nextLapse(deadline)
+		wakeup := k.nextWakeup(deadline)
 		k.mu.Unlock()
 		if found {
 			return a
@@ -344,7 +345,7 @@
 		if !now.Before(deadline) {
 			return answer{status: http.StatusNoContent}
 		}
-		t := k.Clock.NewTimer(wake.Sub(now))
+		t := k.Clock.NewTimer(wakeup.Sub(now))
 		select {
 		case <-changed:
 		case <-t.C():
@@ -357,8 +358,8 @@
 	}
 }
 
-// poll returns the answer of a watch when it need not wait.
-func (k *KV) poll(key string, after int64) (answer, bool) {
+// watchAnswer returns the answer of a watch, and false if the watch must wait.
+func (k *KV) watchAnswer(key string, after int64) (answer, bool) {
 	if k.faults.Down {
 		return errorAnswer(http.StatusServiceUnavailable, "down", 0), true
 	}
@@ -371,18 +372,18 @@
 	return answer{}, false
 }
 
-// nextLapse returns the earlier of the deadline and the first lapse of a lease.
-func (k *KV) nextLapse(deadline time.Time) time.Time {
+// nextWakeup returns the earlier of the deadline and the first expiry of a lease.
+func (k *KV) nextWakeup(deadline time.Time) time.Time {
 	for _, l := range k.state.leases {
-		if l.lapses.Before(deadline) {
-			deadline = l.lapses
+		if l.expires.Before(deadline) {
+			deadline = l.expires
 		}
 	}
 	return deadline
 }
 
 func (k *KV) setFaults(w http.ResponseWriter, r *http.Request) {
-	takeFaults(w, r, func(faults kvFaults) {
+	handleFaults(w, r, func(faults kvFaults) {
 		k.mu.Lock()
 		k.faults = faults
 		k.changed.notify()
@@ -392,7 +393,7 @@
 
 func (k *KV) takeSnapshot(w http.ResponseWriter, _ *http.Request) {
 	k.mu.Lock()
-	k.sweep()
+	k.expireLeases()
 	s := k.state.clone()
 	k.snapshot = &s
 	k.mu.Unlock()
--- a/standins/imitator/kv_test.go
+++ b/standins/imitator/kv_test.go
@@ -11,8 +11,8 @@
 	"github.com/oriolecroft/oriolecroft/standins/imitator"
 )
 
-func TestKVComparesBeforeItSwaps(t *testing.T) {
-	p := startPeer(t, (&imitator.KV{}).Handler())
+func TestKVCompareAndSwap(t *testing.T) {
+	p := startServer(t, (&imitator.KV{}).Handler())
 	p.expect(404, "GET", "/kv/bundle/current", "")
 	must.StrContains(t, p.expect(200, "PUT", "/kv/bundle/current?version=0", "a"), `"version":1`)
 	must.StrContains(t, p.expect(409, "PUT", "/kv/bundle/current?version=0", "b"), `"version":1`)
@@ -23,9 +23,9 @@
 	must.StrContains(t, p.expect(404, "GET", "/kv/bundle/current", ""), `"version":0`)
 }
 
-func TestKVWatchWakesOnChange(t *testing.T) {
+func TestKVWatchReturnsOnChange(t *testing.T) {
 	c := clocktesting.NewFakeClock(epoch)
-	p := startPeer(t, (&imitator.KV{Clock: c}).Handler())
+	p := startServer(t, (&imitator.KV{Clock: c}).Handler())
 	p.expect(200, "PUT", "/kv/k?version=0", "a")
 	answers := make(chan string)
 	go func() {
@@ -37,9 +37,9 @@
 	must.StrContains(t, <-answers, `"version":2`)
 }
 
-func TestKVWatchEnds(t *testing.T) {
+func TestKVWatchTimesOut(t *testing.T) {
 	c := clocktesting.NewFakeClock(epoch)
-	p := startPeer(t, (&imitator.KV{Clock: c}).Handler())
+	p := startServer(t, (&imitator.KV{Clock: c}).Handler())
 	statuses := make(chan int)
 	go func() {
 		status, _ := p.call("GET", "/watch/k?wait=20s", "")
@@ -50,21 +50,21 @@
 	must.Eq(t, 204, <-statuses)
 }
 
-// A writer's connection is cut after its write took effect. The writer sees a
-// network error and cannot tell, until it reads the key again.
-func TestKVLosesAnswersAfterTheEffect(t *testing.T) {
-	p := startPeer(t, (&imitator.KV{}).Handler())
+// A writer's connection is closed after its write took effect. The network error
+// does not show whether it did; reading the key again does.
+func TestKVLosesAnswerAfterWrite(t *testing.T) {
+	p := startServer(t, (&imitator.KV{}).Handler())
 	p.expect(200, "POST", "/admin/faults", `{"loseAnswers":1}`)
 	status, _ := p.call("PUT", "/kv/k?version=0", "a")
 	must.Eq(t, 0, status)
 	must.StrContains(t, p.expect(200, "GET", "/kv/k", ""), `"version":1`)
 }
 
-// The holder of a lease is paused for longer than the lease lasts. Its key goes
-// away under it, whoever watches the key is told, and the renewal is refused.
-func TestKVLeaseLapses(t *testing.T) {
+// The holder of a lease does not renew it in time. Its key is deleted, watches of the
+// key are notified and the renewal is refused.
+func TestKVLeaseExpires(t *testing.T) {
 	c := clocktesting.NewFakeClock(epoch)
-	p := startPeer(t, (&imitator.KV{Clock: c}).Handler())
+	p := startServer(t, (&imitator.KV{Clock: c}).Handler())
 	var lease struct {
 		ID string `json:"id"`
 	}
@@ -87,10 +87,10 @@
 	p.expect(404, "PUT", "/kv/k?version=0&lease="+lease.ID, "b")
 }
 
-// The operators restore an old backup. The version counter goes back with it,
-// and a reader that remembers a later version sees an older one.
+// Restoring an old snapshot also resets the version counter, so readers that have
+// seen a later version receive an older one.
 func TestKVRestoresOldVersions(t *testing.T) {
-	p := startPeer(t, (&imitator.KV{}).Handler())
+	p := startServer(t, (&imitator.KV{}).Handler())
 	p.expect(200, "PUT", "/kv/k?version=0", "a")
 	p.expect(200, "POST", "/admin/snapshot", "")
 	p.expect(200, "PUT", "/kv/k?version=1", "b")
@@ -103,7 +103,7 @@
 
 func TestListLags(t *testing.T) {
 	c := clocktesting.NewFakeClock(epoch)
-	p := startPeer(t, (&imitator.List{Clock: c, Lag: 2 * time.Second}).Handler())
+	p := startServer(t, (&imitator.List{Clock: c, Lag: 2 * time.Second}).Handler())
 	p.expect(200, "PUT", "/admin/vms/u1", `{"role":"upstream"}`)
 	must.Eq(t, `{"vms":[]}`+"\n", p.expect(200, "GET", "/vms", ""))
 	c.Step(2 * time.Second)
--- a/standins/imitator/list.go
+++ b/standins/imitator/list.go
@@ -11,7 +11,7 @@
 	"k8s.io/utils/clock"
 )
 
-// VM is one machine of the list.
+// VM is one machine on the list.
 type VM struct {
 	ID            string         `json:"id"`
 	Role          string         `json:"role"`
@@ -21,11 +21,11 @@
 	State         string         `json:"state"`
 }
 
-// List is a list of VMs that shows its contents as they were some time ago.
+// List is a list of VMs whose responses lag behind its contents.
 type List struct {
-	// Clock measures the lag. Nil means the real clock.
+	// Clock times the lag. Nil means the real clock.
 	Clock clock.Clock
-	// Lag is how old the shown contents are.
+	// Lag is the age of the returned contents.
 	Lag time.Duration
 
 	mu      sync.Mutex
@@ -34,24 +34,24 @@
 }
 
 type listRevision struct {
-	at  time.Time
-	vms map[string]VM
+	recordedAt time.Time
+	vms        map[string]VM
 }
 
 // Handler returns the list's HTTP interface.
 func (l *List) Handler() http.Handler {
-	l.Clock = clockOr(l.Clock)
+	l.Clock = clockOrReal(l.Clock)
 	l.current = map[string]VM{}
 	m := http.NewServeMux()
-	m.HandleFunc("GET /vms", l.show)
-	m.HandleFunc("PUT /admin/vms/{id}", l.put)
-	m.HandleFunc("DELETE /admin/vms/{id}", l.remove)
+	m.HandleFunc("GET /vms", l.getVMs)
+	m.HandleFunc("PUT /admin/vms/{id}", l.putVM)
+	m.HandleFunc("DELETE /admin/vms/{id}", l.removeVM)
 	return m
 }
 
-func (l *List) show(w http.ResponseWriter, _ *http.Request) {
+func (l *List) getVMs(w http.ResponseWriter, _ *http.Request) {
 	l.mu.Lock()
-	shown := l.visible()
+	shown := l.laggedVMs()
 	l.mu.Unlock()
 	vms := []VM{}
 	for _, id := range slices.Sorted(maps.Keys(shown)) {
@@ -62,12 +62,12 @@
 	}{vms})
 }
 
-// visible returns the newest contents that are at least Lag old, and forgets
-// those before.
-func (l *List) visible() map[string]VM {
+// laggedVMs returns the newest contents that are at least Lag old, and discards
+// older ones.
+func (l *List) laggedVMs() map[string]VM {
 	horizon := l.Clock.Now().Add(-l.Lag)
 	n := 0
-	for n < len(l.history) && !l.history[n].at.After(horizon) {
+	for n < len(l.history) && !l.history[n].recordedAt.After(horizon) {
 		n++
 	}
 	if n == 0 {
@@ -77,7 +77,7 @@
 	return l.history[0].vms
 }
 
-func (l *List) put(w http.ResponseWriter, r *http.Request) {
+func (l *List) putVM(w http.ResponseWriter, r *http.Request) {
 	var v VM
 	if !readJSON(w, r, &v) {
 		return
@@ -88,20 +88,20 @@
 	}
 	l.mu.Lock()
 	l.current[v.ID] = v
-	l.record()
+	l.recordRevision()
 	l.mu.Unlock()
 	writeJSON(w, http.StatusOK, v)
 }
 
-func (l *List) remove(w http.ResponseWriter, r *http.Request) {
+func (l *List) removeVM(w http.ResponseWriter, r *http.Request) {
 	l.mu.Lock()
 	delete(l.current, r.PathValue("id"))
-	l.record()
+	l.recordRevision()
 	l.mu.Unlock()
 	writeJSON(w, http.StatusOK, struct{}{})
 }
 
-func (l *List) record() {
-	l.visible()
-	l.history = append(l.history, listRevision{at: l.Clock.Now(), vms: maps.Clone(l.current)})
+func (l *List) recordRevision() {
+	l.laggedVMs()
+	l.history = append(l.history, listRevision{recordedAt: l.Clock.Now(), vms: maps.Clone(l.current)})
 }
--- a/standins/imitator/load.go
+++ b/standins/imitator/load.go
@@ -11,21 +11,21 @@
 	"k8s.io/klog/v2"
 )
 
-// load fetches what the order names and holds it from then on. The newest order
-// that was taken ends an older one under way. A load goes on when the one who
-// ordered it hangs up, so that it may still land long afterwards.
+// load fetches and loads the model of an order. An accepted order cancels an older
+// load in progress. A load continues if its client disconnects, so it may take
+// effect long afterwards.
 func (e *Engine) load(w http.ResponseWriter, r *http.Request) {
 	var order Order
 	if !readJSON(w, r, &order) {
 		return
 	}
-	ctx, id, err := e.beginLoad(context.WithoutCancel(r.Context()), order.Fence)
+	ctx, id, err := e.startLoad(context.WithoutCancel(r.Context()), order.Fence)
 	if err != nil {
 		writeOrderError(w, err)
 		return
 	}
-	h, err := e.fetchAll(ctx, order)
-	s, latest := e.endLoad(id, h)
+	m, err := e.fetchOrder(ctx, order)
+	s, latest := e.finishLoad(id, m)
 	switch {
 	case !latest:
 		writeError(w, http.StatusConflict, "a later order or a restart ended this load")
@@ -36,37 +36,37 @@
 	}
 }
 
-// beginLoad drops what the engine holds. It returns the context in which to
-// fetch and the load's own number.
-func (e *Engine) beginLoad(ctx context.Context, fence int64) (context.Context, int64, error) {
+// startLoad unloads the current model. It returns the context for fetching and the
+// ID of the load.
+func (e *Engine) startLoad(ctx context.Context, fence int64) (context.Context, int64, error) {
 	e.mu.Lock()
 	defer e.mu.Unlock()
-	if err := e.take(fence); err != nil {
+	if err := e.acceptFence(fence); err != nil {
 		return nil, 0, err
 	}
 	e.counts.Loads++
 	e.counts.CutByLoad += int64(e.unload())
-	ctx, e.stopLoad = context.WithCancel(ctx)
-	return ctx, e.loads, nil
+	ctx, e.cancelLoad = context.WithCancel(ctx)
+	return ctx, e.loadID, nil
 }
 
-// endLoad makes h what the engine holds: nothing when the weights could not be
-// fetched. It returns false when a later order or a restart came in between.
-func (e *Engine) endLoad(id int64, h *holding) (EngineState, bool) {
+// finishLoad installs m, which is nil if the weights could not be fetched. It returns
+// false if a later order or a restart superseded the load.
+func (e *Engine) finishLoad(id int64, m *loadedModel) (EngineState, bool) {
 	e.mu.Lock()
 	defer e.mu.Unlock()
-	if e.loads != id {
+	if e.loadID != id {
 		return EngineState{}, false
 	}
-	e.stopLoad()
-	e.stopLoad = nil
-	e.held = h
-	klog.InfoS("load ended", "whole", h != nil, "fence", e.fence)
+	e.cancelLoad()
+	e.cancelLoad = nil
+	e.loaded = m
+	klog.InfoS("load ended", "whole", m != nil, "fence", e.fence)
 	e.coldUntil = e.Clock.Now().Add(e.ColdFor)
 	return e.state(), true
 }
 
-func (e *Engine) fetchAll(ctx context.Context, order Order) (*holding, error) {
+func (e *Engine) fetchOrder(ctx context.Context, order Order) (*loadedModel, error) {
 	weights, size, err := e.fetch(ctx, order.WeightsURL)
 	if err != nil {
 		return nil, err
@@ -74,16 +74,16 @@
 	if order.Size != 0 && size != order.Size {
 		return nil, fmt.Errorf("fetched %d bytes of %d", size, order.Size)
 	}
-	h := &holding{order: order, weights: weights, adapters: map[string]string{}}
+	m := &loadedModel{order: order, weights: weights, adapters: map[string]string{}}
 	for _, a := range order.Adapters {
-		if h.adapters[a.Name], _, err = e.fetch(ctx, a.WeightsURL); err != nil {
+		if m.adapters[a.Name], _, err = e.fetch(ctx, a.WeightsURL); err != nil {
 			return nil, err
 		}
 	}
-	return h, nil
+	return m, nil
 }
 
-// fetch reads all bytes at the address and returns their digest and number.
+// fetch downloads the address and returns the digest and the number of its bytes.
 func (e *Engine) fetch(ctx context.Context, address string) (digest string, size int64, err error) {
 	r, err := http.NewRequestWithContext(ctx, http.MethodGet, address, nil)
 	if err != nil {
@@ -98,16 +98,16 @@
 		return "", 0, fmt.Errorf("weights answered %s", res.Status)
 	}
 	h := sha256.New()
-	size, err = io.Copy(h, io.LimitReader(res.Body, e.loadable(res.ContentLength)))
+	size, err = io.Copy(h, io.LimitReader(res.Body, e.loadLimit(res.ContentLength)))
 	if err != nil {
 		return "", 0, err
 	}
 	leftOut, err := io.Copy(io.Discard, res.Body)
-	return digestText(h.Sum(nil)), size + leftOut, err
+	return formatDigest(h.Sum(nil)), size + leftOut, err
 }
 
-// loadable is how many of a load's bytes the engine really loads.
-func (e *Engine) loadable(size int64) int64 {
+// loadLimit returns the number of bytes to load, which the Partial fault reduces by one.
+func (e *Engine) loadLimit(size int64) int64 {
 	e.mu.Lock()
 	defer e.mu.Unlock()
 	if e.faults.Partial {
--- a/standins/imitator/origin.go
+++ b/standins/imitator/origin.go
@@ -12,16 +12,16 @@
 	"golang.org/x/time/rate"
 )
 
-// pieceBytes is how many bytes pass the link at a time.
+// pieceBytes is the unit of transfer over the link.
 const pieceBytes = 16 << 10
 
-// Origin is a store of weights behind one shared link. The weights are made
-// anew from their seed for each answer, so that no copy is held.
+// Origin is a store of weights behind one shared link. The weights are generated
+// from their seed for each response, so no copy is kept.
 type Origin struct {
-	// Rate is the link's speed in bytes a second, shared by all requests. Zero
+	// Rate is the link's bandwidth in bytes per second, shared by all requests. Zero
 	// means no limit.
 	Rate int64
-	// Seed fixes which chunks are corrupted.
+	// Seed determines which chunks are corrupted.
 	Seed uint64
 
 	mu        sync.Mutex
@@ -30,12 +30,12 @@
 	faults    originFaults
 	counts    originCounts
 	random    *rand.Rand
-	changed   signal
+	changed   notifier
 	link      *rate.Limiter
 }
 
-// Publication names weights to be published. Size and ChunkSize are in bytes.
-// Equal publications give equal weights.
+// Publication describes weights to publish. Size and ChunkSize are in bytes.
+// Equal publications produce equal weights.
 type Publication struct {
 	Model     string `json:"model"`
 	Version   string `json:"version"`
@@ -52,7 +52,7 @@
 	Chunks    []string `json:"chunks"`
 }
 
-// chunkSource is what a chunk's bytes are made from.
+// chunkSource holds the parameters from which a chunk's bytes are generated.
 type chunkSource struct {
 	key  [32]byte
 	size int64
@@ -91,14 +91,14 @@
 // digestOf returns the digest of b in the form "sha256:…".
 func digestOf(b []byte) string {
 	sum := sha256.Sum256(b)
-	return digestText(sum[:])
+	return formatDigest(sum[:])
 }
 
-func digestText(sum []byte) string {
+func formatDigest(sum []byte) string {
 	return "sha256:" + hex.EncodeToString(sum)
 }
 
-// source returns what chunk i of the publication is made from.
+// source returns the source of chunk i of the publication.
 func (p Publication) source(i int64) chunkSource {
 	seed := fmt.Sprintf("%q %q %d %d", p.Model, p.Version, p.Seed, i)
 	return chunkSource{
@@ -107,9 +107,10 @@
 	}
 }
 
-// pieces calls f with the chunk's bytes, a piece at a time, until f returns
-// false. It tells whether f took them all. The piece is reused between calls.
-func (c chunkSource) pieces(f func(piece []byte) bool) bool {
+// eachPiece calls f with the chunk's bytes, a piece at a time, until f returns
+// false. It returns whether f accepted all of them. The piece's buffer is reused
+// between calls.
+func (c chunkSource) eachPiece(f func(piece []byte) bool) bool {
 	g := rand.NewChaCha8(c.key)
 	buffer := make([]byte, pieceBytes)
 	for left := c.size; left > 0; {
@@ -125,15 +126,15 @@
 
 func (c chunkSource) digest() string {
 	h := sha256.New()
-	c.pieces(func(piece []byte) bool {
+	c.eachPiece(func(piece []byte) bool {
 		_, err := h.Write(piece)
 		return err == nil
 	})
-	return digestText(h.Sum(nil))
+	return formatDigest(h.Sum(nil))
 }
 
 // Publish makes the weights available and returns the digest of their manifest.
-// It is called after Handler.
+// Handler must be called first.
 func (o *Origin) Publish(p Publication) (string, error) {
 	if p.Size <= 0 || p.ChunkSize <= 0 {
 		return "", fmt.Errorf("size %d and chunk size %d must be positive", p.Size, p.ChunkSize)
@@ -214,21 +215,22 @@
 	}
 	w.Header().Set("Content-Type", "application/octet-stream")
 	w.Header().Set("Content-Length", fmt.Sprint(c.size))
-	whole := c.pieces(func(piece []byte) bool {
+	whole := c.eachPiece(func(piece []byte) bool {
 		if corrupt {
 			piece[0] ^= 1
 			corrupt = false
 		}
-		return o.send(w, r, piece)
+		return o.sendPiece(w, r, piece)
 	})
 	if !whole {
-		cut()
+		abortConnection()
 	}
 }
 
-// send passes one piece over the link. It tells whether the answer can go on.
-func (o *Origin) send(w http.ResponseWriter, r *http.Request, piece []byte) bool {
-	if !o.holdStall(r) {
+// sendPiece sends one piece over the link. It returns whether the response can
+// continue.
+func (o *Origin) sendPiece(w http.ResponseWriter, r *http.Request, piece []byte) bool {
+	if !o.awaitLink(r) {
 		return false
 	}
 	if err := o.link.WaitN(r.Context(), len(piece)); err != nil {
@@ -241,9 +243,9 @@
 	return err == nil
 }
 
-// holdStall waits while the link stalls. It returns false when the store goes
-// down or the request ends.
-func (o *Origin) holdStall(r *http.Request) bool {
+// awaitLink waits while the link stalls. It returns false if the store goes down or
+// the request ends.
+func (o *Origin) awaitLink(r *http.Request) bool {
 	for {
 		o.mu.Lock()
 		faults, changed := o.faults, o.changed.wait()
@@ -263,7 +265,7 @@
 }
 
 func (o *Origin) setFaults(w http.ResponseWriter, r *http.Request) {
-	takeFaults(w, r, func(faults originFaults) {
+	handleFaults(w, r, func(faults originFaults) {
 		o.mu.Lock()
 		o.faults = faults
 		o.changed.notify()
--- a/standins/imitator/origin_test.go
+++ b/standins/imitator/origin_test.go
@@ -15,11 +15,11 @@
 	return fmt.Sprintf("sha256:%x", sha256.Sum256([]byte(body)))
 }
 
-func TestOriginServesWhatItPublished(t *testing.T) {
+func TestOriginServesPublishedWeights(t *testing.T) {
 	publication := imitator.Publication{Model: "m", Version: "v1", Size: 100_000, ChunkSize: 40_000, Seed: 7}
 	body, err := json.Marshal(publication)
 	must.NoError(t, err)
-	p := startPeer(t, (&imitator.Origin{Rate: 1 << 30}).Handler())
+	p := startServer(t, (&imitator.Origin{Rate: 1 << 30}).Handler())
 	first := p.expect(200, "POST", "/admin/publish", string(body))
 	must.Eq(t, first, p.expect(200, "POST", "/admin/publish", string(body)))
 	var answer struct {
--- a/standins/imitator/reply.go
+++ b/standins/imitator/reply.go
@@ -8,28 +8,28 @@
 	"time"
 )
 
-// maxEventBytes is the greatest size of one event of a reply.
+// maxEventBytes is the maximum size of one event of a reply.
 const maxEventBytes = 1 << 20
 
-// reply is what a caller makes of one answer to a model request.
+// reply is a caller's evaluation of one response to a model request.
 type reply struct {
-	whole   bool // the end mark came and all that it says holds
-	mixed   bool // two events differ in their weights or version
-	broken  bool // it ended without an end mark or an error event
-	cut     bool // the connection ended before the reply did
-	unbegun bool // it was cut before its first event
-	outcome outcome
-	pause   time.Duration // before a retry
+	whole        bool // the final event was received and matches the tokens
+	mixed        bool // two events differ in their weights or version
+	broken       bool // it ended without a valid final event or an error event
+	disconnected bool // the connection ended before the reply did
+	notStarted   bool // it was disconnected before its first event
+	outcome      outcome
+	retryDelay   time.Duration // before a retry
 }
 
-// mayAskAnew tells whether the caller loses nothing by asking again: drafting a
-// text twice does no harm, as long as no part of the first has been read.
-func (r reply) mayAskAnew() bool {
-	return r.outcome == outcomeNotRun || r.unbegun
+// safeToRetry returns whether the request can be repeated. Generating a text twice is
+// harmless as long as no part of the first reply has been read.
+func (r reply) safeToRetry() bool {
+	return r.outcome == outcomeNotRun || r.notStarted
 }
 
-// wireEvent is an event as an entry sends it: an engine's, or a last one with
-// an error.
+// wireEvent is an event as an entry sends it: one from an engine, or a final one
+// with an error.
 type wireEvent struct {
 	Event
 	Error *struct {
@@ -39,16 +39,16 @@
 	} `json:"error"`
 }
 
-// reading is a reply under way, over all connections on which it is read.
-type reading struct {
+// replyReader accumulates a reply over all connections on which it is read.
+type replyReader struct {
 	first      Event
 	tokens     []string
 	mixed      bool
 	misordered bool
 }
 
-// read reads a stream of events to its end, or to where it broke, and checks it.
-func (a *reading) read(body io.Reader) reply {
+// read reads and checks a stream of events until it ends or breaks off.
+func (a *replyReader) read(body io.Reader) reply {
 	r := reply{mixed: a.mixed}
 	lines := bufio.NewScanner(body)
 	lines.Buffer(nil, maxEventBytes)
@@ -64,25 +64,25 @@
 		if v.Error != nil {
 			r.outcome = v.Error.Outcome
 			if len(a.tokens) > 0 && r.outcome == outcomeNotRun {
-				r.outcome = outcomeUnknown // its tokens show that it ran
+				r.outcome = outcomeUnknown // its tokens prove that it ran
 			}
-			r.pause = time.Duration(v.Error.RetryAfterMs) * time.Millisecond
+			r.retryDelay = time.Duration(v.Error.RetryAfterMs) * time.Millisecond
 			return r
 		}
-		a.take(v.Event)
+		a.addEvent(v.Event)
 		r.mixed = a.mixed
 		if v.Done {
-			r.whole = !a.misordered && !a.mixed && ends(v.Event, a.tokens)
+			r.whole = !a.misordered && !a.mixed && endMatches(v.Event, a.tokens)
 			r.broken = !r.whole
 			return r
 		}
 	}
 	r.broken = true
-	r.cut = true
+	r.disconnected = true
 	return r
 }
 
-func (a *reading) take(v Event) {
+func (a *replyReader) addEvent(v Event) {
 	if len(a.tokens) == 0 {
 		a.first = v
 	}
@@ -98,7 +98,7 @@
 	return a.Weights == b.Weights && a.Version == b.Version && a.AdapterWeights == b.AdapterWeights
 }
 
-// ends tells whether the end mark is that of these tokens.
-func ends(last Event, tokens []string) bool {
+// endMatches returns whether the final event matches these tokens.
+func endMatches(last Event, tokens []string) bool {
 	return last.Tokens == len(tokens) && last.Digest == digestOf([]byte(strings.Join(tokens, " ")))
 }
--- a/standins/imitator/service.go
+++ b/standins/imitator/service.go
@@ -11,16 +11,16 @@
 	"k8s.io/utils/clock"
 )
 
-// Service is a plain service whose calls may not be repeated.
+// Service is a plain service whose calls must not be repeated.
 type Service struct {
-	// Clock measures runs and the cold start. Nil means the real clock.
+	// Clock times runs and the cold start. Nil means the real clock.
 	Clock clock.Clock
-	// Time is how long one run takes.
+	// Time is the duration of one run.
 	Time time.Duration
-	// Limit is the number of requests that may run at once. Zero means 64.
+	// Limit is the number of requests that may run concurrently. Zero means 64.
 	Limit int
-	// ColdLimit is the number of requests that may run at once in a cold start.
-	// Zero means 2.
+	// ColdLimit is the number of requests that may run concurrently during a cold
+	// start. Zero means 2.
 	ColdLimit int
 	// ColdFor is how long a cold start lasts.
 	ColdFor time.Duration
@@ -33,7 +33,7 @@
 	bookings map[string]int64
 	faults   serviceFaults
 	counts   serviceCounts
-	hang     hanger
+	gate     hangGate
 }
 
 type serviceFaults struct {
@@ -43,7 +43,7 @@
 	DropAnswers bool  `json:"dropAnswers"`
 	// Unframed replies have neither a length nor chunks and end with their connection.
 	Unframed bool `json:"unframed"`
-	// ResetReplies breaks replies off in their middle.
+	// ResetReplies resets connections in the middle of a reply.
 	ResetReplies bool `json:"resetReplies"`
 }
 
@@ -58,7 +58,7 @@
 
 // Handler returns the service's HTTP interface.
 func (s *Service) Handler() http.Handler {
-	s.Clock = clockOr(s.Clock)
+	s.Clock = clockOrReal(s.Clock)
 	if s.Limit == 0 {
 		s.Limit = 64
 	}
@@ -69,14 +69,14 @@
 	s.restart()
 	m := http.NewServeMux()
 	m.HandleFunc("GET /state", s.getState)
-	m.HandleFunc("POST /{path...}", s.call)
+	m.HandleFunc("POST /{path...}", s.handleCall)
 	m.HandleFunc("GET /admin/counts", s.getCounts)
 	m.HandleFunc("GET /admin/bookings", s.getBookings)
 	m.HandleFunc("POST /admin/faults", s.setFaults)
 	return m
 }
 
-// restart cuts all runs and begins a cold start.
+// restart aborts all runs and starts a cold start.
 func (s *Service) restart() {
 	if s.stopped != nil {
 		close(s.stopped)
@@ -92,7 +92,7 @@
 }
 
 func (s *Service) getState(w http.ResponseWriter, r *http.Request) {
-	if !s.hang.holdRequest(r) {
+	if !s.gate.awaitRequest(r) {
 		return
 	}
 	s.mu.Lock()
@@ -106,22 +106,22 @@
 	writeJSON(w, http.StatusOK, state)
 }
 
-func (s *Service) call(w http.ResponseWriter, r *http.Request) {
-	if !s.hang.holdRequest(r) {
+func (s *Service) handleCall(w http.ResponseWriter, r *http.Request) {
+	if !s.gate.awaitRequest(r) {
 		return
 	}
 	booking := r.Header.Get("Booking")
-	stopped, run := s.begin(booking)
+	stopped, run := s.startRun(booking)
 	if stopped == nil {
-		cut()
+		abortConnection()
 	}
 	s.mu.Lock()
 	d := s.Time + time.Duration(s.faults.SlowMs)*time.Millisecond
 	s.mu.Unlock()
-	whole := pause(s.Clock, d, stopped)
-	dropped := s.end(stopped)
+	whole := sleep(s.Clock, d, stopped)
+	dropped := s.endRun(stopped)
 	if !whole || dropped {
-		cut()
+		abortConnection()
 	}
 	s.mu.Lock()
 	unframed, resets := s.faults.Unframed, s.faults.ResetReplies
@@ -140,10 +140,10 @@
 	}{booking, run, "/" + r.PathValue("path")})
 }
 
-// begin counts a run and returns the channel that tells when it is cut, with
-// the number of runs of this booking. The channel is nil when this request made
-// the service fall over.
-func (s *Service) begin(booking string) (stopped chan struct{}, run int64) {
+// startRun counts a run and returns a channel that is closed when the run is
+// aborted, with the number of runs of this booking. The channel is nil if this
+// request overloaded the service and made it restart.
+func (s *Service) startRun(booking string) (stopped chan struct{}, run int64) {
 	s.mu.Lock()
 	defer s.mu.Unlock()
 	s.counts.LastWorkAt = s.Clock.Now()
@@ -176,9 +176,8 @@
 	}
 }
 
-// end takes a run out of the running ones and tells whether its answer is
-// dropped.
-func (s *Service) end(stopped chan struct{}) bool {
+// endRun ends a run and returns whether its answer is dropped.
+func (s *Service) endRun(stopped chan struct{}) bool {
 	s.mu.Lock()
 	defer s.mu.Unlock()
 	if s.stopped == stopped {
@@ -188,14 +187,14 @@
 }
 
 func (s *Service) setFaults(w http.ResponseWriter, r *http.Request) {
-	takeFaults(w, r, func(faults serviceFaults) {
+	handleFaults(w, r, func(faults serviceFaults) {
 		s.mu.Lock()
 		s.faults = faults
 		if faults.Restart {
 			s.restart()
 		}
 		s.mu.Unlock()
-		s.hang.set(faults.Hang)
+		s.gate.setHanging(faults.Hang)
 	})
 }
 
--- a/standins/imitator/service_test.go
+++ b/standins/imitator/service_test.go
@@ -12,7 +12,7 @@
 	"github.com/oriolecroft/oriolecroft/standins/imitator"
 )
 
-func book(p peer, name string) int {
+func book(p testServer, name string) int {
 	r, err := http.NewRequest(http.MethodPost, p.url+"/bookings", strings.NewReader(`{}`))
 	must.NoError(p.t, err)
 	r.Header.Set("Booking", name)
@@ -24,10 +24,10 @@
 	return res.StatusCode
 }
 
-// A booking runs, but its answer is lost. Whoever takes this for "not run" and
-// books again has doubled it.
+// A booking runs, but its answer is lost. A caller that treats this as "not run" and
+// books again runs it twice.
 func TestServiceDropsAnswers(t *testing.T) {
-	p := startPeer(t, (&imitator.Service{}).Handler())
+	p := startServer(t, (&imitator.Service{}).Handler())
 	p.expect(200, "POST", "/admin/faults", `{"dropAnswers":true}`)
 	must.Eq(t, 0, book(p, "a"))
 	p.expect(200, "POST", "/admin/faults", `{}`)
@@ -37,12 +37,12 @@
 	must.StrContains(t, p.expect(200, "GET", "/admin/bookings", ""), `{"a":2,"b":1}`)
 }
 
-// More bookings than a cold service bears come at once. It falls over, and cuts
-// the one that it bore.
-func TestServiceFallsOverWhenCold(t *testing.T) {
+// A cold service receives more concurrent bookings than its ColdLimit. It restarts
+// and aborts the running one.
+func TestServiceCrashesUnderLoadWhenCold(t *testing.T) {
 	c := clocktesting.NewFakeClock(epoch)
 	s := &imitator.Service{Clock: c, Time: time.Second, ColdLimit: 1, ColdFor: time.Minute}
-	p := startPeer(t, s.Handler())
+	p := startServer(t, s.Handler())
 	statuses := make(chan int)
 	go func() { statuses <- book(p, "a") }()
 	awaitTimers(c, 1)
--- a/standins/imitator/session.go
+++ b/standins/imitator/session.go
@@ -18,15 +18,15 @@
 	"k8s.io/klog/v2"
 )
 
-// outcome is the system's own word on whether a request has run.
+// outcome states whether a request has run, as reported by the system.
 type outcome string
 
 const (
 	outcomeRan     outcome = "ran"
 	outcomeNotRun  outcome = "notRun"
 	outcomeUnknown outcome = "unknown"
-	// outcomeNotSent is the caller's own word: this try left the machine for no
-	// entry, so that what was known of earlier tries still holds.
+	// outcomeNotSent is never received: the caller sets it if this attempt was sent
+	// to no entry, so that the outcome of earlier attempts still applies.
 	outcomeNotSent outcome = ""
 
 	outcomeHeader   = "Oriolecroft-Outcome"
@@ -34,29 +34,29 @@
 	keyHeader       = "Oriolecroft-Key"
 	resumeHeader    = "Oriolecroft-Resume"
 
-	askTimeout  = 5 * time.Second // for the list of entries and for keys
-	dialTimeout = 2 * time.Second
+	lookupTimeout = 5 * time.Second // for the list of entries and for keys
+	dialTimeout   = 2 * time.Second
 )
 
-// session is one caller with its own copy of the list of entries.
+// session is one simulated caller with its own copy of the list of entries.
 type session struct {
-	caller  *Caller
-	random  *rand.Rand
-	http    *http.Client
-	entries []netip.AddrPort
-	expires time.Time
-	last    netip.AddrPort // the entry of the last call
+	caller    *Caller
+	random    *rand.Rand
+	http      *http.Client
+	entries   []netip.AddrPort
+	expires   time.Time
+	lastEntry netip.AddrPort // the entry of the last call
 }
 
-// entryAddresses returns the known entries, best first. A list that has outlived
-// its time is asked for anew; when nobody answers the old one is used.
+// entryAddresses returns the known entries in order of preference. An expired list
+// is requested again; if that fails, the old one is used.
 func (s *session) entryAddresses() []netip.AddrPort {
 	now := s.caller.Clock.Now()
 	if len(s.entries) > 0 && now.Before(s.expires) {
 		return s.entries
 	}
 	for _, i := range s.random.Perm(len(s.caller.Entries)) {
-		if s.askEntries(s.caller.Entries[i]) {
+		if s.fetchEntries(s.caller.Entries[i]) {
 			return s.entries
 		}
 	}
@@ -66,8 +66,8 @@
 	return s.caller.Entries
 }
 
-func (s *session) askEntries(address netip.AddrPort) bool {
-	ctx, cancel := context.WithTimeout(context.Background(), askTimeout)
+func (s *session) fetchEntries(address netip.AddrPort) bool {
+	ctx, cancel := context.WithTimeout(context.Background(), lookupTimeout)
 	defer cancel()
 	r, err := http.NewRequestWithContext(ctx, http.MethodGet, "http://"+address.String()+"/v1/entries", nil)
 	if err != nil {
@@ -99,13 +99,13 @@
 	return true
 }
 
-// dialFailed tells whether the error came before anything was sent.
+// dialFailed returns whether the error occurred before anything was sent.
 func dialFailed(err error) bool {
 	var op *net.OpError
 	return errors.As(err, &op) && op.Op == "dial"
 }
 
-// unsentError tells that no entry could be connected to, so nothing was sent.
+// unsentError is returned if no entry accepted a connection, so nothing was sent.
 type unsentError struct {
 	tried []netip.AddrPort
 }
@@ -119,12 +119,12 @@
 	return errors.As(err, &unsent)
 }
 
-// send posts the body to the first entry that it can connect to. It leaves the
-// last call's entry for the end when another is wanted.
-func (s *session) send(ctx context.Context, path string, h http.Header, body []byte, another bool) (*http.Response, error) {
+// send posts the body to the first entry that it can connect to. With avoidLast it
+// tries the entry of the last call after all others.
+func (s *session) send(ctx context.Context, path string, header http.Header, body []byte, avoidLast bool) (*http.Response, error) {
 	addresses := slices.Clone(s.entryAddresses())
-	if another {
-		addresses = lastly(addresses, s.last)
+	if avoidLast {
+		addresses = moveToEnd(addresses, s.lastEntry)
 	}
 	for _, a := range addresses {
 		address := "http://" + a.String() + path
@@ -132,8 +132,8 @@
 		if err != nil {
 			return nil, err
 		}
-		r.Header = h.Clone()
-		s.last = a
+		r.Header = header.Clone()
+		s.lastEntry = a
 		res, err := s.http.Do(r)
 		if dialFailed(err) {
 			continue
@@ -144,8 +144,8 @@
 	return nil, &unsentError{tried: addresses}
 }
 
-// lastly moves a to the end of the addresses that it is among.
-func lastly(addresses []netip.AddrPort, a netip.AddrPort) []netip.AddrPort {
+// moveToEnd moves a to the end of the addresses if they contain it.
+func moveToEnd(addresses []netip.AddrPort, a netip.AddrPort) []netip.AddrPort {
 	i := slices.Index(addresses, a)
 	if i < 0 {
 		return addresses
@@ -153,17 +153,17 @@
 	return append(slices.Delete(addresses, i, i+1), a)
 }
 
-// refusal is the answer to a request that was not served.
+// refusal describes the response to a request that was not served.
 type refusal struct {
-	outcome outcome
-	pause   time.Duration // before a retry
+	outcome    outcome
+	retryDelay time.Duration // before a retry
 }
 
-// readRefusal reads a response other than 200. A response without a known
-// outcome counts as unknown.
+// readRefusal reads a response with a status other than 200. A response without a
+// recognized outcome counts as unknown.
 func readRefusal(res *http.Response) refusal {
 	defer res.Body.Close()
-	f := refusal{outcome: outcomeUnknown, pause: defaultPause}
+	f := refusal{outcome: outcomeUnknown, retryDelay: defaultPause}
 	switch o := outcome(res.Header.Get(outcomeHeader)); o {
 	case outcomeRan, outcomeNotRun:
 		f.outcome = o
@@ -176,16 +176,16 @@
 	seconds, _ := strconv.ParseInt(res.Header.Get("Retry-After"), 10, 64)
 	switch {
 	case err == nil && body.RetryAfterMs > 0:
-		f.pause = time.Duration(body.RetryAfterMs) * time.Millisecond
+		f.retryDelay = time.Duration(body.RetryAfterMs) * time.Millisecond
 	case seconds > 0:
-		f.pause = time.Duration(seconds) * time.Second
+		f.retryDelay = time.Duration(seconds) * time.Second
 	}
 	klog.V(1).InfoS("refused", "status", res.StatusCode, "outcome", f.outcome, "error", body.Error)
 	return f
 }
 
-// rest waits before a retry, with some jitter.
-func (s *session) rest(d time.Duration) {
+// waitBeforeRetry waits for d, at most maxPause, plus up to 25% jitter.
+func (s *session) waitBeforeRetry(d time.Duration) {
 	d = min(d, maxPause)
 	d += time.Duration(s.random.Int64N(int64(d)/4 + 1))
 	s.caller.Clock.Sleep(d)
--- a/standins/imitator/stream.go
+++ b/standins/imitator/stream.go
@@ -24,13 +24,13 @@
 	Version string `json:"version"`
 	// Weights is the digest of the bytes that the engine loaded.
 	Weights string `json:"weights"`
-	// AdapterWeights is the same of the adapter's bytes, if one was used.
+	// AdapterWeights is the digest of the adapter's bytes, if one was used.
 	AdapterWeights string `json:"adapterWeights"`
-	// Digest is that of all tokens joined by a space.
+	// Digest is the digest of all tokens joined by spaces.
 	Digest string `json:"digest"`
 }
 
-// MarshalJSON writes the fields of a token or those of the last event.
+// MarshalJSON encodes the fields of a token event or those of the last event.
 func (v Event) MarshalJSON() ([]byte, error) {
 	if v.Done {
 		return json.Marshal(struct {
@@ -52,14 +52,14 @@
 }
 
 const (
-	defaultTokens   = 16
-	keptStreams     = 1024 // ended streams that can still be resumed
-	batchKnee       = 8    // running requests beyond which tokens slow down
-	slowBlockTokens = 1    // token times that one uncached block of a prompt costs
+	defaultTokens       = 16
+	maxEndedStreams     = 1024 // ended streams that can still be resumed
+	fullSpeedBatch      = 8    // batch size above which token generation slows down
+	uncachedBlockTokens = 1    // cost of an uncached block of a prompt, in token intervals
 )
 
-// generation is the body of a request to generate.
-type generation struct {
+// generateRequest is the body of POST /generate.
+type generateRequest struct {
 	RequestID string `json:"requestId"`
 	Prompt    string `json:"prompt"`
 	MaxTokens int    `json:"maxTokens"`
@@ -67,22 +67,22 @@
 	Adapter   string `json:"adapter"`
 }
 
-// stream is one request's reply so far. Its fields are guarded by the engine's
-// mutex.
+// stream holds one request and its reply so far. Its fields are guarded by the
+// engine's mutex.
 type stream struct {
-	request generation
-	held    *holding // what was loaded when the request came
+	request generateRequest
+	loaded  *loadedModel // the model loaded when the request arrived
 	events  []Event
 	tokens  []string
 	running bool
-	ended   bool          // no event follows, the last one may be Done
-	lost    bool          // cut: the connections are to be closed
+	ended   bool          // no event follows, but the last one may be missing
+	aborted bool          // ended by a load or restart; connections are closed
 	stopped chan struct{} // closed when ended
-	changed signal
+	changed notifier
 }
 
 func (e *Engine) generate(w http.ResponseWriter, r *http.Request) {
-	var g generation
+	var g generateRequest
 	if !readJSON(w, r, &g) {
 		return
 	}
@@ -95,23 +95,23 @@
 	s, status, text := e.accept(g)
 	if s == nil {
 		if status == 0 {
-			cut()
+			abortConnection()
 		}
 		writeError(w, status, text)
 		return
 	}
-	e.serve(w, r, s, 0)
+	e.writeStream(w, r, s, 0)
 }
 
-// accept puts the request into the queue and starts what can run. It returns no
-// stream but a status when it refuses, and status 0 when the engine fell over.
-func (e *Engine) accept(g generation) (s *stream, status int, text string) {
+// accept queues the request and starts requests that can run. If it refuses, it
+// returns a status in place of a stream, with status 0 if the engine crashed.
+func (e *Engine) accept(g generateRequest) (s *stream, status int, text string) {
 	e.mu.Lock()
 	defer e.mu.Unlock()
-	if e.held == nil {
+	if e.loaded == nil {
 		return nil, http.StatusServiceUnavailable, "nothing is loaded"
 	}
-	if _, ok := e.held.adapters[g.Adapter]; g.Adapter != "" && !ok {
+	if _, ok := e.loaded.adapters[g.Adapter]; g.Adapter != "" && !ok {
 		return nil, http.StatusNotFound, "no such adapter"
 	}
 	if _, ok := e.streams[g.RequestID]; ok {
@@ -120,20 +120,20 @@
 	e.counts.Requests++
 	e.counts.LastWorkAt = e.Clock.Now()
 	if e.running+len(e.queued) >= e.Limit+e.Queue {
-		e.fallOver("queue is full")
+		e.crash("queue is full")
 		return nil, 0, ""
 	}
-	s = &stream{request: g, held: e.held, stopped: make(chan struct{})}
+	s = &stream{request: g, loaded: e.loaded, stopped: make(chan struct{})}
 	e.streams[g.RequestID] = s
 	e.enqueue(s)
 	e.startQueued()
-	if s.lost {
+	if s.aborted {
 		return nil, 0, ""
 	}
 	return s, 0, ""
 }
 
-// enqueue keeps the queue ordered by priority, greatest first, then by arrival.
+// enqueue inserts the stream by priority, highest first, then by arrival.
 func (e *Engine) enqueue(s *stream) {
 	i := slices.IndexFunc(e.queued, func(q *stream) bool {
 		return q.request.Priority < s.request.Priority
@@ -144,8 +144,8 @@
 	e.queued = slices.Insert(e.queued, i, s)
 }
 
-// startQueued fills the batch from the queue. A cold engine knows no better
-// than to fill it too, and falls over.
+// startQueued fills the batch from the queue. A cold engine does so as well and
+// crashes if the batch exceeds ColdLimit.
 func (e *Engine) startQueued() {
 	for len(e.queued) > 0 && e.running < e.Limit {
 		s := e.queued[0]
@@ -156,93 +156,94 @@
 			e.counts.WorstCold = max(e.counts.WorstCold, e.running)
 		}
 		if e.cold() && e.running > e.ColdLimit {
-			e.fallOver("cold")
+			e.crash("cold")
 			return
 		}
-		go e.run(s)
+		go e.runStream(s)
 	}
-	e.sample()
+	e.recordLoad()
 }
 
-// run emits the stream's tokens.
-func (e *Engine) run(s *stream) {
+// runStream generates the stream's tokens.
+func (e *Engine) runStream(s *stream) {
 	e.mu.Lock()
-	first := e.firstToken(s)
+	first := e.timeToFirstToken(s)
 	e.mu.Unlock()
-	if !pause(e.Clock, first, s.stopped) {
+	if !sleep(e.Clock, first, s.stopped) {
 		return
 	}
 	for {
-		if !e.hang.hold(s.stopped) {
+		if !e.gate.await(s.stopped) {
 			return
 		}
-		d, more := e.emit(s)
-		if !more || !pause(e.Clock, d, s.stopped) {
+		d, more := e.emitToken(s)
+		if !more || !sleep(e.Clock, d, s.stopped) {
 			return
 		}
 	}
 }
 
-// firstToken returns the time to the first token: the blocks of the prompt that
-// the cache lacks have to be worked through.
-func (e *Engine) firstToken(s *stream) time.Duration {
+// timeToFirstToken returns the time to the first token, which grows with the number of
+// uncached blocks of the prompt. It adds the prompt's prefixes to the cache.
+func (e *Engine) timeToFirstToken(s *stream) time.Duration {
 	blocks := prefixes(s.request.Prompt)
-	missing := len(blocks) - e.cache.hit(blocks)
+	missing := len(blocks) - e.cache.countHits(blocks)
 	for _, p := range blocks {
 		e.cache.store(p, e.Clock.Now())
 	}
-	return time.Duration(1+missing*slowBlockTokens) * e.step(e.running)
+	return time.Duration(1+missing*uncachedBlockTokens) * e.tokenInterval(e.running)
 }
 
-// step returns the time from one token to the next in a batch of that size.
-func (e *Engine) step(running int) time.Duration {
+// tokenInterval returns the time between tokens in a batch of running requests.
+func (e *Engine) tokenInterval(running int) time.Duration {
 	d := e.TokenTime + time.Duration(e.faults.SlowMs)*time.Millisecond
-	if running > batchKnee {
-		d = d * time.Duration(running) / batchKnee
+	if running > fullSpeedBatch {
+		d = d * time.Duration(running) / fullSpeedBatch
 	}
 	return d
 }
 
-// emit adds the next token and, after the last one, the end mark. It returns the
-// time to the next token.
-func (e *Engine) emit(s *stream) (time.Duration, bool) {
+// emitToken adds the next token and, after the last one, the final event. It returns
+// the time to the next token and whether there is one.
+func (e *Engine) emitToken(s *stream) (time.Duration, bool) {
 	e.mu.Lock()
 	defer e.mu.Unlock()
 	if s.ended {
 		return 0, false
 	}
-	if e.held != s.held {
+	if e.loaded != s.loaded {
 		e.counts.Mixed++
 	}
 	v := Event{
 		Index:          len(s.tokens),
-		Version:        s.held.order.Version,
-		Weights:        s.held.weights,
-		AdapterWeights: s.held.adapters[s.request.Adapter],
+		Version:        s.loaded.order.Version,
+		Weights:        s.loaded.weights,
+		AdapterWeights: s.loaded.adapters[s.request.Adapter],
 	}
 	v.Token = tokenText(s.request.Prompt, v)
 	s.tokens = append(s.tokens, v.Token)
 	s.events = append(s.events, v)
 	s.changed.notify()
 	if len(s.tokens) < s.request.MaxTokens {
-		return e.step(e.running), true
+		return e.tokenInterval(e.running), true
 	}
-	e.finish(s, v)
+	e.finishStream(s, v)
 	return 0, false
 }
 
-func (e *Engine) finish(s *stream, last Event) {
+func (e *Engine) finishStream(s *stream, last Event) {
 	last.Index, last.Token = 0, ""
 	last.Done = true
 	last.Tokens = len(s.tokens)
 	last.Digest = digestOf([]byte(strings.Join(s.tokens, " ")))
 	s.events = append(s.events, last)
 	e.counts.Finished++
-	e.end(s)
+	e.endStream(s)
 }
 
-// end takes the stream out of the batch or the queue and keeps it for a while.
-func (e *Engine) end(s *stream) {
+// endStream removes the stream from the batch or queue. The stream can be resumed
+// until maxEndedStreams further streams have ended.
+func (e *Engine) endStream(s *stream) {
 	s.ended = true
 	close(s.stopped)
 	s.changed.notify()
@@ -251,43 +252,43 @@
 	} else {
 		e.queued = slices.DeleteFunc(e.queued, func(q *stream) bool { return q == s })
 	}
-	e.finished = append(e.finished, s.request.RequestID)
-	if len(e.finished) > keptStreams {
-		delete(e.streams, e.finished[0])
-		e.finished = e.finished[1:]
+	e.endedIDs = append(e.endedIDs, s.request.RequestID)
+	if len(e.endedIDs) > maxEndedStreams {
+		delete(e.streams, e.endedIDs[0])
+		e.endedIDs = e.endedIDs[1:]
 	}
 	e.startQueued()
 }
 
-// cutStreams ends all streams without an end mark, forgets them and returns how
-// many of them were running or queued.
-func (e *Engine) cutStreams() int {
+// abortStreams ends all streams without a final event, discards them and returns the
+// number that were running or queued.
+func (e *Engine) abortStreams() int {
 	n := 0
 	for _, s := range e.streams {
 		if s.ended {
 			continue
 		}
 		n++
-		s.ended, s.lost = true, true
+		s.ended, s.aborted = true, true
 		close(s.stopped)
 		s.changed.notify()
 	}
 	clear(e.streams)
-	e.finished = nil
+	e.endedIDs = nil
 	e.running = 0
 	e.queued = nil
 	return n
 }
 
-// tokenText depends on the prompt, the index and the weights only.
+// tokenText derives a token from the prompt, the index and the weights only.
 func tokenText(prompt string, v Event) string {
 	text := fmt.Sprintf("%q %d %s %s", prompt, v.Index, v.Weights, v.AdapterWeights)
 	sum := sha256.Sum256([]byte(text))
 	return hex.EncodeToString(sum[:4])
 }
 
-// serve writes the stream's events from the given one on.
-func (e *Engine) serve(w http.ResponseWriter, r *http.Request, s *stream, from int) {
+// writeStream sends the stream's events, starting with index from.
+func (e *Engine) writeStream(w http.ResponseWriter, r *http.Request, s *stream, from int) {
 	w.Header().Set("Content-Type", "text/event-stream")
 	e.mu.Lock()
 	unframed, torn := e.faults.Unframed, e.faults.Torn
@@ -303,17 +304,17 @@
 		if from < len(s.events) {
 			events = s.events[from:]
 		}
-		ended, lost, changed := s.ended, s.lost, s.changed.wait()
+		ended, lost, changed := s.ended, s.aborted, s.changed.wait()
 		e.mu.Unlock()
 		if lost {
-			cut()
+			abortConnection()
 		}
 		if err := writeEvents(w, events); err != nil {
 			return
 		}
 		from += len(events)
 		if torn && from > 0 {
-			// Nobody may take the connection's end for the reply's.
+			// Clients must not mistake the end of the connection for the end of the reply.
 			_, _ = io.WriteString(w, "data: {\"index\"")
 			return
 		}
@@ -344,7 +345,7 @@
 	return nil
 }
 
-func (e *Engine) find(w http.ResponseWriter, r *http.Request) *stream {
+func (e *Engine) findStream(w http.ResponseWriter, r *http.Request) *stream {
 	e.mu.Lock()
 	s := e.streams[r.PathValue("id")]
 	e.mu.Unlock()
@@ -364,20 +365,20 @@
 		}
 		from = n
 	}
-	if s := e.find(w, r); s != nil {
-		e.serve(w, r, s, from)
+	if s := e.findStream(w, r); s != nil {
+		e.writeStream(w, r, s, from)
 	}
 }
 
 func (e *Engine) cancel(w http.ResponseWriter, r *http.Request) {
-	s := e.find(w, r)
+	s := e.findStream(w, r)
 	if s == nil {
 		return
 	}
 	e.mu.Lock()
 	if !s.ended {
 		e.counts.Cancelled++
-		e.end(s)
+		e.endStream(s)
 	}
 	e.mu.Unlock()
 	writeJSON(w, http.StatusOK, struct{}{})
--- a/standins/main.go
+++ b/standins/main.go
@@ -1,7 +1,7 @@
-// Standins plays the systems outside oriolecroft, one per sub-command: the
+// Standins simulates the systems outside oriolecroft, one per sub-command: the
 // key-value service, the list of VMs, the weight store and origin, a model
-// engine, a plain service, and the callers with their checks. It serves the
-// demo and trials by hand; it is no cluster simulator.
+// engine, a plain service, and the callers with their checks. It is meant for the
+// demo and manual trials and does not simulate a cluster.
 package main
 
 import (
@@ -20,7 +20,7 @@
 	"k8s.io/klog/v2"
 )
 
-// shutdownGrace is how long the answers under way may take after SIGTERM.
+// shutdownGrace is the time limit for responses in progress after SIGTERM.
 const shutdownGrace = 2 * time.Second
 
 // command is one sub-command.
@@ -69,7 +69,7 @@
 	return s
 }
 
-// serve answers on the address until ctx is done.
+// serve handles HTTP requests on the address until ctx is done.
 func serve(ctx context.Context, listen netip.AddrPort, h http.Handler) error {
 	l, err := net.Listen("tcp", listen.String())
 	if err != nil {
@@ -92,8 +92,8 @@
 	return s.Close()
 }
 
-// split returns the parts of a list separated by commas.
-func split(list string) []string {
+// splitList returns the non-empty parts of a comma-separated list.
+func splitList(list string) []string {
 	var parts []string
 	for p := range strings.SplitSeq(list, ",") {
 		if p = strings.TrimSpace(p); p != "" {
@@ -103,10 +103,10 @@
 	return parts
 }
 
-// addresses returns the addresses of a list separated by commas.
-func addresses(list string) ([]netip.AddrPort, error) {
+// parseAddresses returns the addresses in a comma-separated list.
+func parseAddresses(list string) ([]netip.AddrPort, error) {
 	var all []netip.AddrPort
-	for _, p := range split(list) {
+	for _, p := range splitList(list) {
 		a, err := netip.ParseAddrPort(p)
 		if err != nil {
 			return nil, err
