--- a/standins/imitator/book.go
+++ b/standins/imitator/book.go
@@ -40,7 +40,7 @@
 // empty and the refusal states the delay before a retry; it counts as not run
 // because nothing of the booking was sent.
 func (s *session) newKey(avoidLast bool) (string, refusal) {
-	failed := refusal{outcome: outcomeNotRun, retryDelay: defaultPause}
+	failed := refusal{outcome: outcomeNotRun, retryDelay: defaultRetryDelay}
 	ctx, cancel := context.WithTimeout(context.Background(), lookupTimeout)
 	defer cancel()
 	body, err := json.Marshal(struct {
@@ -79,10 +79,10 @@
 	path := "/v1/services/" + url.PathEscape(s.caller.Service) + "/bookings"
 	res, err := s.send(ctx, path, header, []byte(`{"slot":"`+name+`"}`), avoidLast)
 	if isUnsent(err) {
-		return refusal{outcome: outcomeNotSent, retryDelay: defaultPause}
+		return refusal{outcome: outcomeNotSent, retryDelay: defaultRetryDelay}
 	}
 	if err != nil {
-		return refusal{outcome: outcomeUnknown, retryDelay: defaultPause}
+		return refusal{outcome: outcomeUnknown, retryDelay: defaultRetryDelay}
 	}
 	if res.StatusCode != http.StatusOK {
 		return readRefusal(res)
@@ -92,7 +92,7 @@
 		Booking string `json:"booking"`
 	}
 	if json.NewDecoder(res.Body).Decode(&answer) != nil || answer.Booking != name {
-		return refusal{outcome: outcomeUnknown, retryDelay: defaultPause}
+		return refusal{outcome: outcomeUnknown, retryDelay: defaultRetryDelay}
 	}
 	return refusal{outcome: outcomeRan}
 }
--- a/standins/imitator/caller.go
+++ b/standins/imitator/caller.go
@@ -26,11 +26,11 @@
 )
 
 const (
-	maxRetries   = 5
-	maxLatency   = time.Hour
-	defaultPause = 200 * time.Millisecond // before a retry without Retry-After
-	maxPause     = 5 * time.Second
-	promptTokens = 24 // tokens requested by each model request
+	maxRetries        = 5
+	maxLatency        = time.Hour
+	defaultRetryDelay = 200 * time.Millisecond // before a retry without Retry-After
+	maxRetryDelay     = 5 * time.Second
+	promptTokens      = 24 // tokens requested by each model request
 )
 
 // Caller simulates callers of the system and checks each response.
--- a/standins/imitator/checker.go
+++ b/standins/imitator/checker.go
@@ -42,8 +42,8 @@
 	Bookings int `json:"bookings"`
 	// Doubled counts bookings that ran more than once over all services.
 	Doubled int `json:"doubled"`
-	// FalseNotRun counts bookings that ran although their caller was informed that
-	// they had not, or have no caller result.
+	// FalseNotRun counts bookings that ran although their caller recorded them as
+	// not run, or no caller recorded them.
 	FalseNotRun int   `json:"falseNotRun"`
 	Mixed       int   `json:"mixed"`
 	OriginBytes int64 `json:"originBytes"`
--- a/standins/imitator/ask.go
+++ b/standins/imitator/generate.go
@@ -41,10 +41,10 @@
 	header := http.Header{"Content-Type": {"application/json"}}
 	res, err := s.send(ctx, "/v1/generate", header, body, avoidLast)
 	if isUnsent(err) {
-		return reply{outcome: outcomeNotRun, retryDelay: defaultPause}
+		return reply{outcome: outcomeNotRun, retryDelay: defaultRetryDelay}
 	}
 	if err != nil {
-		return reply{broken: true, notStarted: true, retryDelay: defaultPause}
+		return reply{broken: true, notStarted: true, retryDelay: defaultRetryDelay}
 	}
 	if res.StatusCode != http.StatusOK {
 		f := readRefusal(res)
@@ -54,7 +54,7 @@
 	var a replyReader
 	r := a.read(res.Body)
 	if r.disconnected && len(a.tokens) == 0 {
-		r.notStarted, r.retryDelay = true, defaultPause
+		r.notStarted, r.retryDelay = true, defaultRetryDelay
 		return r
 	}
 	if r.disconnected {
--- a/standins/imitator/load.go
+++ b/standins/imitator/load.go
@@ -102,8 +102,8 @@
 	if err != nil {
 		return "", 0, err
 	}
-	leftOut, err := io.Copy(io.Discard, res.Body)
-	return formatDigest(h.Sum(nil)), size + leftOut, err
+	discarded, err := io.Copy(io.Discard, res.Body)
+	return formatDigest(h.Sum(nil)), size + discarded, err
 }
 
 // loadLimit returns the number of bytes to load, which the Partial fault reduces by one.
--- a/standins/imitator/session.go
+++ b/standins/imitator/session.go
@@ -163,7 +163,7 @@
 // recognized outcome counts as unknown.
 func readRefusal(res *http.Response) refusal {
 	defer res.Body.Close()
-	f := refusal{outcome: outcomeUnknown, retryDelay: defaultPause}
+	f := refusal{outcome: outcomeUnknown, retryDelay: defaultRetryDelay}
 	switch o := outcome(res.Header.Get(outcomeHeader)); o {
 	case outcomeRan, outcomeNotRun:
 		f.outcome = o
@@ -184,9 +184,9 @@
 	return f
 }
 
-// waitBeforeRetry waits for d, at most maxPause, plus up to 25% jitter.
+// waitBeforeRetry waits for d, at most maxRetryDelay, plus up to 25% jitter.
 func (s *session) waitBeforeRetry(d time.Duration) {
-	d = min(d, maxPause)
+	d = min(d, maxRetryDelay)
 	d += time.Duration(s.random.Int64N(int64(d)/4 + 1))
 	s.caller.Clock.Sleep(d)
 }
--- a/standins/imitator/stream.go
+++ b/standins/imitator/stream.go
@@ -304,9 +304,9 @@
 		if from < len(s.events) {
 			events = s.events[from:]
 		}
-		ended, lost, changed := s.ended, s.aborted, s.changed.wait()
+		ended, aborted, changed := s.ended, s.aborted, s.changed.wait()
 		e.mu.Unlock()
-		if lost {
+		if aborted {
 			abortConnection()
 		}
 		if err := writeEvents(w, events); err != nil {
