--- a/soak/auditor/arrivals.go
+++ b/soak/auditor/arrivals.go
@@ -5,63 +5,63 @@
 	"time"
 )
 
-// deadlineSlack is what an upstream may be told beyond the caller's limit, and
-// toleratedLonger how often it may be more.
+// deadlineSlack is how far the time limit sent to an upstream may exceed the caller's, and
+// toleratedLonger how often it may exceed that.
 const (
 	deadlineSlack   = 500 * time.Millisecond
 	toleratedLonger = 20
-	// leftSlack is how long after a caller left its request may still arrive, and
-	// toleratedGone how often it may be longer.
-	leftSlack     = 500 * time.Millisecond
-	toleratedGone = 3
-	// restSlack is how long after its answer an upstream may get what was on its way, and
-	// toleratedInRest how many requests more.
-	restSlack       = 500 * time.Millisecond
-	toleratedInRest = 2
+	// departureSlack is how long after its caller left a request may still arrive, and toleratedGone how
+	// often it may take longer.
+	departureSlack = 500 * time.Millisecond
+	toleratedGone  = 3
+	// backoffSlack is how long after an upstream's answer requests already in transit may arrive, and
+	// toleratedInBackoff how many more may.
+	backoffSlack       = 500 * time.Millisecond
+	toleratedInBackoff = 2
 )
 
-// judgeArrival judges a request that reached an upstream.
-func (a *Auditor) judgeArrival(e Arrived) {
+// checkArrival checks a request that reached an upstream.
+func (a *Auditor) checkArrival(e Arrived) {
 	h := a.history
 	r, u := h.requests[e.ID], h.upstreams[e.Upstream]
 	a.check(Unchanged, e.ID, r != nil && r.Content == e.Content, "reached %s with another content or without a caller", e.Upstream)
 	if r == nil || u == nil {
 		return
 	}
-	a.judgePlace(r, u)
-	a.judgeStated(r, u)
-	a.judgeUnread(r)
-	a.judgePriority(r, e)
-	a.judgeFatal(r, u)
-	a.judgeKey(r, e)
-	a.judgeTables(r, u)
-	a.judgeCold(r, u)
+	a.checkPlacement(r, u)
+	a.checkUpstreamStatements(r, u)
+	a.checkUnread(r)
+	a.checkPriority(r, e)
+	a.checkFatal(r, u)
+	a.checkKey(r, e)
+	a.checkTables(r, u)
+	a.checkCold(r, u)
 	longer := e.Left <= 0 || e.Left > r.Limit+deadlineSlack
 	if longer {
-		a.longer++
+		a.longerLimits++
 	}
-	a.check(Deadline, e.ID, !longer || a.longer <= toleratedLonger, "told to take %v of the caller's %v", e.Left, r.Limit)
-	a.judgeLeft(r, u)
+	a.check(Deadline, e.ID, !longer || a.longerLimits <= toleratedLonger, "told to take %v of the caller's %v", e.Left, r.Limit)
+	a.checkDeparted(r, u)
 	if len(r.arrivals) > 1 {
-		ok, extra, allowed := a.budget.again(h, u.Service)
+		ok, extra, allowed := a.budget.addRepeat(h, u.Service)
 		a.check(Budget, e.ID, ok, "%d repeats at %s, %.0f allowed", extra, u.Service, allowed)
 	}
 }
 
-// judgeLeft judges whether the caller was there still.
-func (a *Auditor) judgeLeft(r *request, u *upstream) {
+// checkDeparted checks that the caller was still waiting.
+func (a *Auditor) checkDeparted(r *request, u *upstream) {
 	h := a.history
 	from := h.now.Add(-h.StableWindow)
-	late := r.answer != nil && h.now.Sub(r.answeredAt) > leftSlack && h.inTouch(r.Entry, h.now) && h.undisturbed(u.Upstream, from, h.now)
+	late := r.answer != nil && h.now.Sub(r.answeredAt) > departureSlack && h.boundsApply(r.Entry, h.now) && h.undisturbed(u.Upstream, from, h.now)
 	if late {
-		a.gone++
+		a.departed++
 	}
-	a.check(Gone, r.ID, !late || a.gone <= toleratedGone, "reached %s %v after its caller had left", u.Upstream, h.now.Sub(r.answeredAt))
+	a.check(Gone, r.ID, !late || a.departed <= toleratedGone, "reached %s %v after its caller had left", u.Upstream, h.now.Sub(r.answeredAt))
 }
 
-// judgeStated judges whether an entry keeps to what upstreams stated to it: a request that came to one
-// of a service might have come to each other one as well.
-func (a *Auditor) judgeStated(r *request, u *upstream) {
+// checkUpstreamStatements checks that an entry respects what upstreams reported to it. A request that reached one
+// upstream of a service might have reached any other one as well.
+func (a *Auditor) checkUpstreamStatements(r *request, u *upstream) {
 	h := a.history
 	e := h.entry(r.Entry)
 	for id, stated := range e.leavingStated {
@@ -70,21 +70,21 @@
 			a.check(LeavingStated, r.ID, id != u.Upstream || late <= h.Drain, "reached %s by %s, sent %v after it said that it leaves", id, r.Entry, late)
 		}
 	}
-	for id, rests := range e.rests {
+	for id, rests := range e.backoffs {
 		if !h.serves(id, u.Service) {
 			continue
 		}
 		for _, s := range rests {
-			a.judgeRest(r, id, s, id == u.Upstream)
+			a.checkBackoff(r, id, s, id == u.Upstream)
 		}
 	}
 }
 
-// judgeRest judges a request by what an upstream had asked of its entry; arrived tells that it came to
-// that upstream.
-func (a *Auditor) judgeRest(r *request, upstream string, s *rest, arrived bool) {
+// checkBackoff checks a request against a backoff that an upstream asked of its entry; arrived is set if
+// the request reached that upstream.
+func (a *Auditor) checkBackoff(r *request, upstream string, s *backoff, arrived bool) {
 	h := a.history
-	if h.now.Before(s.asked.Add(restSlack)) || !h.now.Before(s.until) {
+	if h.now.Before(s.asked.Add(backoffSlack)) || !h.now.Before(s.until) {
 		return
 	}
 	if !h.undisturbed(r.Entry, s.asked, h.now) || !h.undisturbed(upstream, s.asked.Add(-h.StableWindow), h.now) {
@@ -93,34 +93,34 @@
 	if arrived {
 		s.arrived++
 	}
-	a.check(Rest, r.ID, !arrived || s.arrived <= toleratedInRest, "reached %s by %s, %d in its rest", upstream, r.Entry, s.arrived)
+	a.check(Backoff, r.ID, !arrived || s.arrived <= toleratedInBackoff, "reached %s by %s, %d in its rest", upstream, r.Entry, s.arrived)
 }
 
-// serves tells whether an upstream is of a service.
+// serves reports whether an upstream belongs to a service.
 func (h *history) serves(id, service string) bool {
 	u := h.upstreams[id]
 	return u != nil && u.Service == service
 }
 
-// judgePlace judges the upstream that was chosen.
-func (a *Auditor) judgePlace(r *request, u *upstream) {
+// checkPlacement checks the chosen upstream.
+func (a *Auditor) checkPlacement(r *request, u *upstream) {
 	h := a.history
-	bound := h.inTouch(r.Entry, h.now) && h.inTouch(r.Entry, r.at) && h.undisturbed(u.Upstream, h.now.Add(-h.StableWindow), h.now)
-	if bound && h.leaving() {
-		late := h.late(u.leftAt)
+	binding := h.boundsApply(r.Entry, h.now) && h.boundsApply(r.Entry, r.at) && h.undisturbed(u.Upstream, h.now.Add(-h.StableWindow), h.now)
+	if binding && h.anyLeft() {
+		late := h.sinceBinding(u.leftAt)
 		a.check(Drain, r.ID, late <= h.Drain, "reached %s by %s %v after it left", u.Upstream, r.Entry, late)
 	}
-	if bound && h.drainedForLong() {
-		late := h.late(h.drained[u.FailureDomain])
+	if binding && h.anyDrainedPastBound() {
+		late := h.sinceBinding(h.drained[u.FailureDomain])
 		a.check(Evacuation, r.ID, late <= h.Evacuate, "reached %s in %s by %s %v after its draining", u.Upstream, u.FailureDomain, r.Entry, late)
 	}
-	for _, regions := range h.homes(r) {
+	for _, regions := range h.regionLimits(r) {
 		a.check(Home, r.ID, slices.Contains(regions, u.Region), "reached %s in %s, allowed are %v", u.Upstream, u.Region, regions)
 	}
 }
 
-// leaving tells whether any upstream has left, so that there is something to avoid.
-func (h *history) leaving() bool {
+// anyLeft reports whether any upstream has left, so that entries have one to avoid.
+func (h *history) anyLeft() bool {
 	for _, u := range h.upstreams {
 		if !u.leftAt.IsZero() {
 			return true
@@ -129,33 +129,33 @@
 	return false
 }
 
-// drainedForLong tells whether a failure domain is drained for longer than the bound, so that a
-// request there would break it.
-func (h *history) drainedForLong() bool {
+// anyDrainedPastBound reports whether a failure domain has been drained for longer than the bound, so that
+// a request to it would break the promise.
+func (h *history) anyDrainedPastBound() bool {
 	for _, at := range h.drained {
-		if h.late(at) > h.Evacuate {
+		if h.sinceBinding(at) > h.Evacuate {
 			return true
 		}
 	}
 	return false
 }
 
-// late is how long ago a confirmation began to bind; 0 for none.
-func (h *history) late(confirmed time.Time) time.Duration {
+// sinceBinding returns how long ago a confirmation became binding; 0 for none.
+func (h *history) sinceBinding(confirmed time.Time) time.Duration {
 	if confirmed.IsZero() {
 		return 0
 	}
-	return h.now.Sub(h.binding(confirmed))
+	return h.now.Sub(h.bindingSince(confirmed))
 }
 
-// homes lists the regions that bind a request.
-func (h *history) homes(r *request) [][]string {
+// regionLimits lists the region restrictions that apply to a request.
+func (h *history) regionLimits(r *request) [][]string {
 	var all [][]string
 	if route := h.route(r); route != nil && len(route.Regions) > 0 {
 		all = append(all, route.Regions)
 	}
 	for i := len(h.tables) - 1; i >= 0; i-- {
-		if w, ok := h.tables[i].what.Keys[r.Key]; ok {
+		if w, ok := h.tables[i].value.Keys[r.Key]; ok {
 			if len(w.Regions) > 0 {
 				all = append(all, w.Regions)
 			}
@@ -165,64 +165,64 @@
 	return all
 }
 
-func (a *Auditor) judgeKey(r *request, e Arrived) {
+func (a *Auditor) checkKey(r *request, e Arrived) {
 	if route := a.history.route(r); route != nil && route.Public {
 		return
 	}
 	right := false
 	for _, t := range a.history.tables {
-		w, ok := t.what.Keys[r.Key]
+		w, ok := t.value.Keys[r.Key]
 		right = right || ok && w.Name == e.Workspace
 	}
 	a.check(Keys, r.ID, right && e.Key == "", "reached %s for workspace %q with key %q", e.Upstream, e.Workspace, e.Key)
 }
 
-// judgeTables judges by which route tables a request may be where it is.
-func (a *Auditor) judgeTables(r *request, u *upstream) {
+// checkTables checks that a route table allows a request at its upstream.
+func (a *Auditor) checkTables(r *request, u *upstream) {
 	h := a.history
-	ever := slices.ContainsFunc(h.tablesFrom(0), func(t Table) bool { return t.allows(r, u.Service) })
-	a.check(Config, r.ID, ever, "reached %s, which no table ever allowed", u.Service)
-	if !ever {
+	everAllowed := slices.ContainsFunc(h.tablesFrom(0), func(t Table) bool { return t.allows(r, u.Service) })
+	a.check(Config, r.ID, everAllowed, "reached %s, which no table ever allowed", u.Service)
+	if !everAllowed {
 		return
 	}
-	if h.inTouch(r.Entry, h.now) && h.inTouch(r.Entry, r.at) {
-		may := slices.ContainsFunc(h.inForce(r.at), func(t Table) bool { return t.allows(r, u.Service) })
-		a.check(Config, r.ID, may, "%s at %s by %s is as only an older table allows", r.Path, u.Service, r.Entry)
+	if h.boundsApply(r.Entry, h.now) && h.boundsApply(r.Entry, r.at) {
+		allowed := slices.ContainsFunc(h.tablesInForce(r.at), func(t Table) bool { return t.allows(r, u.Service) })
+		a.check(Config, r.ID, allowed, "%s at %s by %s is as only an older table allows", r.Path, u.Service, r.Entry)
 	}
-	a.judgeRegress(r, u)
+	a.checkRegress(r, u)
 }
 
-// judgeRegress judges whether an entry went back behind a table that it had shown.
-func (a *Auditor) judgeRegress(r *request, u *upstream) {
+// checkRegress checks that an entry does not return to a table older than one that its answers showed.
+func (a *Auditor) checkRegress(r *request, u *upstream) {
 	h := a.history
-	var least, most uint64
+	var oldest, newest uint64
 	for _, t := range h.tables {
-		if t.what.allows(r, u.Service) {
-			if least == 0 {
-				least = t.what.Version
+		if t.value.allows(r, u.Service) {
+			if oldest == 0 {
+				oldest = t.value.Version
 			}
-			most = t.what.Version
+			newest = t.value.Version
 		}
 	}
 	e := h.entry(r.Entry)
-	if e.shown > 0 && r.at.After(e.shownAt.Add(h.RollbackSlack)) && r.at.After(e.startedAt) {
-		a.check(Regress, r.ID, most >= e.shown, "%s follows table %d after it showed %d", r.Entry, most, e.shown)
+	if e.shownVersion > 0 && r.at.After(e.shownAt.Add(h.RollbackSlack)) && r.at.After(e.startedAt) {
+		a.check(Regress, r.ID, newest >= e.shownVersion, "%s follows table %d after it showed %d", r.Entry, newest, e.shownVersion)
 	}
-	if least > e.shown && r.at.After(e.startedAt) {
-		e.shown, e.shownAt = least, h.now
+	if oldest > e.shownVersion && r.at.After(e.startedAt) {
+		e.shownVersion, e.shownAt = oldest, h.now
 	}
 }
 
-func (a *Auditor) judgeCold(r *request, u *upstream) {
+func (a *Auditor) checkCold(r *request, u *upstream) {
 	h := a.history
 	if !h.now.Before(u.coldUntil) {
 		return
 	}
 	u.recent = slices.DeleteFunc(u.recent, func(t time.Time) bool { return h.now.Sub(t) >= time.Second })
-	// Only what was sent within the same second counts.
+	// Only requests sent within the same second count.
 	if h.now.Sub(r.at) < time.Second {
 		u.recent = append(u.recent, h.now)
 	}
-	most := u.ColdRate*h.ColdFactor + h.ColdSlack
-	a.check(Cold, r.ID, float64(len(u.recent)) <= most, "%d in a second at cold %s, %.0f allowed", len(u.recent), u.Upstream, most)
+	limit := u.ColdRate*h.ColdFactor + h.ColdSlack
+	a.check(Cold, r.ID, float64(len(u.recent)) <= limit, "%d in a second at cold %s, %.0f allowed", len(u.recent), u.Upstream, limit)
 }
--- a/soak/auditor/auditor.go
+++ b/soak/auditor/auditor.go
@@ -8,7 +8,7 @@
 	"k8s.io/utils/clock"
 )
 
-// Promise is one that is checked.
+// Promise is a checked guarantee of the system.
 type Promise string
 
 // The promises.
@@ -24,7 +24,7 @@
 	Version       Promise = "no reply begins on old weights after the bound"
 	Drain         Promise = "a leaving upstream gets nothing after the bound"
 	LeavingStated Promise = "an upstream that stated its leaving gets nothing more"
-	Rest          Promise = "an upstream at rest gets two requests at most"
+	Backoff       Promise = "an upstream at rest gets two requests at most"
 	Evacuation    Promise = "a drained failure domain gets nothing after the bound"
 	Cold          Promise = "a cold upstream gets no more than it bears"
 	Fatal         Promise = "requests with a part that crashes upstreams are refused"
@@ -52,76 +52,76 @@
 	Recovery      Promise = "requests are served once the faults are over"
 )
 
-// Promises lists all, in the order of the report.
+// Promises lists all promises in the order of the report.
 var Promises = []Promise{
-	Once, Refusal, Whole, Cut, Unchanged, Stream, FailedTwice, Weights, Version, Drain, LeavingStated, Rest, Evacuation, Cold, Fatal, Sound, Budget, Attempts, Home, Keys,
+	Once, Refusal, Whole, Cut, Unchanged, Stream, FailedTwice, Weights, Version, Drain, LeavingStated, Backoff, Evacuation, Cold, Fatal, Sound, Budget, Attempts, Home, Keys,
 	Config, Regress, Denial, Graceful, Kept, Replied, Flood, Directory, Deadline, Gone, Abandoned, Reload, UnreadOnce, Priority, Memory, Exit, Recovery,
 }
 
-// Broken is a promise that was not kept.
-type Broken struct {
+// Violation describes one violation of a promise.
+type Violation struct {
 	Promise Promise
-	// Request is the one at which it showed; empty for none.
+	// Request is the ID of the request concerned; empty for none.
 	Request string
 	What    string
 }
 
-func (b *Broken) Error() string {
+func (b *Violation) Error() string {
 	return fmt.Sprintf("%s: request %s: %s", b.Promise, b.Request, b.What)
 }
 
-// Auditor judges events as they come. Set the exported fields before use; it is safe for
-// concurrent use.
+// Auditor checks events as they occur. Set the exported fields before use. It is safe for concurrent
+// use.
 type Auditor struct {
 	Bounds Bounds
 	Clock  clock.PassiveClock
-	// OnBroken is told of each broken promise; it must not call back.
-	OnBroken func(*Broken)
+	// OnBroken is called for each broken promise; it must not call the auditor.
+	OnBroken func(*Violation)
 
 	mu      sync.Mutex
 	history *history
 	budget  budget
 	tolerated
-	checked map[Promise]int
-	broken  map[Promise][]*Broken
-	// priorities are those with which requests of each urgency reached each service, by the table of the version
-	// prioritiesOf.
-	priorities   map[string]map[urgency]string
-	prioritiesOf uint64
+	checked    map[Promise]int
+	violations map[Promise][]*Violation
+	// priorities are the priorities with which requests of each urgency reached each service, under
+	// the table of version prioritiesVersion.
+	priorities        map[string]map[urgency]string
+	prioritiesVersion uint64
 }
 
-// tolerated counts what breaks a promise only in number.
+// tolerated counts incidents that break a promise only when there are too many.
 type tolerated struct {
-	lost, longer, named, denied, gone int
-	// left counts runs whose callers left long before their end, and overrun those of them
-	// that went on all the same.
-	left, overrun int
+	lost, longerLimits, staleListings, denied, departed int
+	// abandoned counts runs whose callers left long before the run's end, and overrun those that continued
+	// anyway.
+	abandoned, overrun int
 }
 
-// Note takes an event in and judges it.
-func (a *Auditor) Note(e Event) {
+// Observe records an event and checks the promises that it affects.
+func (a *Auditor) Observe(e Event) {
 	a.mu.Lock()
 	defer a.mu.Unlock()
 	a.init()
 	a.history.now = a.Clock.Now()
-	a.history.note(e)
+	a.history.record(e)
 	switch e := e.(type) {
 	case Sent:
-		a.budget.sent(a.history, a.history.requests[e.ID])
+		a.budget.addRequest(a.history, a.history.requests[e.ID])
 	case Answered:
-		a.judgeAnswer(e)
+		a.checkAnswer(e)
 	case Arrived:
-		a.judgeArrival(e)
-	case Began:
-		a.judgeRun(e)
-	case Ended:
-		a.judgeEnd(e)
+		a.checkArrival(e)
+	case RunStarted:
+		a.checkRun(e)
+	case RunEnded:
+		a.checkRunEnd(e)
 	case Unread:
 		a.checked[UnreadOnce]++
 	case Reloaded:
-		a.judgeReload(e)
-	case Directed:
-		a.judgeDirectory(e)
+		a.checkReload(e)
+	case DirectoryAnswered:
+		a.checkDirectory(e)
 	case Measured:
 		a.check(Memory, "", e.Taken <= e.Allowed, "%s took %d kB of %d kB", e.Who, e.Taken/1000, e.Allowed/1000)
 	case Exited:
@@ -132,38 +132,38 @@
 func (a *Auditor) init() {
 	if a.history == nil {
 		a.history = newHistory(a.Bounds)
-		a.checked, a.broken = map[Promise]int{}, map[Promise][]*Broken{}
+		a.checked, a.violations = map[Promise]int{}, map[Promise][]*Violation{}
 	}
 }
 
-// check counts a judgement.
+// check counts one check of a promise and records a violation unless kept is set.
 func (a *Auditor) check(p Promise, request string, kept bool, format string, args ...any) {
 	a.checked[p]++
 	if kept {
 		return
 	}
-	b := &Broken{Promise: p, Request: request, What: fmt.Sprintf(format, args...)}
-	a.broken[p] = append(a.broken[p], b)
+	b := &Violation{Promise: p, Request: request, What: fmt.Sprintf(format, args...)}
+	a.violations[p] = append(a.violations[p], b)
 	if a.OnBroken != nil {
 		a.OnBroken(b)
 	}
 }
 
-// Checked is how often a promise was judged, Failed how often it was broken.
+// Checked returns how often a promise was checked.
 func (a *Auditor) Checked(p Promise) int {
 	a.mu.Lock()
 	defer a.mu.Unlock()
 	return a.checked[p]
 }
 
-// Failed is how often a promise was broken.
+// Failed returns how often a promise was broken.
 func (a *Auditor) Failed(p Promise) int {
 	a.mu.Lock()
 	defer a.mu.Unlock()
-	return len(a.broken[p])
+	return len(a.violations[p])
 }
 
-// Report writes a line for each promise and tells whether all were kept.
+// Report writes a line for each promise and reports whether all were kept.
 func (a *Auditor) Report(w io.Writer) bool {
 	kept := true
 	for _, p := range Promises {
--- a/soak/auditor/events.go
+++ b/soak/auditor/events.go
@@ -1,56 +1,56 @@
-// Package auditor checks the promises of a deployment from outside: it is told what
-// callers sent and got, what upstreams saw, what the operators had confirmed and who
-// was disturbed when, and says which promise was broken by what.
+// Package auditor checks the promises of a deployment from outside. It receives events about what
+// callers sent and received, what upstreams saw, what the operators had confirmed and which processes
+// were disturbed when, and reports broken promises with their cause.
 package auditor
 
 import "time"
 
-// Event is something that was seen.
+// Event is an observation that the auditor checks.
 type Event interface{ event() }
 
-// Core names the store among those that can be disturbed.
+// Core identifies the store among the processes that can be disturbed.
 const Core = "store"
 
 // Sent is a request that a caller is about to send to an entry.
 type Sent struct {
 	ID, Entry string
-	// Path is the request's, Key the caller's.
+	// Path is the path of the request, Key the caller's key.
 	Path, Key string
-	// Content is a digest of what has to reach upstreams unchanged.
+	// Content is a digest of everything that must reach upstreams unchanged.
 	Content string
 	// Limit is how long the caller waits.
 	Limit time.Duration
-	// Events is how many events the whole stream has; 0 for a plain request. After is the
-	// number of the last one that the caller has already.
+	// Events is how many events the complete stream has; 0 for a plain request. After is the number of
+	// the last event that the caller already has.
 	Events, After int
-	// Lasts is how long an upstream that does all of it works at least.
+	// Lasts is the minimum time that an upstream needs for the complete request.
 	Lasts time.Duration
-	// Kept tells that the connection was used before.
+	// Kept is set if the connection was used before.
 	Kept bool
-	// Parts are those that the prompt shares with others, and Fatal is the one of them that crashes
+	// Parts are the parts of the prompt that other prompts share, and Fatal the one that crashes
 	// upstreams; empty for none.
 	Parts []string
 	Fatal string
 }
 
-// Answered is the end of a request as its caller sees it.
+// Answered is the end of a request as seen by its caller.
 type Answered struct {
 	ID string
-	// Status is 0 when no header came.
+	// Status is 0 when no header arrived.
 	Status int
-	// Names is the request that the answer names.
+	// Names is the request ID that the answer carries.
 	Names string
-	// Upstream sealed the answer; empty for none.
+	// Upstream is the upstream that sealed the answer; empty for none.
 	Upstream string
-	// Forged tells of a seal that fits neither the request nor the status.
+	// Forged is set if the seal matches neither the request nor the status.
 	Forged bool
-	// Leaving tells that the upstream stated that it leaves.
+	// Leaving is set if the upstream stated that it leaves.
 	Leaving bool
-	// Whole tells that the answer's marked end came, WrongBody that what came as a whole
-	// isn't what the upstream made.
+	// Whole is set if the marked end of the answer arrived, WrongBody if a complete body differs from
+	// the one that the upstream produced.
 	Whole, WrongBody bool
 	Parts            []Part
-	// Expired tells that the caller's limit was over, or that it left.
+	// Expired is set if the caller's limit passed or the caller left.
 	Expired bool
 }
 
@@ -58,75 +58,75 @@
 type Part struct {
 	Number  int
 	Version uint64
-	// Foreign tells that it belongs to another request.
+	// Foreign is set if the event belongs to another request.
 	Foreign bool
 }
 
-// Arrived is a request that reached the upstream that it was meant for.
+// Arrived is a request that reached the upstream it was sent to.
 type Arrived struct {
 	ID, Upstream, Content string
-	// Workspace is whom the system says it is from. Key is the caller's own, which has to
-	// stay with the system.
+	// Workspace is the workspace that the system states. Key is the caller's key, which the system
+	// must not pass on.
 	Workspace, Key string
 	Left           time.Duration
-	// Priority is the request's; empty for none.
+	// Priority takes precedence over that of routes; empty for none.
 	Priority string
 }
 
-// Rejected is a request that an upstream refused, asking the entry for rest.
+// Rejected is a request that an upstream refused, asking the entry to back off.
 type Rejected struct {
 	ID, Upstream string
 	Rest         time.Duration
 }
 
-// Began is the moment at which a request begins to run.
-type Began struct {
+// RunStarted is the start of a run of a request.
+type RunStarted struct {
 	ID, Upstream string
-	// Version is that of the weights, 0 for a plain service; Spoilt tells that they were
-	// loaded from wrong bytes.
+	// Version is the version of the weights, 0 for a plain service. Spoilt is set if they were loaded
+	// from wrong bytes.
 	Version uint64
 	Spoilt  bool
 }
 
-// Ended is the end of a run; Broken tells that the upstream broke it off.
-type Ended struct {
+// RunEnded is the end of a run; Broken is set if the upstream broke it off.
+type RunEnded struct {
 	ID, Upstream string
 	Broken       bool
-	// Events is how many events it had sent when it broke off.
+	// Events is how many events the upstream had sent when it broke off.
 	Events int
 }
 
-// Failed is a request at which an upstream fails as one of two in turn.
+// Failed is a request at which one of two upstreams fails in turn.
 type Failed struct{ ID, Upstream string }
 
-// Flooded is a request that an upstream begins to answer with bytes without end. Without an ID it asked for the
-// upstream's report.
+// Flooded is a request that an upstream starts to answer with endless bytes. Without an ID, the
+// request was for the upstream's report.
 type Flooded struct {
 	ID, Upstream string
-	// Long tells that more bytes have been sent by now than any sound reply has.
+	// Long is set once more bytes were sent than any valid reply has.
 	Long bool
 }
 
-// Unread is a request whose reply its upstream has cut off as nobody read it.
+// Unread is a request whose reply the upstream cut off because nobody read it.
 type Unread struct{ ID, Upstream string }
 
-// Measured is the most memory that a process has taken so far, of what it may, in bytes.
+// Measured is the peak memory that a process has used so far and its limit, in bytes.
 type Measured struct {
 	Who            string
 	Taken, Allowed int64
 }
 
-// Crashed is the end of an upstream under a request with a part that crashes it.
+// Crashed is the crash of an upstream while running a request with a fatal part.
 type Crashed struct{ Upstream, Part string }
 
-// Joined is an upstream that begins to serve.
+// Joined is an upstream that starts to serve.
 type Joined struct {
 	Upstream, Service, FailureDomain, Region string
 	Cold                                     time.Duration
 	ColdRate                                 float64
 }
 
-// Leaving is the store's word that an upstream leaves or is gone.
+// Leaving is the store's confirmation that an upstream leaves or is gone.
 type Leaving struct{ Upstream string }
 
 // Configured is the confirmation of a route table.
@@ -143,7 +143,7 @@
 // Route is a row of the route table.
 type Route struct {
 	Prefix, Service string
-	// Once tells that a request may run once at most.
+	// Once is set if a request may run at most once.
 	Once     bool
 	Public   bool
 	Attempts int
@@ -151,7 +151,7 @@
 	Priority string
 }
 
-// Workspace is a holder of keys.
+// Workspace is a workspace to which keys belong.
 type Workspace struct {
 	Name    string
 	Regions []string
@@ -159,79 +159,79 @@
 	Priority string
 }
 
-// Named is the confirmation of a version of the weights.
-type Named struct{ Version uint64 }
+// WeightsAnnounced is the confirmation of an announced version of the weights.
+type WeightsAnnounced struct{ Version uint64 }
 
-// Drained is the confirmation that a failure domain is to get nothing.
+// Drained is the confirmation that a failure domain must get no requests.
 type Drained struct{ FailureDomain string }
 
-// Returned is a failure domain taken back.
-type Returned struct{ FailureDomain string }
+// Undrained is the end of a failure domain's draining.
+type Undrained struct{ FailureDomain string }
 
-// Disturbed is the beginning of a fault at the store, an entry or an upstream.
-type Disturbed struct {
+// FaultStarted is the start of a fault at the store, an entry or an upstream.
+type FaultStarted struct {
 	Who string
-	// Halted tells that its process doesn't run.
+	// Halted is set if the process does not run.
 	Halted bool
 }
 
-// Calmed is the end of a fault.
-type Calmed struct{ Who string }
+// FaultEnded is the end of a fault.
+type FaultEnded struct{ Who string }
 
-// Started is a process that runs from now on, Stopping one that was asked to end.
+// Started is the start of a process.
 type Started struct{ Entry string }
 
-// Stopping is a process that was asked to end.
+// Stopping is a process that was asked to stop.
 type Stopping struct{ Entry string }
 
-// HungUp is an entry that was asked to read its settings again.
-type HungUp struct{ Entry string }
+// ReloadRequested is an entry that was asked to reload its settings.
+type ReloadRequested struct{ Entry string }
 
-// Reread is what a process did with settings that it was asked to read again.
-type Reread struct {
+// ReloadResult is the result of a process reloading its settings.
+type ReloadResult struct {
 	Who string
-	// Faulty tells that it kept its old ones, Changed that the new ones differ from those on
-	// which it started, Lost that it said nothing in time.
+	// Faulty is set if it kept its old settings, Changed if the new ones differ from those at its
+	// start, Lost if it logged no result in time.
 	Faulty, Changed, Lost bool
 }
 
-// Reloaded compares what a process said of its settings with what had to come of them.
-type Reloaded struct{ Wanted, Said Reread }
+// Reloaded compares the reload result that a process logged with the expected one.
+type Reloaded struct{ Wanted, Said ReloadResult }
 
-// Exited is the end of a process. Alone tells that nobody had asked for it.
+// Exited is the end of a process. Alone is set if nobody requested it.
 type Exited struct {
 	Who   string
 	Alone bool
 }
 
-// Directed is an answer of an entry's directory.
-type Directed struct {
+// DirectoryAnswered is an answer of an entry's directory.
+type DirectoryAnswered struct {
 	Entry string
 	Names []string
 }
 
-func (Sent) event()       {}
-func (Answered) event()   {}
-func (Arrived) event()    {}
-func (Rejected) event()   {}
-func (Began) event()      {}
-func (Ended) event()      {}
-func (Failed) event()     {}
-func (Flooded) event()    {}
-func (Measured) event()   {}
-func (Crashed) event()    {}
-func (Joined) event()     {}
-func (Leaving) event()    {}
-func (Configured) event() {}
-func (Named) event()      {}
-func (Drained) event()    {}
-func (Returned) event()   {}
-func (Disturbed) event()  {}
-func (Calmed) event()     {}
-func (Started) event()    {}
-func (Stopping) event()   {}
-func (HungUp) event()     {}
-func (Unread) event()     {}
-func (Reloaded) event()   {}
-func (Exited) event()     {}
-func (Directed) event()   {}
+func (Sent) event()              {}
+func (Answered) event()          {}
+func (Arrived) event()           {}
+func (Rejected) event()          {}
+func (RunStarted) event()        {}
+func (RunEnded) event()          {}
+func (Failed) event()            {}
+func (Flooded) event()           {}
+func (Measured) event()          {}
+func (Crashed) event()           {}
+func (Joined) event()            {}
+func (Leaving) event()           {}
+func (Configured) event()        {}
+func (WeightsAnnounced) event()  {}
+func (Drained) event()           {}
+func (Undrained) event()         {}
+func (FaultStarted) event()      {}
+func (FaultEnded) event()        {}
+func (Started) event()           {}
+func (Stopping) event()          {}
+func (ReloadRequested) event()   {}
+func (Unread) event()            {}
+func (Reloaded) event()          {}
+func (Exited) event()            {}
+func (DirectoryAnswered) event() {}
--- a/soak/auditor/fatal.go
+++ b/soak/auditor/fatal.go
@@ -6,30 +6,31 @@
 )
 
 const (
-	// fatalCrashes is after how many crashes a part's requests may still be sent for the stable window, and
-	// toleratedFatal how many may reach upstreams later.
-	fatalCrashes   = 5
-	toleratedFatal = 3
-	// leastFatal is how many requests with a fatal part, sent over longer than that, put the promise to the test.
-	leastFatal = 20
-	// leastSound is how many sound requests beside a fatal part, and without one, a comparison takes, and
-	// soundPart the part of them, one in so many, that has to begin at least.
-	leastSound = 20
-	soundPart  = 2
+	// fatalCrashes is the number of crashes after which requests with a part may still be sent for the
+	// stable window, and toleratedLateFatal how many may reach upstreams later.
+	fatalCrashes       = 5
+	toleratedLateFatal = 3
+	// minFatalRequests is how many requests with a fatal part, sent over longer than that, are needed to
+	// check the promise.
+	minFatalRequests = 20
+	// minSoundRequests is how many sound requests a comparison needs both with and without a fatal part, and
+	// soundFraction the share, one in this many, that must start at least.
+	minSoundRequests = 20
+	soundFraction    = 2
 )
 
-// fatal is a part of prompts that crashes upstreams.
-type fatal struct {
+// fatalPart tracks a part of prompts that crashes upstreams.
+type fatalPart struct {
 	crashes []time.Time
-	// first and last are when requests with it were sent, sent how many, and late how many of these reached
-	// upstreams although they were sent too late.
+	// first and last are when requests with it were sent, sent is their number, and late how many
+	// reached upstreams although they were sent too late.
 	first, last time.Time
 	sent, late  int
 	route       *Route
 }
 
-// noteFatal keeps what concerns fatal parts.
-func (h *history) noteFatal(e Event) {
+// recordFatal records events that concern fatal parts.
+func (h *history) recordFatal(e Event) {
 	switch e := e.(type) {
 	case Crashed:
 		if f := h.fatal[e.Part]; f != nil {
@@ -41,7 +42,7 @@
 		}
 		f := h.fatal[e.Fatal]
 		if f == nil {
-			f = &fatal{first: h.now, route: h.route(h.requests[e.ID])}
+			f = &fatalPart{first: h.now, route: h.route(h.requests[e.ID])}
 			h.fatal[e.Fatal] = f
 		}
 		f.sent++
@@ -49,68 +50,68 @@
 	}
 }
 
-// known is when the system has seen enough crashes; false before.
-func (f *fatal) known() (time.Time, bool) {
+// knownAt returns when the system had seen enough crashes; false if it has not.
+func (f *fatalPart) knownAt() (time.Time, bool) {
 	if len(f.crashes) < fatalCrashes {
 		return time.Time{}, false
 	}
 	return f.crashes[fatalCrashes-1], true
 }
 
-// judgeFatal judges a request with a fatal part that reached an upstream.
-func (a *Auditor) judgeFatal(r *request, u *upstream) {
+// checkFatal checks a request with a fatal part that reached an upstream.
+func (a *Auditor) checkFatal(r *request, u *upstream) {
 	h := a.history
 	f := h.fatal[r.Fatal]
 	if f == nil {
 		return
 	}
-	if at, ok := f.known(); ok && r.at.After(at.Add(h.StableWindow)) && h.inTouch(r.Entry, r.at) && h.inTouch(r.Entry, h.now) {
+	if at, ok := f.knownAt(); ok && r.at.After(at.Add(h.StableWindow)) && h.boundsApply(r.Entry, r.at) && h.boundsApply(r.Entry, h.now) {
 		f.late++
 	}
-	a.check(Fatal, r.ID, f.late <= toleratedFatal, "%d requests with part %s, the last at %s, %d crashes", f.late, r.Fatal, u.Upstream, len(f.crashes))
+	a.check(Fatal, r.ID, f.late <= toleratedLateFatal, "%d requests with part %s, the last at %s, %d crashes", f.late, r.Fatal, u.Upstream, len(f.crashes))
 }
 
-// finishFatal judges whether requests beside each fatal part were served.
-func (a *Auditor) finishFatal() {
+// checkSoundRequests checks that sound requests sent while fatal parts were in use were served.
+func (a *Auditor) checkSoundRequests() {
 	h := a.history
 	for part, f := range h.fatal {
-		if f.sent < leastFatal || len(f.crashes) == 0 {
+		if f.sent < minFatalRequests || len(f.crashes) == 0 {
 			continue
 		}
-		a.check(Fatal, "", f.late <= toleratedFatal, "%d requests with part %s", f.late, part)
+		a.check(Fatal, "", f.late <= toleratedLateFatal, "%d requests with part %s", f.late, part)
 		from := f.crashes[min(len(f.crashes), fatalCrashes)-1].Add(2 * h.StableWindow)
-		var beside, usual sound
+		var beside, usual soundCount
 		for _, r := range h.requests {
-			if r.Fatal != "" || len(r.Parts) == 0 || h.route(r) != f.route || !h.inTouch(r.Entry, r.at) {
+			if r.Fatal != "" || len(r.Parts) == 0 || h.route(r) != f.route || !h.boundsApply(r.Entry, r.at) {
 				continue
 			}
 			switch {
 			case r.at.After(from) && r.at.Before(f.last):
 				beside.add(r)
-			case !h.fatalAround(r.at) && h.quiet(r.at):
+			case !h.fatalPartInUse(r.at) && h.undisturbedAround(r.at):
 				usual.add(r)
 			}
 		}
-		if beside.sent < leastSound || usual.sent < leastSound {
+		if beside.sent < minSoundRequests || usual.sent < minSoundRequests {
 			continue
 		}
-		a.check(Sound, "", beside.began*usual.sent*soundPart >= usual.began*beside.sent,
-			"%d of %d sound requests beside part %s begin, %d of %d without it", beside.began, beside.sent, part, usual.began, usual.sent)
+		a.check(Sound, "", beside.started*usual.sent*soundFraction >= usual.started*beside.sent,
+			"%d of %d sound requests beside part %s begin, %d of %d without it", beside.started, beside.sent, part, usual.started, usual.sent)
 	}
 }
 
-// sound counts requests and those that began at their first upstream.
-type sound struct{ sent, began int }
+// soundCount counts requests and those that started at their first upstream.
+type soundCount struct{ sent, started int }
 
-func (s *sound) add(r *request) {
+func (s *soundCount) add(r *request) {
 	s.sent++
 	if len(r.runs) > 0 && r.runs[0].upstream == r.arrivals[0].upstream {
-		s.began++
+		s.started++
 	}
 }
 
-// fatalAround tells whether requests with a fatal part came about a moment.
-func (h *history) fatalAround(at time.Time) bool {
+// fatalPartInUse reports whether requests with a fatal part were sent around a time.
+func (h *history) fatalPartInUse(at time.Time) bool {
 	for _, f := range h.fatal {
 		if at.After(f.first.Add(-h.StableWindow)) && at.Before(f.last) {
 			return true
@@ -119,18 +120,19 @@
 	return false
 }
 
-// quiet tells whether nobody was disturbed about a moment.
-func (h *history) quiet(at time.Time) bool {
-	for who, spans := range h.spans {
-		if slices.ContainsFunc(spans, func(s span) bool { return !s.from.After(at) && h.lastsUntil(who, s).After(at.Add(-h.StableWindow)) }) {
+// undisturbedAround reports whether nothing was disturbed around a time.
+func (h *history) undisturbedAround(at time.Time) bool {
+	for who, spans := range h.disturbances {
+		if slices.ContainsFunc(spans, func(s disturbance) bool { return !s.from.After(at) && h.endOf(who, s).After(at.Add(-h.StableWindow)) }) {
 			return false
 		}
 	}
 	return true
 }
 
-// lastsUntil is the end of a disturbance. That of an upstream that has ended is over once the next one is there.
-func (h *history) lastsUntil(who string, s span) time.Time {
+// endOf returns the end of a disturbance. That of an upstream that has exited ends when its
+// successor is ready.
+func (h *history) endOf(who string, s disturbance) time.Time {
 	switch {
 	case !s.to.IsZero():
 		return s.to
--- a/soak/auditor/flood.go
+++ b/soak/auditor/flood.go
@@ -2,10 +2,10 @@
 
 import "time"
 
-// toleratedFlood is how long a request may wait on a reply that is longer than any sound one.
-const toleratedFlood = time.Second
+// maxFloodWait is how long a request may wait for a reply that is longer than any valid one.
+const maxFloodWait = time.Second
 
-func (h *history) noteFlood(e Flooded) {
+func (h *history) recordFlood(e Flooded) {
 	if u := h.upstreams[e.Upstream]; u != nil && e.ID == "" {
 		u.floodedAt = h.now
 		return
@@ -24,16 +24,17 @@
 	}
 }
 
-// reportFlooded tells whether an upstream's report had no end since a moment. It then can't show that it still runs,
-// and a reply of it that ends with its connection may be cut.
+// reportFlooded reports whether an upstream's report was endless at some time since a moment. The
+// upstream then cannot show that it still runs, and a reply of it that ends with its connection may be
+// cut.
 func (h *history) reportFlooded(upstream string, since time.Time) bool {
 	u := h.upstreams[upstream]
 	return u != nil && u.floodedAt.After(since)
 }
 
-// judgeFlood judges whether a request whose last upstream sent bytes without end got an answer, and was not held
-// until its caller left.
-func (a *Auditor) judgeFlood(r *request, e Answered) {
+// checkFlood checks that a request whose last upstream sent endless bytes got an answer and was not
+// held until its caller left.
+func (a *Auditor) checkFlood(r *request, e Answered) {
 	h := a.history
 	if len(r.runs) == 0 {
 		return
@@ -42,14 +43,14 @@
 	if !last.flooded || !h.allUndisturbed(r.at) || !h.undisturbed(last.upstream, r.at, h.now) {
 		return
 	}
-	if e.Expired && (last.floodedAt.IsZero() || h.now.Sub(last.floodedAt) <= toleratedFlood) {
+	if e.Expired && (last.floodedAt.IsZero() || h.now.Sub(last.floodedAt) <= maxFloodWait) {
 		return
 	}
 	a.check(Flood, e.ID, !e.Expired && e.Status != 0, "status %d by %s, %v after %s began to send bytes without end", e.Status, r.Entry, h.now.Sub(last.at), last.upstream)
 }
 
-// allUndisturbed tells whether nothing disturbed any process or its links since a moment: another entry may have
-// passed the request on.
+// allUndisturbed reports whether no process or link has been disturbed since a moment: another entry
+// may have forwarded the request.
 func (h *history) allUndisturbed(since time.Time) bool {
 	for who := range h.entries {
 		if !h.undisturbed(who, since, h.now) {
--- a/soak/auditor/history.go
+++ b/soak/auditor/history.go
@@ -6,29 +6,27 @@
 	"time"
 )
 
-// Bounds are the figures of the promises; see platform/standin for the users'.
+// Bounds are the limits that the promises state; see platform/standin for the users' values.
 type Bounds struct {
-	// StableWindow is how long a process must have run undisturbed for bounds to hold.
+	// StableWindow is how long a process must have run undisturbed for bounds to apply.
 	StableWindow time.Duration
-	// Drain, Evacuate, ConfigApply and Weights are how long after the confirmation of a
-	// change the state before it may still show.
+	// Drain, Evacuate, ConfigApply and Weights are how long after the confirmation of a change the
+	// previous state may still show.
 	Drain, Evacuate, ConfigApply, Weights time.Duration
-	// RollbackSlack is after what time an entry that showed a table shows no older one.
+	// RollbackSlack is the time after which an entry that showed a table must not show an older one.
 	RollbackSlack time.Duration
 	// Grace is the time between the signal to stop and the kill.
 	Grace time.Duration
-	// LossSlack is how soon a connection may end on which an unread request crossed its
-	// closing.
+	// LossSlack is how soon a connection may end if its close crossed an unread request.
 	LossSlack time.Duration
-	// RetryWindow, RetryRatio and RetrySlack bound arrivals beyond the first of each
-	// request.
+	// RetryWindow, RetryRatio and RetrySlack bound arrivals beyond the first of each request.
 	RetryWindow            time.Duration
 	RetryRatio, RetrySlack float64
-	// ColdFactor and ColdSlack bound what reaches a cold upstream in a second.
+	// ColdFactor and ColdSlack bound the requests that reach a cold upstream in a second.
 	ColdFactor, ColdSlack float64
 }
 
-// request is all that is known of one request.
+// request is the recorded state of one request.
 type request struct {
 	Sent
 	at       time.Time
@@ -37,9 +35,9 @@
 	// failed counts the upstreams that failed at it in turn.
 	failed int
 	answer *Answered
-	// unreadBy is the upstream that cut its reply off unread; empty for none.
+	// unreadBy is the upstream that cut its unread reply off; empty for none.
 	unreadBy string
-	// answeredAt is when the caller had its answer or left.
+	// answeredAt is when the caller received its answer or left.
 	answeredAt time.Time
 }
 
@@ -48,15 +46,15 @@
 	at       time.Time
 }
 
-// run is one beginning of work on a request.
+// run is one execution of a request at an upstream.
 type run struct {
 	upstream string
 	at       time.Time
 	broken   bool
-	// events were sent before it broke off.
+	// events is how many events were sent before it broke off.
 	events int
-	// flooded tells that its upstream sent bytes without end, and floodedAt is since when no sound reply is as long;
-	// zero for not yet.
+	// flooded is set if its upstream sent endless bytes, and floodedAt is when they exceeded any valid
+	// reply; zero if they have not.
 	flooded   bool
 	floodedAt time.Time
 }
@@ -66,59 +64,60 @@
 	coldUntil time.Time
 	// leftAt is when the store confirmed that it leaves; zero before that.
 	leftAt time.Time
-	// floodedAt is when its report last had no end; zero for never.
+	// floodedAt is when its report was last endless; zero for never.
 	floodedAt time.Time
 	// recent are the arrivals of the last second while cold.
 	recent []time.Time
 }
 
-type span struct {
+type disturbance struct {
 	from, to time.Time
 	halted   bool
 }
 
 type confirmed[T any] struct {
-	what T
-	at   time.Time
+	value       T
+	confirmedAt time.Time
 }
 
 // entry is a process that answers callers.
 type entry struct {
 	startedAt, stoppingAt, hungUpAt, exitedAt time.Time
-	// leavingStated is when it handed on an answer whose upstream stated that it leaves, and rests what
-	// upstreams asked of it, by upstream.
+	// leavingStated is when it passed on an answer whose upstream stated that it leaves, and rests
+	// holds the backoffs that upstreams asked for, both by upstream.
 	leavingStated map[string]time.Time
-	rests         map[string][]*rest
-	// shown is the least table that its answers prove it to have had, shownAt since when.
-	shown   uint64
-	shownAt time.Time
+	backoffs      map[string][]*backoff
+	// shownVersion is the oldest table that is consistent with its answers, shownAt when that was
+	// established.
+	shownVersion uint64
+	shownAt      time.Time
 }
 
-// rest is the time in which an upstream wants nothing from an entry.
-type rest struct {
+// backoff is a period in which an upstream asked an entry for no requests.
+type backoff struct {
 	asked, until time.Time
-	// arrived counts what reached the upstream after what was on its way.
+	// arrived counts requests that reached the upstream after those already in transit.
 	arrived int
 }
 
-// history is what all promises are judged by.
+// history is the record against which all promises are checked.
 type history struct {
 	Bounds
-	now       time.Time
-	requests  map[string]*request
-	upstreams map[string]*upstream
-	entries   map[string]*entry
-	tables    []confirmed[Table]
-	named     []confirmed[uint64]
-	drained   map[string]time.Time
-	spans     map[string][]span
-	fatal     map[string]*fatal
+	now          time.Time
+	requests     map[string]*request
+	upstreams    map[string]*upstream
+	entries      map[string]*entry
+	tables       []confirmed[Table]
+	announced    []confirmed[uint64]
+	drained      map[string]time.Time
+	disturbances map[string][]disturbance
+	fatal        map[string]*fatalPart
 }
 
 func newHistory(b Bounds) *history {
 	return &history{
 		Bounds: b, requests: map[string]*request{}, upstreams: map[string]*upstream{}, entries: map[string]*entry{},
-		drained: map[string]time.Time{}, spans: map[string][]span{}, fatal: map[string]*fatal{},
+		drained: map[string]time.Time{}, disturbances: map[string][]disturbance{}, fatal: map[string]*fatalPart{},
 	}
 }
 
@@ -129,37 +128,37 @@
 	return h.entries[name]
 }
 
-// note keeps an event. Answers are kept before they are judged.
-func (h *history) note(e Event) {
+// record records an event. Answers are recorded before they are checked.
+func (h *history) record(e Event) {
 	switch e := e.(type) {
 	case Sent:
 		h.requests[e.ID] = &request{Sent: e, at: h.now}
-		h.noteFatal(e)
+		h.recordFatal(e)
 	case Crashed:
-		h.noteFatal(e)
+		h.recordFatal(e)
 	case Answered:
 		if r := h.requests[e.ID]; r != nil {
 			r.answer, r.answeredAt = &e, h.now
-			h.noteLeaving(r)
+			h.recordLeavingStated(r)
 		}
 	case Arrived:
 		if r := h.requests[e.ID]; r != nil {
 			r.arrivals = append(r.arrivals, arrival{e.Upstream, h.now})
 		}
 	case Rejected:
-		h.noteRest(e)
-	case Began:
+		h.recordBackoff(e)
+	case RunStarted:
 		if r := h.requests[e.ID]; r != nil {
 			r.runs = append(r.runs, run{upstream: e.Upstream, at: h.now})
 		}
-	case Ended:
-		h.noteEnd(e)
+	case RunEnded:
+		h.recordRunEnd(e)
 	case Failed:
 		if r := h.requests[e.ID]; r != nil {
 			r.failed++
 		}
 	case Flooded:
-		h.noteFlood(e)
+		h.recordFlood(e)
 	case Unread:
 		if r := h.requests[e.ID]; r != nil {
 			r.unreadBy = e.Upstream
@@ -172,23 +171,23 @@
 		}
 	case Configured:
 		h.tables = append(h.tables, confirmed[Table]{e.Table, h.now})
-	case Named:
-		h.named = append(h.named, confirmed[uint64]{e.Version, h.now})
+	case WeightsAnnounced:
+		h.announced = append(h.announced, confirmed[uint64]{e.Version, h.now})
 	case Drained:
 		h.drained[e.FailureDomain] = h.now
-	case Returned:
+	case Undrained:
 		delete(h.drained, e.FailureDomain)
-	case Disturbed:
-		h.spans[e.Who] = append(h.spans[e.Who], span{from: h.now, halted: e.Halted})
-	case Calmed:
-		h.calm(e.Who)
+	case FaultStarted:
+		h.disturbances[e.Who] = append(h.disturbances[e.Who], disturbance{from: h.now, halted: e.Halted})
+	case FaultEnded:
+		h.endDisturbance(e.Who)
 	default:
-		h.noteProcess(e)
+		h.recordProcess(e)
 	}
 }
 
-// noteLeaving keeps that an entry handed on what an upstream stated of its leaving.
-func (h *history) noteLeaving(r *request) {
+// recordLeavingStated records that an entry passed on an upstream's statement that it leaves.
+func (h *history) recordLeavingStated(r *request) {
 	e := h.entry(r.Entry)
 	if !r.answer.Leaving || r.answer.Upstream == "" {
 		return
@@ -201,35 +200,36 @@
 	}
 }
 
-// noteRest keeps what an upstream asked of an entry. An entry whose caller has left reads no answer.
-func (h *history) noteRest(t Rejected) {
+// recordBackoff records the backoff that an upstream asked of an entry. An entry whose caller has left
+// reads no answer.
+func (h *history) recordBackoff(t Rejected) {
 	r := h.requests[t.ID]
 	if r == nil || r.answer != nil {
 		return
 	}
 	e := h.entry(r.Entry)
-	if e.rests == nil {
-		e.rests = map[string][]*rest{}
+	if e.backoffs == nil {
+		e.backoffs = map[string][]*backoff{}
 	}
-	e.rests[t.Upstream] = append(e.rests[t.Upstream], &rest{asked: h.now, until: h.now.Add(t.Rest)})
+	e.backoffs[t.Upstream] = append(e.backoffs[t.Upstream], &backoff{asked: h.now, until: h.now.Add(t.Rest)})
 }
 
-// noteProcess keeps what happens to processes.
-func (h *history) noteProcess(e Event) {
+// recordProcess records events in the life of processes.
+func (h *history) recordProcess(e Event) {
 	switch e := e.(type) {
 	case Started:
 		*h.entry(e.Entry) = entry{startedAt: h.now}
-		h.instant(e.Entry)
+		h.recordInstant(e.Entry)
 	case Stopping:
 		h.entry(e.Entry).stoppingAt = h.now
-	case HungUp:
+	case ReloadRequested:
 		h.entry(e.Entry).hungUpAt = h.now
 	case Exited:
 		h.entry(e.Who).exitedAt = h.now
 	}
 }
 
-func (h *history) noteEnd(e Ended) {
+func (h *history) recordRunEnd(e RunEnded) {
 	r := h.requests[e.ID]
 	if r == nil {
 		return
@@ -242,13 +242,13 @@
 	}
 }
 
-// instant keeps a disturbance without length.
-func (h *history) instant(who string) {
-	h.spans[who] = append(h.spans[who], span{from: h.now, to: h.now})
+// recordInstant records a disturbance without duration.
+func (h *history) recordInstant(process string) {
+	h.disturbances[process] = append(h.disturbances[process], disturbance{from: h.now, to: h.now})
 }
 
-func (h *history) calm(who string) {
-	spans := h.spans[who]
+func (h *history) endDisturbance(process string) {
+	spans := h.disturbances[process]
 	for i := range spans {
 		if spans[i].to.IsZero() {
 			spans[i].to = h.now
@@ -257,9 +257,9 @@
 	}
 }
 
-// undisturbed tells whether nothing disturbed someone from a moment until another.
-func (h *history) undisturbed(who string, from, to time.Time) bool {
-	for _, s := range h.spans[who] {
+// undisturbed reports whether nothing disturbed a process in an interval.
+func (h *history) undisturbed(process string, from, to time.Time) bool {
+	for _, s := range h.disturbances[process] {
 		if !s.from.After(to) && (s.to.IsZero() || !s.to.Before(from)) {
 			return false
 		}
@@ -267,18 +267,18 @@
 	return true
 }
 
-// halted tells whether someone's process didn't run at some time from a moment until another.
-func (h *history) halted(who string, from, to time.Time) bool {
-	return slices.ContainsFunc(h.spans[who], func(s span) bool {
+// halted reports whether a process did not run at some time in an interval.
+func (h *history) halted(process string, from, to time.Time) bool {
+	return slices.ContainsFunc(h.disturbances[process], func(s disturbance) bool {
 		return s.halted && !s.from.After(to) && (s.to.IsZero() || !s.to.Before(from))
 	})
 }
 
-// calmSince is since when someone is undisturbed at a moment; that moment for one who
-// isn't.
-func (h *history) calmSince(who string, at time.Time) time.Time {
+// undisturbedSince returns since when a process is undisturbed at a time; that time itself if it is
+// disturbed.
+func (h *history) undisturbedSince(process string, at time.Time) time.Time {
 	var since time.Time
-	for _, s := range h.spans[who] {
+	for _, s := range h.disturbances[process] {
 		if s.from.After(at) {
 			continue
 		}
@@ -292,38 +292,37 @@
 	return since
 }
 
-// inTouch tells whether the bounds hold for an entry: it and the store were undisturbed
-// for the whole stable window.
-func (h *history) inTouch(name string, at time.Time) bool {
+// boundsApply reports whether the bounds apply to an entry: it and the store were undisturbed for the
+// whole stable window.
+func (h *history) boundsApply(name string, at time.Time) bool {
 	from := at.Add(-h.StableWindow)
 	e := h.entry(name)
 	stopped := !e.stoppingAt.IsZero() && !e.stoppingAt.After(at)
 	return !stopped && h.undisturbed(name, from, at) && h.undisturbed(Core, from, at)
 }
 
-// binding is from when on a confirmation binds: one that was given while the store was
-// disturbed does so once that is over.
-func (h *history) binding(at time.Time) time.Time {
-	if since := h.calmSince(Core, h.now); since.After(at) && !h.undisturbed(Core, at.Add(-h.StableWindow), at) {
+// bindingSince returns when a confirmation becomes binding: one that was given while the store was
+// disturbed binds once the disturbance has ended.
+func (h *history) bindingSince(at time.Time) time.Time {
+	if since := h.undisturbedSince(Core, h.now); since.After(at) && !h.undisturbed(Core, at.Add(-h.StableWindow), at) {
 		return since
 	}
 	return at
 }
 
-// match finds a path's route in a table; nil for none.
+// match finds the route of a path in a table; nil for none.
 func (t *Table) match(path string) *Route {
-	var best *Route
+	var longest *Route
 	for i := range t.Routes {
 		r := &t.Routes[i]
-		if strings.HasPrefix(path, r.Prefix) && (best == nil || len(r.Prefix) > len(best.Prefix)) {
-			best = r
+		if strings.HasPrefix(path, r.Prefix) && (longest == nil || len(r.Prefix) > len(longest.Prefix)) {
+			longest = r
 		}
 	}
-	return best
+	return longest
 }
 
-// allows tells whether a table lets a request run at a service; an empty one stands for
-// any.
+// allows reports whether a table lets a request run at a service; an empty service stands for any.
 func (t *Table) allows(r *request, service string) bool {
 	route := t.match(r.Path)
 	if route == nil || service != "" && route.Service != service {
@@ -333,12 +332,12 @@
 	return route.Public || known
 }
 
-// inForce lists the tables that an entry in touch may follow for what was sent at a
-// moment: the newest that is older than the bound, and all after it.
-func (h *history) inForce(sent time.Time) []Table {
+// tablesInForce lists the tables that an entry with a current confirmation may follow for a request sent at
+// a time: the newest one that is older than the bound, and all after it.
+func (h *history) tablesInForce(sent time.Time) []Table {
 	first := 0
 	for i, t := range h.tables {
-		if h.binding(t.at).Add(h.ConfigApply).Before(sent) {
+		if h.bindingSince(t.confirmedAt).Add(h.ConfigApply).Before(sent) {
 			first = i
 		}
 	}
@@ -348,15 +347,15 @@
 func (h *history) tablesFrom(first int) []Table {
 	var ts []Table
 	for _, t := range h.tables[min(first, len(h.tables)):] {
-		ts = append(ts, t.what)
+		ts = append(ts, t.value)
 	}
 	return ts
 }
 
-// route is a request's route in the newest table that has one.
+// route returns a request's route in the newest table that has one.
 func (h *history) route(r *request) *Route {
 	for i := len(h.tables) - 1; i >= 0; i-- {
-		if route := h.tables[i].what.match(r.Path); route != nil {
+		if route := h.tables[i].value.match(r.Path); route != nil {
 			return route
 		}
 	}
--- a/soak/auditor/unread_test.go
+++ b/soak/auditor/unread_test.go
@@ -6,36 +6,36 @@
 	"github.com/oriolecroft/oriolecroft/soak/auditor"
 )
 
-// unread has near cut the reply to a request off as nobody read it, and another upstream get it.
-func (d *day) unread() {
+// retryUnread records that near cuts an unread reply off and another upstream gets the request.
+func (d *scenario) retryUnread() {
 	d.send("1", "/look/1")
-	d.reach("1", "near")
-	d.after(time.Second)
-	d.Note(auditor.Unread{ID: "1", Upstream: "near"})
-	d.Note(auditor.Ended{ID: "1", Upstream: "near", Broken: true})
-	d.reach("1", "far")
+	d.arriveAndStart("1", "near")
+	d.advance(time.Second)
+	d.Observe(auditor.Unread{ID: "1", Upstream: "near"})
+	d.Observe(auditor.RunEnded{ID: "1", Upstream: "near", Broken: true})
+	d.arriveAndStart("1", "far")
 }
 
-// reachWith has requests of two routes arrive, the one with priority 0 and the one with 2.
-func (d *day) reachWith(zero, two string) {
+// arriveWithPriorities records arrivals of two routes, with priorities 0 and 2.
+func (d *scenario) arriveWithPriorities(zero, two string) {
 	for path, priority := range map[string]string{"/urgent/1": zero, "/look/1": two} {
 		d.send(path, path)
-		d.Note(auditor.Arrived{ID: path, Upstream: "near", Content: path, Workspace: "w", Left: time.Second, Priority: priority})
+		d.Observe(auditor.Arrived{ID: path, Upstream: "near", Content: path, Workspace: "w", Left: time.Second, Priority: priority})
 	}
 }
 
 var unreadCases = []brokenCase{
-	{auditor.UnreadOnce, "an unread reply is started elsewhere", (*day).unread},
-	{auditor.Priority, "requests have the priority that their callers state", func(d *day) { d.reachWith("0", "0") }},
-	{auditor.Priority, "a less urgent request goes first", func(d *day) { d.reachWith("2", "1") }},
+	{auditor.UnreadOnce, "an unread reply is started elsewhere", (*scenario).retryUnread},
+	{auditor.Priority, "requests have the priority that their callers state", func(d *scenario) { d.arriveWithPriorities("0", "0") }},
+	{auditor.Priority, "a less urgent request goes first", func(d *scenario) { d.arriveWithPriorities("2", "1") }},
 }
 
 var allowedUnreadCases = []allowedCase{
-	{"a reply held up by a link is started elsewhere", func(d *day) {
-		d.Note(auditor.Disturbed{Who: "near"})
-		d.Note(auditor.Calmed{Who: "near"})
-		d.unread()
+	{"a reply held up by a link is started elsewhere", func(d *scenario) {
+		d.Observe(auditor.FaultStarted{Who: "near"})
+		d.Observe(auditor.FaultEnded{Who: "near"})
+		d.retryUnread()
 	}},
-	{"requests without a priority", func(d *day) { d.reachWith("", "") }},
-	{"requests in the order of their routes", func(d *day) { d.reachWith("0", "1") }},
+	{"requests without a priority", func(d *scenario) { d.arriveWithPriorities("", "") }},
+	{"requests in the order of their routes", func(d *scenario) { d.arriveWithPriorities("0", "1") }},
 }
--- a/soak/main.go
+++ b/soak/main.go
@@ -1,5 +1,5 @@
-// Command soak runs the system's programs on loopback under random faults and checks the
-// promises meanwhile. See `go run ./soak --help`.
+// Command soak runs the system's programs on loopback under random faults and checks the promises
+// meanwhile. See `go run ./soak --help`.
 package main
 
 import (
@@ -35,8 +35,7 @@
 )
 
 type flags struct {
-	// Numbers are read here rather than by the library, which does not name the flag that
-	// is at fault.
+	// Numbers are parsed here rather than by the library, whose errors do not name the flag.
 	seed, seeds, seconds, entries, engines, services string
 	file, logs                                       string
 	plan                                             bool
@@ -72,7 +71,7 @@
 	}
 }
 
-// run makes all runs that the flags ask for.
+// run performs all runs that the flags request.
 func (f *flags) run(ctx context.Context) (kept bool, err error) {
 	runs, err := f.runs()
 	if err != nil {
@@ -105,7 +104,7 @@
 	return kept, nil
 }
 
-// runOne makes one run, with its log in a file.
+// runOne performs one run and logs it to a file.
 func (f *flags) runOne(ctx context.Context, o soaker.Options) (bool, error) {
 	o.Dir = filepath.Join(f.logs, fmt.Sprintf("seed-%d", o.Seed))
 	if err := errors.Join(os.RemoveAll(o.Dir), os.MkdirAll(o.Dir, 0o700)); err != nil {
@@ -123,7 +122,7 @@
 	return kept, err
 }
 
-// runs lists the runs, with all their options checked.
+// runs lists the runs after checking all their options.
 func (f *flags) runs() ([]soaker.Options, error) {
 	if f.file != "" {
 		return soaker.ReadRuns(f.file)
--- a/soak/soaker/callers.go
+++ b/soak/soaker/callers.go
@@ -13,34 +13,34 @@
 )
 
 const (
-	// callers ask all through a run, burstCallers more for the time of a burst.
+	// callers is how many callers send requests throughout a run, burstCallers how many join for a
+	// burst.
 	callers      = 30
 	burstCallers = 12
-	// mostThought is between an answer and a caller's next request.
+	// mostThought is the longest pause between an answer and a caller's next request.
 	mostThought = 200 * time.Millisecond
-	// limit is how long callers wait, impatience how long those do that don't wait for long.
+	// limit is how long callers wait, impatience how long impatient ones do.
 	limit      = 2500 * time.Millisecond
 	impatience = 120 * time.Millisecond
-	// longEvents is the length of long streams: they last for 1.4 s and more. Some callers
-	// leave after leastStay and up to as much again, and close their connection.
+	// longEvents is the length of long streams, which last 1.4 s or more. Some callers leave after
+	// leastStay to twice as long and close their connection.
 	longEvents = 120
 	leastStay  = 300 * time.Millisecond
-	// oldAnswers is how many times as long as allowed some callers keep an answer of the
-	// directory.
+	// oldAnswers is how many times the allowed period some callers keep a directory answer.
 	oldAnswers = 3
-	// retryPause is after a failure without a word on when to come back.
+	// retryPause is the pause after a failure that states no time to retry.
 	retryPause = 200 * time.Millisecond
 )
 
 var requests atomic.Uint64
 
-// caller asks one request after another.
+// caller sends one request after another.
 type caller struct {
 	*world
 	random *rand.Rand
 	region string
-	// stubborn callers use a connection until it is gone, also when the directory names
-	// its entry no more, and keep answers of the directory for longer.
+	// stubborn callers use a connection until it closes, even if the directory does not list its
+	// entry, and keep directory answers for longer.
 	stubborn bool
 
 	entries []netip.AddrPort
@@ -54,10 +54,10 @@
 	}
 }
 
-// run asks until the context ends. What was asked by then is waited for.
+// run sends requests until the context ends and waits for the last answer.
 func (c *caller) run(ctx context.Context) { c.runWith(ctx, c.draw) }
 
-// runWith is run with requests that are drawn in some way.
+// runWith is run with requests that draw returns.
 func (c *caller) runWith(ctx context.Context, draw func() *standin.Request) {
 	for sleep(ctx, time.Duration(c.random.Int64N(int64(mostThought)))) {
 		c.resolve(ctx)
@@ -80,7 +80,7 @@
 // directoriesTried is how many daemons a caller asks for addresses, nearest first.
 const directoriesTried = 3
 
-// resolve asks a directory once the last answer is too old.
+// resolve queries a directory once the last answer has expired.
 func (c *caller) resolve(ctx context.Context) {
 	if time.Now().Before(c.until) {
 		return
@@ -99,12 +99,12 @@
 		for _, a := range entries {
 			names = append(names, c.names[a])
 		}
-		c.note(auditor.Directed{Entry: vm.Name, Names: names})
+		c.note(auditor.DirectoryAnswered{Entry: vm.Name, Names: names})
 		return
 	}
 }
 
-// nearest gives the entries in random order, those of the own region first.
+// nearest lists the entries in random order, those of the caller's region first.
 func (c *caller) nearest() []int {
 	var near, far []int
 	for _, i := range c.random.Perm(len(c.entryVMs)) {
@@ -117,7 +117,7 @@
 	return append(near, far...)
 }
 
-// connect sees that there is a connection to use.
+// connect ensures that the caller has a connection.
 func (c *caller) connect(ctx context.Context) bool {
 	if c.conn != nil && !c.stubborn && !c.listed(c.conn.Entry) {
 		c.hangUp()
@@ -131,7 +131,7 @@
 	entry := c.entries[c.random.IntN(len(c.entries))]
 	conn, err := standin.Dial(ctx, entry)
 	if err != nil {
-		// Another address is tried next; this one isn't used until the next answer.
+		// The next attempt uses another address; this one is skipped until the next directory answer.
 		c.drop(entry)
 		return false
 	}
@@ -158,7 +158,7 @@
 	c.entries = rest
 }
 
-// ask sends a request and tells how long to wait for the next.
+// ask sends a request and returns how long to wait before the next.
 func (c *caller) ask(q *standin.Request) time.Duration { return c.askFatal(q, "") }
 
 // askFatal is ask for a request with a part that crashes engines; empty for none.
@@ -214,13 +214,13 @@
 	return q
 }
 
-// newRequest makes a request that has no path yet.
+// newRequest returns a request without a path.
 func (c *caller) newRequest() *standin.Request {
 	n := requests.Add(1)
 	return &standin.Request{ID: fmt.Sprintf("%08x%08x", c.Seed, n), Host: host, Model: figures.Model, Limit: limit, Key: c.key()}
 }
 
-// address has a request go by a route.
+// address sets the path and body of a request for a route.
 func (c *caller) address(q *standin.Request, prefix string) {
 	n := requests.Load()
 	q.Path = fmt.Sprintf("%s%d?slot=%d", prefix, c.random.IntN(100), n)
--- a/soak/soaker/export_test.go
+++ b/soak/soaker/export_test.go
@@ -8,7 +8,7 @@
 	"github.com/oriolecroft/oriolecroft/soak/auditor"
 )
 
-// Process is a daemon that tests run.
+// Process exposes a daemon to tests.
 type Process struct{ p *process }
 
 // NewProcess prepares a daemon.
@@ -19,19 +19,19 @@
 // Start starts the daemon.
 func (p *Process) Start() error { return p.p.start() }
 
-// WatchMemory tells of the memory that the daemon takes, of some bytes that it may.
+// WatchMemory reports the memory that the daemon uses, with the given limit in bytes.
 func (p *Process) WatchMemory(ctx context.Context, allowed int64) {
 	p.p.memory = allowed
 	p.p.watchMemory(ctx)
 }
 
-// Kill ends the daemon at once; it starts again.
+// Kill kills the daemon, which then restarts.
 func (p *Process) Kill() { p.p.kill() }
 
-// End stops the daemon for good.
+// End stops the daemon permanently.
 func (p *Process) End() { p.p.end() }
 
-// FaultedLink puts a link before an address and a fault on it. Mend ends the fault.
+// FaultedLink puts a faulty link before an address. Mend ends the fault.
 func FaultedLink(to netip.AddrPort, kind string, amount int) (at netip.AddrPort, mend, end func(), err error) {
 	k, err := newLink(netip.MustParseAddrPort("127.0.0.1:0"), to)
 	if err != nil {
@@ -41,7 +41,7 @@
 	return k.address(), k.mend, k.close, nil
 }
 
-// ShortLink puts a link before an address and tells whether it had too few descriptors.
+// ShortLink puts a link before an address; short reports whether it ran out of descriptors.
 func ShortLink(to netip.AddrPort) (at netip.AddrPort, short func() bool, end func(), err error) {
 	k, err := newLink(netip.MustParseAddrPort("127.0.0.1:0"), to)
 	if err != nil {
@@ -50,5 +50,5 @@
 	return k.address(), k.short.Load, k.close, nil
 }
 
-// Settle is how long links may take over what they held back.
+// Settle is how long a repaired link may take to deliver the bytes it held.
 const Settle = 200 * time.Millisecond
--- a/soak/soaker/fatal.go
+++ b/soak/soaker/fatal.go
@@ -12,16 +12,16 @@
 )
 
 const (
-	// fatalEvery is the pause between two requests with a part that crashes engines, and crashedFor how
-	// long an engine is down.
+	// fatalEvery is the pause between two requests with a part that crashes engines, and crashedFor
+	// how long an engine is down.
 	fatalEvery = 300 * time.Millisecond
 	crashedFor = 700 * time.Millisecond
-	// farms is of how many farms prompts are.
+	// farms is the number of farms to which prompts belong.
 	farms = 8
 )
 
-// fatals has a part crash engines at some time of the faults, and another one in the recovery, when nothing
-// else disturbs the bounds. They are drawn apart from all other faults.
+// fatals makes one part crash engines at some time among the faults and another in the recovery, when
+// nothing else is disturbed. They are drawn independently of all other faults.
 func fatals(seed uint64, last time.Duration) []fault {
 	r := rand.New(rand.NewPCG(seed, seed+2))
 	first := lateWeightsUntil(last)
@@ -34,14 +34,15 @@
 }
 
 const (
-	// fatalAmong is how long requests with a fatal part come among the other faults, fatalInRecovery in the
-	// recovery: until sound ones are judged, two stable windows after the crashes, and then for long
-	// enough that there are some.
+	// fatalAmong is how long requests with a fatal part are sent among the other faults,
+	// fatalInRecovery in the recovery: until sound ones are checked, two stable windows after the
+	// crashes, and long enough afterwards to have some.
 	fatalAmong      = 8 * time.Second
 	fatalInRecovery = 12 * time.Second
 )
 
-// crashByPrompts plays queries of death: a part of prompts crashes engines for a time, while requests with it come.
+// crashByPrompts simulates queries of death: for a time, engines crash on a part of prompts while
+// requests with it are sent.
 func (w *world) crashByPrompts(f fault) {
 	part := fmt.Sprintf("fa%x%d", w.Seed, f.Target)
 	w.fatal.Store(&part)
@@ -57,7 +58,8 @@
 	}
 }
 
-// sendFatal sends one request with a fatal part: first, in the middle, or among parts that never recur.
+// sendFatal sends one request with the fatal part first, in the middle, or among parts that never
+// recur.
 func (c *caller) sendFatal(ctx context.Context, part string, n int) {
 	if c.resolve(ctx); !c.connect(ctx) {
 		return
@@ -71,18 +73,18 @@
 	c.askFatal(q, part)
 }
 
-// kindPart is the part that all prompts of a route begin with.
+// kindPart is the part with which all prompts of a route start.
 func kindPart(prefix string) string { return "kind" + fmt.Sprint(len(prefix)) + prefix[1:2] }
 
-// soundParts are the shared parts of a sound prompt. They aren't drawn, so that seeds draw what they did
-// before prompts had parts.
+// soundParts returns the shared parts of a sound prompt. They are not random, so that they do not
+// change what a seed draws.
 func soundParts(prefix string) []string {
 	n := requests.Load()
 	farm := fmt.Sprintf("farm%d", n%farms)
 	return [][]string{{kindPart(prefix)}, {kindPart(prefix), farm}, {farm, kindPart(prefix)}}[n/farms%3]
 }
 
-// crashUnder ends an engine under a request with the fatal part.
+// crashUnder crashes an engine that runs a request with the fatal part.
 func (p *place) crashUnder(u *standin.Upstream) {
 	part := p.fatal.Load()
 	if part == nil {
@@ -90,7 +92,7 @@
 	}
 	p.note(auditor.Crashed{Upstream: u.ID, Part: *part})
 	if !p.replace(crashedFor, p.crash) {
-		// It is being replaced already, and ends sooner now.
+		// It is already being replaced, so crash it sooner.
 		p.crash(u)
 	}
 }
--- a/soak/soaker/faults.go
+++ b/soak/soaker/faults.go
@@ -9,7 +9,7 @@
 	"github.com/oriolecroft/oriolecroft/soak/auditor"
 )
 
-// make carries a fault out and returns when it is over.
+// make applies a fault and returns when it has ended.
 func (w *world) make(f fault) {
 	entry := w.entries[f.Target%len(w.entries)]
 	agent := w.agents[f.Target%len(w.agents)]
@@ -36,7 +36,7 @@
 	case powerLoss:
 		w.losePower(f)
 	case storeForgets:
-		// The history may be gone at any time; that is no disturbance.
+		// The history may be compacted at any time; that is no disturbance.
 		w.store.Compact()
 	case storeBusy, storeOverrun, storeSilent, storeLossy, storeSlow, storeLapse, storeFloods:
 		w.faultStore(f)
@@ -47,7 +47,7 @@
 	case agentDelay, agentReset, agentCut, agentSilent, agentNarrow:
 		w.faultLink(w.agentLinks[f.Target%len(w.agentLinks)], f, func() string { return agent.name })
 	case entryCut:
-		// Nobody is excused: all have their way to the store.
+		// No process is excused: all still reach the store.
 		w.faultLink(w.entryLinks[f.Target%len(w.entryLinks)], f, func() string { return "" })
 	case entryDelay, entryReset, entrySilent, entryNarrow:
 		w.faultLink(w.entryLinks[f.Target%len(w.entryLinks)], f, func() string { return entry.name })
@@ -64,17 +64,17 @@
 	}
 }
 
-// storeFaults are those of the whole store, which a plan has in turn.
+// storeFaults are faults of the whole store, which do not overlap in a plan.
 var storeFaults = map[faultKind]standin.Fault{
 	storeBusy: standin.Busy, storeOverrun: standin.RateLimited, storeSilent: standin.Unresponsive, storeLossy: standin.Lossy, storeLapse: standin.Busy,
 	storeSlow: standin.None, powerLoss: standin.Unresponsive, storeFloods: standin.Flooding,
 }
 
 func (w *world) faultStore(f fault) {
-	// The one before may end late, after a stall of the soak.
+	// The previous fault may end late after the soak itself stalled.
 	w.storeFault.Lock()
 	defer w.storeFault.Unlock()
-	w.note(auditor.Disturbed{Who: auditor.Core})
+	w.note(auditor.FaultStarted{Who: auditor.Core})
 	w.store.SetFault(storeFaults[f.Kind])
 	if f.Kind == storeSlow {
 		w.eachStoreLink(func(k *link) { k.slow(leastDelay + time.Duration(f.Amount)*delayStep) })
@@ -90,11 +90,11 @@
 	if f.Kind == storeSlow {
 		w.eachStoreLink((*link).mend)
 	}
-	w.note(auditor.Calmed{Who: auditor.Core})
+	w.note(auditor.FaultEnded{Who: auditor.Core})
 }
 
-// losePower has all machines lose power at once, those of the upstreams, the origin and the store among them.
-// Only what the store has acknowledged outlasts that.
+// losePower simulates a power loss of all machines at once, including those of the upstreams, the
+// origin and the store. Only state that the store has acknowledged survives.
 func (w *world) losePower(f fault) {
 	w.origin.Down.Store(true)
 	defer w.origin.Down.Store(false)
@@ -120,26 +120,26 @@
 }
 
 const (
-	// mostBroken is how many of a hundred replies flaky upstreams break off at most: so many
-	// that repeating each would pass the budget.
+	// mostBroken is the highest percentage of replies that flaky upstreams break off: retrying each
+	// would exceed the budget.
 	mostBroken = 90
-	// mostPaused is how many of a hundred replies upstreams that pause hold at most.
+	// mostPaused is the highest percentage of replies that pausing upstreams hold.
 	mostPaused = 70
-	// leastDelay and delayStep make a link's delay, in steps of the fault's amount.
+	// leastDelay and delayStep determine a link's delay, in steps of the fault's amount.
 	leastDelay = 20 * time.Millisecond
 	delayStep  = 3 * time.Millisecond
-	// leastRate and rateStep make a narrow link's bytes a second, in steps of the fault's
-	// amount: from what a few streams need to a seventh of what the users' links carry.
+	// leastRate and rateStep determine a narrow link's bytes per second, in steps of the fault's
+	// amount: from what a few streams need to a seventh of the bandwidth of the users' links.
 	leastRate = 16 << 10
 	rateStep  = 1 << 10
-	// leastRest and restStep make the rest that an upstream asks for.
+	// leastRest and restStep determine the backoff that an upstream asks for.
 	leastRest = time.Second
 	restStep  = 50 * time.Millisecond
 )
 
 func (w *world) faultStoreLink(f fault) {
 	i := f.Target % len(w.storeLinks)
-	// Links to the store come in the order of the VMs: entries, then agents.
+	// Links to the store are in the order of the VMs: entries, then agents.
 	who := w.processes()[i].name
 	w.faultLink([]*link{w.storeLinks[i]}, f, func() string { return who })
 }
@@ -149,10 +149,10 @@
 	w.faultLink([]*link{p.link}, f, p.id)
 }
 
-// faultLink faults links for a time. Whom that disturbs may be another at its end.
+// faultLink faults links for a time. The process that is disturbed may have been replaced at its end.
 func (w *world) faultLink(links []*link, f fault, who func() string) {
 	first := who()
-	w.note(auditor.Disturbed{Who: first})
+	w.note(auditor.FaultStarted{Who: first})
 	for _, k := range links {
 		k.fault(f)
 	}
@@ -160,14 +160,14 @@
 	for _, k := range links {
 		k.mend()
 	}
-	w.note(auditor.Calmed{Who: first})
+	w.note(auditor.FaultEnded{Who: first})
 	if last := who(); last != first {
-		w.note(auditor.Disturbed{Who: last})
-		w.note(auditor.Calmed{Who: last})
+		w.note(auditor.FaultStarted{Who: last})
+		w.note(auditor.FaultEnded{Who: last})
 	}
 }
 
-// fault does to a link what a fault of any link's kind asks for.
+// fault applies a link fault to a link.
 func (k *link) fault(f fault) {
 	switch f.Kind {
 	case linkDelay, agentDelay, upstreamDelay, entryDelay:
@@ -191,7 +191,7 @@
 	case serviceLeaves:
 		s := w.bookingOutside(domains[f.Target%len(domains)].name)
 		for s != nil && !s.replace(f.For/2, s.leave) {
-			// Another fault of it isn't over.
+			// Another fault of this upstream is still in progress.
 			if !w.wait(announceEvery) {
 				break
 			}
@@ -207,7 +207,7 @@
 	}
 }
 
-// bookingOutside is a place of the booking service that isn't in a failure domain; nil for none.
+// bookingOutside returns a place of the booking service outside a failure domain; nil for none.
 func (w *world) bookingOutside(domain string) *place {
 	for _, p := range w.places {
 		if p.vm.Service == bookingService && p.vm.FailureDomain != domain {
@@ -217,7 +217,7 @@
 	return nil
 }
 
-// change is what the operators, the callers, the origin and flaky upstreams do.
+// change applies faults of the operators, the callers, the origin and flaky upstreams.
 func (w *world) change(f fault) {
 	switch f.Kind {
 	case tableChange:
@@ -259,7 +259,7 @@
 	}
 }
 
-// drain takes a failure domain out for longer than the bound.
+// drain drains a failure domain for longer than the bound.
 func (w *world) drain(f fault) {
 	w.draining.Lock()
 	defer w.draining.Unlock()
--- a/soak/soaker/flood.go
+++ b/soak/soaker/flood.go
@@ -6,19 +6,20 @@
 )
 
 const (
-	// floodsFor is how long upstreams send bytes without end among the other faults, and leastFlooded and
-	// mostFlooded are to how many of a hundred requests.
+	// floodsFor is how long upstreams send endless bytes among the other faults, leastFlooded and
+	// mostFlooded the range of the percentage of requests affected.
 	floodsFor    = 4 * time.Second
 	leastFlooded = 10
 	mostFlooded  = 25
-	// calmFloods is when they do so after all other faults, when nobody else is disturbed.
+	// calmFloods is when they do so after all other faults have ended, when nothing else is disturbed.
 	calmFloods    = recovery + 300*time.Millisecond
 	calmFloodsFor = 2500 * time.Millisecond
-	// storeFloodsFor is how long the store does.
+	// storeFloodsFor is how long the store sends endless bytes.
 	storeFloodsFor = 1500 * time.Millisecond
 )
 
-// floods has upstreams and the store send bytes without end. They are drawn apart from all other faults.
+// floods makes upstreams and the store send endless bytes. They are drawn independently of all other
+// faults.
 func floods(seed uint64, last time.Duration) []fault {
 	r := rand.New(rand.NewPCG(seed, seed+5))
 	first := lateWeightsUntil(last)
--- a/soak/soaker/incident.go
+++ b/soak/soaker/incident.go
@@ -8,29 +8,29 @@
 )
 
 const (
-	// lateWeightsFor is how long engines are slow to stage weights: past the bound on old ones.
+	// lateWeightsFor is how long engines stage weights slowly: past the bound on old ones.
 	lateWeightsFor = 11 * time.Second
-	// slowChunk is the time to stage a chunk then; all of them take longer than the bound.
+	// slowChunk is the time to stage a chunk then; all chunks together take longer than the bound.
 	slowChunk = lateWeightsFor / chunks
-	// lateBy is how long answers of the store are on their way, and lateFor for how long they are late.
+	// lateBy is the delay of the store's answers, and lateFor how long they are delayed.
 	lateBy  = 1100 * time.Millisecond
 	lateFor = 2 * time.Second
-	// afterTable is how soon weights are named after a large table.
+	// afterTable is how soon weights are announced after a large table.
 	afterTable = 50 * time.Millisecond
-	// pausesFor is how long a part of the replies pauses in each run, within pausesWithin of the first faults, and
-	// pausesAmount how large that part is.
+	// pausesFor is how long some replies pause in each run, within pausesWithin of the first faults,
+	// and pausesAmount the share of them.
 	pausesFor    = 5 * time.Second
 	pausesWithin = 7 * time.Second
 	pausesAmount = 55
-	// changesBeside is how many route tables change meanwhile, and how far apart.
+	// changesBeside is how many route tables change meanwhile, and changesApart the time between them.
 	changesBeside = 6
 	changesApart  = pausesFor / changesBeside
-	// burstsAtEnd is how many bursts of callers come as the bound on old weights ends.
+	// burstsAtEnd is how many bursts of callers coincide with the end of the bound on old weights.
 	burstsAtEnd = 2
 )
 
-// incident has weights announced late, and sound upstreams pause beside changes of the route table, a restart and
-// replies that break off. It is drawn apart from all other faults.
+// incident announces weights late and pauses sound upstreams during changes of the route table, a
+// restart and replies that break off. It is drawn independently of all other faults.
 func incident(seed uint64, last time.Duration) []fault {
 	r := rand.New(rand.NewPCG(seed, seed+3))
 	at := settle
@@ -41,7 +41,7 @@
 	faults := []fault{
 		{At: settle, For: min(lateWeightsFor, last-settle), Kind: weightsLate},
 		{At: at, For: pausesFor, Kind: upstreamPauses, Amount: pausesAmount},
-		// After a loss of power few requests reach one, so one leaves before too.
+		// Few requests reach a leaving upstream after a power loss, so one also leaves earlier.
 		{At: settle, For: leastFault, Kind: serviceLeaves, Target: r.IntN(1 << 16)},
 		{At: within(), For: leastFault, Kind: reload, Target: r.IntN(1 << 16), Amount: r.IntN(100)},
 		{At: within(), For: leastFault, Kind: entryStop, Target: r.IntN(1 << 16)},
@@ -58,8 +58,8 @@
 	return faults
 }
 
-// delayWatches has the store's announcements reach processes late. Nobody is excused: what they tell of was
-// acknowledged before.
+// delayWatches delays the store's watch events. No process is excused: the changes they report were
+// acknowledged earlier.
 func (w *world) delayWatches(f fault) {
 	w.lateStore.Lock()
 	defer w.lateStore.Unlock()
@@ -68,8 +68,8 @@
 	w.store.DelayWatches(0)
 }
 
-// nameBesideLateAnswers names weights while the store's answers are late, and has all engines but one take too
-// long to stage them, so that they hold old ones when the bound ends.
+// nameBesideLateAnswers announces weights while the store's answers are late, and slows staging at all
+// engines but one, so that they still hold old weights when the bound ends.
 func (w *world) nameBesideLateAnswers(f fault) {
 	for i, p := range w.places {
 		if p.vm.Service == engineService && i > 0 {
--- a/soak/soaker/link.go
+++ b/soak/soaker/link.go
@@ -15,8 +15,7 @@
 	"github.com/oriolecroft/oriolecroft/internal/connector"
 )
 
-// link passes TCP connections on to one address and can do to them what a faulty
-// network does.
+// link forwards TCP connections to one address and can simulate faults of a network.
 type link struct {
 	at, to netip.AddrPort
 
@@ -25,12 +24,11 @@
 	listener net.Listener
 	closed   bool
 	delay    time.Duration
-	// there and back are held while closed channels of their own are missing: nil lets
-	// bytes pass.
+	// there and back hold the bytes of a direction until the channel is closed; nil lets bytes pass.
 	there, back chan struct{}
 	conns       map[*pipe]bool
-	// limiter paces each direction of a narrow link; nil on a wide one. Widened is closed
-	// once the link is wide again.
+	// limiter paces each direction of a narrow link; nil on a wide one. widened is closed once the
+	// link is wide again.
 	limiter *rate.Limiter
 	widened chan struct{}
 
@@ -41,7 +39,7 @@
 // pipe is one connection through a link.
 type pipe struct {
 	near, far net.Conn
-	// silent is closed once the connection says nothing any more.
+	// silent is closed once the connection stops passing bytes.
 	silent chan struct{}
 	once   sync.Once
 }
@@ -58,7 +56,7 @@
 
 func (k *link) address() netip.AddrPort { return k.at }
 
-// refuse has the link refuse connections until it is opened.
+// refuse makes the link refuse connections until it is opened.
 func (k *link) refuse() {
 	k.mu.Lock()
 	defer k.mu.Unlock()
@@ -68,7 +66,7 @@
 	}
 }
 
-// open has the link take connections again.
+// open makes the link accept connections again.
 func (k *link) open() error {
 	k.mu.Lock()
 	defer k.mu.Unlock()
@@ -92,7 +90,7 @@
 		}
 		if err != nil {
 			k.noteShort(err)
-			// A link that took no more connections for good would be a fault that no plan has.
+			// A link that stopped accepting would be a fault that no plan contains.
 			time.Sleep(acceptAgain)
 			continue
 		}
@@ -106,7 +104,7 @@
 	}
 }
 
-// acceptAgain is the pause after a connection that could not be taken.
+// acceptAgain is the pause after a failed accept.
 const acceptAgain = 10 * time.Millisecond
 
 func (k *link) connect(near net.Conn) {
@@ -142,11 +140,11 @@
 	}
 }
 
-// passedAtOnce is how many bytes pass a link in one piece at most.
+// passedAtOnce is the largest number of bytes that pass a link in one piece.
 const passedAtOnce = 32 << 10
 
-// pass copies one direction until its end. An end is passed on as an end, a reset as a reset: a reply without a
-// length is whole by the one and cut by the other.
+// pass copies one direction until its end. It forwards an end as an end and a reset as a reset: a
+// reply without a length is complete after the former and truncated after the latter.
 func (k *link) pass(p *pipe, from, to net.Conn, held *chan struct{}) {
 	buffer := make([]byte, passedAtOnce)
 	for {
@@ -171,16 +169,15 @@
 	}
 }
 
-// endWrites tells the other end that nothing more comes.
+// endWrites signals the end of the bytes to the other side.
 func endWrites(c net.Conn) {
 	if t, ok := c.(*net.TCPConn); ok {
-		// On one that is closed already this changes nothing.
+		// This has no effect on a closed connection.
 		_ = t.CloseWrite()
 	}
 }
 
-// wait holds bytes back for as long as the link does; false on a connection that is
-// silent for good.
+// wait delays bytes while the link holds them; false on a connection that is permanently silent.
 func (k *link) wait(p *pipe, held *chan struct{}) bool {
 	for {
 		k.mu.Lock()
@@ -203,8 +200,8 @@
 	}
 }
 
-// pace waits until a narrow link has room for some bytes; false on a connection that is
-// silent for good.
+// pace waits until a narrow link can carry some bytes; false on a connection that is permanently
+// silent.
 func (k *link) pace(p *pipe, bytes int) bool {
 	k.mu.Lock()
 	limiter, widened := k.limiter, k.widened
@@ -221,7 +218,7 @@
 	return true
 }
 
-// narrow lets no more than so many bytes a second pass, until the link is mended.
+// narrow limits the bytes per second until the link is repaired.
 func (k *link) narrow(perSecond int) {
 	k.mu.Lock()
 	defer k.mu.Unlock()
@@ -229,18 +226,18 @@
 		return
 	}
 	k.limiter, k.widened = rate.NewLimiter(rate.Limit(perSecond), passedAtOnce), make(chan struct{})
-	// Nothing is saved up at the beginning.
+	// Start without any accumulated burst.
 	k.limiter.AllowN(time.Now(), passedAtOnce)
 }
 
-// slow delays everything until it is set to 0.
+// slow delays all bytes until it is set to 0.
 func (k *link) slow(d time.Duration) {
 	k.mu.Lock()
 	defer k.mu.Unlock()
 	k.delay = d
 }
 
-// cut holds the bytes of one direction or of both until the link is mended.
+// cut holds the bytes of one or both directions until the link is repaired.
 func (k *link) cut(there, back bool) {
 	k.mu.Lock()
 	defer k.mu.Unlock()
@@ -252,7 +249,7 @@
 	}
 }
 
-// mend ends delays, cuts and narrowness.
+// mend ends delays, cuts and rate limits.
 func (k *link) mend() {
 	k.mu.Lock()
 	defer k.mu.Unlock()
@@ -269,7 +266,7 @@
 	}
 }
 
-// silence has all open connections say nothing any more; new ones work.
+// silence stops all bytes on open connections permanently; new connections work.
 func (k *link) silence() {
 	k.mu.Lock()
 	defer k.mu.Unlock()
@@ -278,7 +275,7 @@
 	}
 }
 
-// reset breaks all connections.
+// reset resets all connections.
 func (k *link) reset() {
 	k.mu.Lock()
 	defer k.mu.Unlock()
@@ -288,7 +285,7 @@
 	}
 }
 
-// close ends the link.
+// close shuts the link down.
 func (k *link) close() {
 	k.refuse()
 	k.mu.Lock()
--- a/soak/soaker/link_test.go
+++ b/soak/soaker/link_test.go
@@ -16,7 +16,7 @@
 	"github.com/oriolecroft/oriolecroft/soak/soaker"
 )
 
-// echo answers each connection with what came on it.
+// echo starts a server that returns the bytes of each connection.
 func echo(t *testing.T) netip.AddrPort {
 	l, err := net.Listen("tcp", "127.0.0.1:0")
 	must.NoError(t, err)
@@ -36,8 +36,7 @@
 	return netip.MustParseAddrPort(l.Addr().String())
 }
 
-// exchange sends bytes and tells how long it took until they were back; false for not within
-// a time.
+// exchange sends bytes and returns how long they took to return; false if not within a time.
 func exchange(t *testing.T, c net.Conn, n int, within time.Duration) (took time.Duration, ok bool) {
 	began := time.Now()
 	must.NoError(t, c.SetDeadline(began.Add(within)))
@@ -47,8 +46,8 @@
 	return time.Since(began), err == nil
 }
 
-// A link that passes everything on, whatever fault was put on it, would make each run a
-// calm one, and all promises would seem to be kept under faults that never were.
+// Guards against a link that ignores its faults, which would make every run undisturbed, so that all
+// promises would seem to be kept.
 func TestFaultsOfLinksAreFelt(t *testing.T) {
 	const bytes = 8 << 10
 	for _, c := range []struct {
@@ -57,8 +56,8 @@
 		least, timeout time.Duration
 		held           bool
 	}{
-		// 16 KiB a second each way: half a second for the one way and as much back, of which
-		// the second begins before the first ends.
+		// 16 KiB/s in each direction: half a second each way, of which the second starts before the
+		// first ends.
 		{"entry link narrow", 0, 450 * time.Millisecond, 3 * time.Second, false},
 		{"entry link delayed", 60, 400 * time.Millisecond, 3 * time.Second, false},
 		{"entry link cut one way", 1, 0, 300 * time.Millisecond, true},
@@ -81,15 +80,15 @@
 	}
 }
 
-// The soak has no descriptors left, and its links refuse connections, as none of its faults does. A
-// run that was judged all the same would tell of a system that no plan describes.
+// Guards against evaluating a run in which the soak has no descriptors left, so that its links refuse
+// connections, which no planned fault does.
 func TestLinkNotesThatDescriptorsAreMissing(t *testing.T) {
 	at, short, end, err := soaker.ShortLink(echo(t))
 	must.NoError(t, err)
 	defer end()
 	before, err := net.Dial("tcp", at.String())
 	must.NoError(t, err)
-	// Collected as garbage it would be closed, and its descriptors be free.
+	// Garbage collection would close it and free its descriptors.
 	defer before.Close()
 	must.False(t, short())
 	defer takeDescriptors(t)()
@@ -99,7 +98,8 @@
 	must.Wait(t, wait.InitialSuccess(wait.BoolFunc(short), wait.Timeout(time.Second), wait.Gap(time.Millisecond)))
 }
 
-// closeGarbage waits until what earlier tests have left open is closed: its descriptors would come free later.
+// closeGarbage waits until garbage collection has closed what earlier tests left open, which would
+// free descriptors later.
 func closeGarbage(t *testing.T) {
 	for last, same := -1, 0; same < 5; time.Sleep(10 * time.Millisecond) {
 		runtime.GC()
@@ -111,7 +111,7 @@
 	}
 }
 
-// takeDescriptors leaves this process a single descriptor until they are given back.
+// takeDescriptors leaves this process a single descriptor until they are returned.
 func takeDescriptors(t *testing.T) (giveBack func()) {
 	closeGarbage(t)
 	const most = 256
--- a/soak/soaker/memory.go
+++ b/soak/soaker/memory.go
@@ -10,17 +10,18 @@
 	"github.com/oriolecroft/oriolecroft/soak/auditor"
 )
 
-// measureEvery is how often the memory of processes is looked at. The kernel keeps the most that each has taken.
+// measureEvery is the interval at which the memory of processes is read. The kernel records the peak
+// of each.
 const measureEvery = 200 * time.Millisecond
 
-// measure is how many megabytes a process has taken.
+// measure is a process's memory use in megabytes.
 type measure struct {
 	pid       int
 	megabytes int64
 }
 
-// watchMemory tells the auditor of the memory that the process takes, whenever that is another megabyte, and
-// returns the most that it took.
+// watchMemory reports the memory that the process uses whenever it changes by a megabyte, and returns
+// the peak.
 func (p *process) watchMemory(ctx context.Context) (most int64) {
 	var before measure
 	for sleep(ctx, measureEvery) {
@@ -33,7 +34,7 @@
 	return most
 }
 
-// peak is the most resident memory that the running process has taken, in bytes; false for none that runs.
+// peak returns the peak resident memory of the running process in bytes; false if none runs.
 func (p *process) peak() (pid int, taken int64, ok bool) {
 	p.mu.Lock()
 	defer p.mu.Unlock()
@@ -42,7 +43,7 @@
 	}
 	select {
 	case <-p.done:
-		// Another process may have its number by now.
+		// Another process may have reused the PID.
 		return 0, 0, false
 	default:
 	}
--- a/soak/soaker/operators.go
+++ b/soak/soaker/operators.go
@@ -12,10 +12,10 @@
 	"github.com/oriolecroft/oriolecroft/soak/auditor"
 )
 
-// host is the name under which callers know the deployment.
+// host is the name by which callers address the deployment.
 const host = "rota.example"
 
-// The callers' ways, by prefix. The last two come, go and move.
+// The callers' routes by prefix. The last two are added, removed and moved.
 const (
 	draftPrefix   = "/draft/"
 	oncePrefix    = "/oncedraft/"
@@ -31,19 +31,21 @@
 	removedPrefix = "key-removed-"
 )
 
-// priorities are those of the routes, the most urgent for others; homesPriority is that of a workspace, before them.
+// priorities are the priorities of the routes; the other routes have the most urgent one.
+// homesPriority is that of a workspace, which takes precedence.
 var priorities = map[string]int{oncePrefix: 2, homePrefix: 1, lookPrefix: 2, publicPrefix: 3, comingPrefix: 1}
 
 const homesPriority = 4
 
-// operators write to the store what the deployment is to do, and tell the auditor when
-// that is confirmed.
+// operators write the configuration of the deployment to the store and report it to the auditor when
+// it is confirmed.
 type operators struct {
 	*world
 
 	mu    sync.Mutex
 	table standin.Table
-	// grown are routes that make the table large. No caller uses them, so the auditor doesn't get them.
+	// grown are routes that make the table large. No caller uses them, so the auditor does not receive
+	// them.
 	grown   []standin.Route
 	removed int
 	weights uint64
@@ -77,15 +79,15 @@
 	return o
 }
 
-// begin writes the first table and the first version of the weights.
+// begin writes the first table and announces the first version of the weights.
 func (o *operators) begin() {
 	o.put()
 	o.store.AnnounceWeights(figures.Model, o.weights)
-	o.note(auditor.Named{Version: o.weights})
+	o.note(auditor.WeightsAnnounced{Version: o.weights})
 }
 
-// put writes the table. The auditor hears of it first, as an entry may show it before
-// this process goes on.
+// put writes the table. The auditor receives it first, as an entry may use it before this process
+// continues.
 func (o *operators) put() {
 	t := auditor.Table{Version: o.table.Version, Keys: map[string]auditor.Workspace{}}
 	for i := range o.table.Routes {
@@ -134,7 +136,7 @@
 	o.put()
 }
 
-// grownRoutes makes a table of some 100 KB.
+// grownRoutes yields a table of some 100 KB.
 const grownRoutes = 400
 
 // grow makes the table large.
@@ -151,7 +153,7 @@
 	o.put()
 }
 
-// removeKey takes a key from callers that use it and gives them another.
+// removeKey replaces the key of callers that use it.
 func (o *operators) removeKey() {
 	o.mu.Lock()
 	defer o.mu.Unlock()
@@ -162,31 +164,31 @@
 	o.put()
 }
 
-// changingKeys gives the key in force that changes, and the one before it.
+// changingKeys returns the current value of the key that changes and the previous one.
 func (o *operators) changingKeys() (now, before string) {
 	o.mu.Lock()
 	defer o.mu.Unlock()
 	return fmt.Sprint(removedPrefix, o.removed), fmt.Sprint(removedPrefix, max(0, o.removed-1))
 }
 
-// name declares the next version of the weights.
+// name announces the next version of the weights.
 func (o *operators) name() {
 	o.mu.Lock()
 	defer o.mu.Unlock()
 	o.weights++
 	o.store.AnnounceWeights(figures.Model, o.weights)
-	o.note(auditor.Named{Version: o.weights})
+	o.note(auditor.WeightsAnnounced{Version: o.weights})
 }
 
-// drain takes a failure domain out.
+// drain drains a failure domain.
 func (o *operators) drain(domain string) {
 	o.store.Drain(domain)
 	o.note(auditor.Drained{FailureDomain: domain})
 }
 
-// takeBack returns a failure domain. The auditor hears of it first, as an entry may use
-// it before this process goes on.
+// takeBack ends the draining of a failure domain. The auditor receives it first, as an entry may use
+// the domain before this process continues.
 func (o *operators) takeBack(domain string) {
-	o.note(auditor.Returned{FailureDomain: domain})
+	o.note(auditor.Undrained{FailureDomain: domain})
 	o.store.Undrain(domain)
 }
--- a/soak/soaker/place.go
+++ b/soak/soaker/place.go
@@ -9,19 +9,20 @@
 	"github.com/oriolecroft/oriolecroft/soak/auditor"
 )
 
-// heartbeat is between two records of an upstream.
+// heartbeat is the interval between two records of an upstream.
 const heartbeat = 1200 * time.Millisecond
 
 const (
-	// coldTime is how long an upstream that returns is cold, coldRate what it then bears.
+	// coldTime is how long a replacement upstream is cold, coldRate the request rate it sustains
+	// meanwhile.
 	coldTime = 4 * time.Second
 	coldRate = 8
-	// serviceSlots and serviceWork are those of a plain service.
+	// serviceSlots and serviceWork are the slots and the time per request of a plain service.
 	serviceSlots = 8
 	serviceWork  = 25 * time.Millisecond
 )
 
-// place is a VM on which one upstream after another runs, behind a link.
+// place is a VM that runs one upstream after another behind a link.
 type place struct {
 	*world
 	number int
@@ -33,7 +34,7 @@
 	// generation numbers the upstreams.
 	generation int
 	current    *standin.Upstream
-	// busy tells that the upstream is being replaced.
+	// busy is set while the upstream is being replaced.
 	busy bool
 }
 
@@ -44,7 +45,7 @@
 	}
 	p := &place{world: w, number: len(w.places), vm: vm, link: k}
 	if vm.Service == engineService {
-		// The first version lies staged from the start.
+		// The first version is staged from the start.
 		for i := range chunks {
 			p.staged.Put(i, w.origin.Chunk(figures.Model, 1, i))
 		}
@@ -72,7 +73,7 @@
 		p.current = standin.NewService(r, serviceWork)
 	}
 	u := p.current
-	// Requests to an engine soon end by its agent, which learns of the leaving as well.
+	// Requests to an engine end soon through its agent, which also learns that the engine leaves.
 	u.StatesLeaving = p.vm.Service != engineService || (p.number+p.generation)%2 == 0
 	u.Observer, u.Store, u.Heartbeat, u.BreakOff = observer{p.world}, p.store, heartbeat, &p.breakOff
 	u.Pauses, u.Failures, u.Floods = &p.pauses, &p.failures, &p.floods
@@ -86,8 +87,8 @@
 	}
 }
 
-// replace ends the upstream in some way and opens another after a pause. It does nothing, and returns
-// false, while that is under way already.
+// replace ends the upstream with end and starts another after a pause. It does nothing and returns
+// false if a replacement is already in progress.
 func (p *place) replace(pause time.Duration, end func(*standin.Upstream)) bool {
 	p.mu.Lock()
 	u, busy := p.current, p.busy
@@ -109,22 +110,23 @@
 
 // crash ends an upstream at once. The store drops its record after three heartbeats.
 func (p *place) crash(u *standin.Upstream) {
-	p.note(auditor.Disturbed{Who: u.ID})
+	p.note(auditor.FaultStarted{Who: u.ID})
 	p.link.refuse()
 	u.Stop()
 	time.AfterFunc(3*heartbeat, func() { p.store.DropUpstream(u.ID) })
 }
 
 const (
-	// announceEvery is how often an upstream tries to tell that it leaves.
+	// announceEvery is the interval at which an upstream tries to announce that it leaves.
 	announceEvery = 100 * time.Millisecond
 	// beyondDrain is how much longer than the bound it serves.
 	beyondDrain = 700 * time.Millisecond
-	// saidBefore is how much sooner its answers state that it leaves than the store hears of it.
+	// saidBefore is how much earlier its answers state that it leaves than it records that in the
+	// store.
 	saidBefore = 400 * time.Millisecond
 )
 
-// leave has an upstream state and announce that it leaves, serve for the bound and end.
+// leave makes an upstream state and announce that it leaves, serve for the bound and end.
 func (p *place) leave(u *standin.Upstream) {
 	if u.StateLeaving(); u.StatesLeaving && !p.wait(saidBefore) {
 		return
@@ -136,22 +138,22 @@
 	}
 	p.note(auditor.Leaving{Upstream: u.ID})
 	p.wait(p.bounds.Drain + beyondDrain)
-	p.note(auditor.Disturbed{Who: u.ID})
+	p.note(auditor.FaultStarted{Who: u.ID})
 	u.Deregister()
 	u.Stop()
 }
 
-// vanish has an upstream's record removed while it still serves for the bound.
+// vanish removes an upstream's record while it still serves for the bound.
 func (p *place) vanish(u *standin.Upstream) {
 	u.StateLeaving()
 	u.Deregister()
 	p.note(auditor.Leaving{Upstream: u.ID})
 	p.wait(p.bounds.Drain + beyondDrain)
-	p.note(auditor.Disturbed{Who: u.ID})
+	p.note(auditor.FaultStarted{Who: u.ID})
 	u.Stop()
 }
 
-// rest has the upstream turn requests away for a time and ask for rest.
+// rest makes the upstream reject requests for a time and ask for a backoff.
 func (p *place) rest(lasts, rest time.Duration) {
 	p.mu.Lock()
 	u := p.current
@@ -168,7 +170,7 @@
 	p.store.DropUpstream(p.current.ID)
 }
 
-// id is that of the current upstream.
+// id returns the ID of the current upstream.
 func (p *place) id() string {
 	p.mu.Lock()
 	defer p.mu.Unlock()
@@ -184,7 +186,7 @@
 	p.link.close()
 }
 
-// observer tells the auditor what upstreams see.
+// observer reports to the auditor what upstreams observe.
 type observer struct{ *world }
 
 var _ standin.Observer = observer{}
@@ -199,12 +201,12 @@
 
 // Began implements standin.Observer.
 func (o observer) Began(id, upstream string, version uint64, spoilt bool) {
-	o.note(auditor.Began{ID: id, Upstream: upstream, Version: version, Spoilt: spoilt})
+	o.note(auditor.RunStarted{ID: id, Upstream: upstream, Version: version, Spoilt: spoilt})
 }
 
 // Ended implements standin.Observer.
 func (o observer) Ended(id, upstream string, broken bool, events int) {
-	o.note(auditor.Ended{ID: id, Upstream: upstream, Broken: broken, Events: events})
+	o.note(auditor.RunEnded{ID: id, Upstream: upstream, Broken: broken, Events: events})
 }
 
 // Failed implements standin.Observer.
--- a/soak/soaker/plan.go
+++ b/soak/soaker/plan.go
@@ -11,10 +11,10 @@
 	"github.com/oriolecroft/oriolecroft/platform/standin"
 )
 
-// faultKind is what a fault does.
+// faultKind is a kind of fault.
 type faultKind string
 
-// The faults.
+// The kinds of faults.
 const (
 	entryPause     faultKind = "entry paused"
 	entryKill      faultKind = "entry killed"
@@ -75,8 +75,8 @@
 	weightsLate    faultKind = "weights named, announced late and staged slowly"
 )
 
-// weighted lists the kinds with their odds. A change here changes what every seed draws, so
-// lines of seeds.txt name the commit for which they hold.
+// weighted lists the kinds with their odds. A change here changes what every seed draws, so lines of
+// seeds.txt state the commit for which they hold.
 var weighted = []struct {
 	kind faultKind
 	odds int
@@ -97,7 +97,7 @@
 type fault struct {
 	At, For time.Duration
 	Kind    faultKind
-	// Target picks whom it meets, Amount how strongly.
+	// Target selects the affected process or link, Amount the strength.
 	Target, Amount int
 }
 
@@ -106,50 +106,48 @@
 }
 
 const (
-	// settle is how long a run goes on before the first fault: processes start and engines
-	// open.
+	// settle is how long a run lasts before the first fault, while processes and engines start.
 	settle = 3 * time.Second
-	// Recovery is how long a run goes on without faults at its end: 12 s in which service
-	// has to come back by the users' bounds, and some in which that shows.
+	// recovery is the part of a run without faults at its end: 12 s within which service must recover
+	// by the users' bounds. shown is the time in which that is checked.
 	recovery = 12 * time.Second
 	shown    = 4 * time.Second
-	// leastFault and mostFault are how long a fault lasts.
+	// leastFault and mostFault limit how long a fault lasts.
 	leastFault = 300 * time.Millisecond
 	mostFault  = 4 * time.Second
-	// longFault is how long some last: past every bound, the longest of which are 8 s.
+	// longFault is the limit for kinds that must exceed every bound, the longest of which are 8 s.
 	longFault = 10 * time.Second
-	// mostDrained is how long a failure domain is drained at most.
+	// mostDrained is the longest draining of a failure domain.
 	mostDrained = 9 * time.Second
 	// calmDrain is how much longer than the bound a failure domain is drained at the end.
 	calmDrain = 3 * time.Second
-	// calmRest is when an engine asks for rest after all other faults, for as long as any does.
+	// calmRest is when an engine asks for the longest backoff after all other faults.
 	calmRest   = 4 * time.Second
 	mostAmount = 99
-	// surelyBroken is for how long upstreams break off most replies in each run: repeats
-	// without a budget then pass its bound.
+	// surelyBroken is how long upstreams break off most replies in each run: retries without a budget
+	// then exceed its bound.
 	surelyBroken = 4 * time.Second
-	// darkFor is how long machines are without power, namedBefore how much sooner weights are named.
+	// darkFor is how long machines have no power, namedBefore how much earlier weights are announced.
 	darkFor     = 1500 * time.Millisecond
 	namedBefore = 200 * time.Millisecond
-	// mostPause is between two faults; half of all come in close series.
+	// mostPause limits the pause between two faults; half of all faults come in close series.
 	mostPause = 2 * time.Second
 	inSeries  = 150 * time.Millisecond
 )
 
-// long are the kinds that are to outlast the bounds: after them a process may have missed
-// all that happened meanwhile, and repeats fill a whole window of their budget.
+// long are the kinds that may outlast the bounds: a process may then miss everything that happens
+// meanwhile, and retries fill a whole window of their budget.
 var long = []faultKind{entryPause, agentPause, storeBusy, storeSilent, storeLapse, linkCut, entryCut, upstreamBreaks}
 
-// enabledShare is the share, of a hundred, of kinds that one seed uses. With all at once
-// hardly any process would run undisturbed for long enough to be held to a bound.
+// enabledShare is the percentage of kinds that one seed uses. With all of them, hardly any process
+// would run undisturbed for long enough for a bound to apply.
 const enabledShare = 45
 
-// always are kinds that every seed uses: without changes most promises have nothing to
-// be checked on.
+// always are kinds that every seed uses: without changes most promises would not be checked.
 var always = []faultKind{tableChange, weightsNamed, upstreamLeaves}
 
-// plan draws the faults of a run. All but the last draining of a failure domain are over when
-// the recovery begins.
+// plan draws the faults of a run. All but the last draining of a failure domain have ended when the
+// recovery starts.
 func plan(seed uint64, length time.Duration) []fault {
 	r := rand.New(rand.NewPCG(seed, seed))
 	last := length - recovery - shown
@@ -189,9 +187,9 @@
 	return inTurn(besideIncident(faults, last))
 }
 
-// besideIncident leaves out, during weightsLate, the faults of the whole store, which would excuse requests on old
-// weights, and replies that break off, which would leave no retry for those that pause. A run that is too short
-// keeps them.
+// besideIncident removes, during weightsLate, the faults of the whole store, which would excuse
+// requests on old weights, and replies that break off, which would leave no retry for those that
+// pause. A run that is too short keeps them.
 func besideIncident(faults []fault, last time.Duration) []fault {
 	until := lateWeightsUntil(last)
 	return slices.DeleteFunc(faults, func(f fault) bool {
@@ -200,8 +198,8 @@
 	})
 }
 
-// lateWeightsUntil is the end of weightsLate in a run that is long enough to keep other faults out of it; settle
-// in any other.
+// lateWeightsUntil returns the end of weightsLate in a run that is long enough to keep other faults
+// out of it; settle in any other.
 func lateWeightsUntil(last time.Duration) time.Duration {
 	if until := settle + lateWeightsFor; last > until+surelyBroken {
 		return until
@@ -209,9 +207,8 @@
 	return settle
 }
 
-// inTurn leaves out the faults of the whole store and the drainings that would begin during an
-// earlier one. Were that left to the moment at which they come, a stall of the soak would have other
-// faults happen than those of the seed.
+// inTurn removes faults of the whole store and drainings that would start during an earlier one. If
+// that were decided during the run, a stall of the soak would change which faults of the seed occur.
 func inTurn(faults []fault) []fault {
 	var storeFree, domainsFree time.Duration
 	return slices.DeleteFunc(beforeLoss(faults), func(f fault) bool {
@@ -230,7 +227,7 @@
 	})
 }
 
-// beforeLoss leaves out the faults of the whole store that would still last when all machines lose power.
+// beforeLoss removes faults of the whole store that would last until all machines lose power.
 func beforeLoss(faults []fault) []fault {
 	i := slices.IndexFunc(faults, func(f fault) bool { return f.Kind == powerLoss })
 	if i < 0 {
@@ -243,11 +240,11 @@
 	})
 }
 
-// sure are faults that every plan has, as few seeds would put their promises to the test: the
-// budget of repeats, the reading of settings, what upstreams state of themselves, and the bounds on a
-// drained failure domain and on a cold upstream. The domain is drained, and an engine of another one replaced, when everything
-// else is over: before, hardly anybody is undisturbed for long enough to be held to the bound, and
-// an upstream may be warm again by the time entries learn of its return.
+// sure returns faults that every plan has, as few seeds would check their promises: the budget of
+// retries, the reloading of settings, what upstreams state, and the bounds on a drained failure domain
+// and a cold upstream. The domain is drained, and an engine of another one replaced, when everything
+// else has ended: before, hardly any process is undisturbed long enough for the bound to apply, and an
+// upstream may be warm again when entries learn of its return.
 func sure(r *rand.Rand, last time.Duration) []fault {
 	within := func(lasts time.Duration) time.Duration {
 		return settle + time.Duration(r.Int64N(int64(last-lasts-settle)))
@@ -259,17 +256,17 @@
 	// Engine i is in failure domain i for the first of them.
 	undrained := (drains.Target + 1) % len(domains)
 	leaves := fault{At: last + leastFault, For: leastFault, Kind: upstreamLeaves, Target: undrained}
-	// A plain upstream leaves and an engine asks for rest in domains that aren't drained, the latter
-	// once nothing has been disturbed for the stable window.
+	// A plain upstream leaves and an engine asks for a backoff in domains that are not drained, the
+	// latter once nothing has been disturbed for the stable window.
 	service := fault{At: last + leastFault, For: leastFault, Kind: serviceLeaves, Target: drains.Target}
 	rest := fault{At: last + calmRest, For: leastFault, Kind: upstreamRests, Target: (undrained + 1) % len(domains), Amount: mostAmount}
 	return []fault{breaks, reloads, drains, leaves, service, rest}
 }
 
-// restsPerRun is how many upstreams ask for rest in each run, which few do by themselves.
+// restsPerRun is how many upstreams ask for a backoff in each run, which few seeds do otherwise.
 const restsPerRun = 4
 
-// rests are drawn apart from all other faults, which stay those that a seed drew before.
+// rests draws backoffs independently of all other faults, which stay the same for a seed.
 func rests(seed uint64, last time.Duration) []fault {
 	r := rand.New(rand.NewPCG(seed, seed+1))
 	var faults []fault
@@ -282,20 +279,21 @@
 }
 
 const (
-	// failuresPerRun is how often among the other faults two upstreams fail at one request for failuresFor, and
-	// leastFailures and mostFailures are at how many of a hundred requests.
+	// failuresPerRun is how often, among the other faults, two upstreams fail at one request for
+	// failuresFor, and leastFailures and mostFailures limit the percentage of requests.
 	failuresPerRun = 2
 	failuresFor    = 4 * time.Second
 	leastFailures  = 10
 	mostFailures   = 30
-	// calmFailures is when they do so after all other faults, at calmFailuresShare of a hundred requests, until
-	// the run ends. Before, few requests have a retry left.
+	// calmFailures is when they do so after all other faults, at calmFailuresShare percent of the
+	// requests, until the run ends. Earlier, few requests have a retry left.
 	calmFailures      = 6500 * time.Millisecond
 	calmFailuresFor   = recovery + shown - calmFailures - leastFault
 	calmFailuresShare = 30
 )
 
-// doubleFailures has two upstreams in turn fail at the same requests. They are drawn apart from all other faults.
+// doubleFailures makes two upstreams in turn fail at the same requests. They are drawn independently
+// of all other faults.
 func doubleFailures(seed uint64, last time.Duration) []fault {
 	r := rand.New(rand.NewPCG(seed, seed+4))
 	first := lateWeightsUntil(last)
@@ -308,8 +306,8 @@
 	return faults
 }
 
-// powerLosses has everything lose power at the end of all other faults, right after weights were named, with
-// each second seed.
+// powerLosses makes everything lose power at the end of all other faults, right after weights were
+// announced, with every second seed.
 func powerLosses(seed uint64, last time.Duration) []fault {
 	if seed%2 == 0 {
 		return nil
@@ -318,7 +316,7 @@
 	return []fault{{At: at - namedBefore, For: leastFault, Kind: weightsNamed}, {At: at, For: darkFor, Kind: powerLoss}}
 }
 
-// enabled draws the kinds of one seed, each as often as its odds.
+// enabled draws the kinds of one seed, each repeated by its odds.
 func enabled(r *rand.Rand) []faultKind {
 	var kinds []faultKind
 	for _, w := range weighted {
@@ -329,7 +327,7 @@
 	return kinds
 }
 
-// Describe writes the faults of a seed, a line each.
+// Describe writes the faults of a seed, one per line.
 func Describe(w io.Writer, seed uint64, length time.Duration) {
 	for _, f := range plan(seed, length) {
 		fmt.Fprintln(w, f)
--- a/soak/soaker/plan_test.go
+++ b/soak/soaker/plan_test.go
@@ -13,9 +13,8 @@
 	"github.com/oriolecroft/oriolecroft/soak/soaker"
 )
 
-// A seed that showed a fault is run again to see whether that is mended. If it drew
-// other faults then, the fault would seem mended and would not be. Promises that few seeds
-// put to the test would seem kept as well.
+// Guards against a seed that draws other faults on a rerun, so that a fault seems fixed, and against
+// promises that few seeds check.
 func TestSeedDrawsTheSameFaultsAgain(t *testing.T) {
 	draw := func(seed uint64) string {
 		var b bytes.Buffer
@@ -33,9 +32,9 @@
 	}
 }
 
-// The soak itself stands still for half a second. Were it found out only as it comes that a fault
-// meets another of the store, or a drained failure domain, other faults would happen than those of
-// the seed, and a promise would stay unchecked now and then.
+// Guards against overlapping faults of the store or drainings in a plan. If overlaps were detected
+// only during a run, a stall of the soak for half a second would change which faults occur and leave
+// promises unchecked.
 func TestFaultsOfTheStoreAreInTurn(t *testing.T) {
 	for seed := range uint64(200) {
 		var b bytes.Buffer
@@ -53,7 +52,7 @@
 			case !strings.Contains(line, "  store ") && !strings.Contains(line, "lose power") || strings.Contains(line, "store link") || strings.Contains(line, "store connections") || strings.Contains(line, "forgets"):
 				continue
 			}
-			// The plan's lines are in hundredths.
+			// The plan prints hundredths of a second.
 			must.GreaterEq(t, *until-0.02, at, must.Sprintf("seed %d: %s", seed, line))
 			*until = at + lasts
 		}
--- a/soak/soaker/process.go
+++ b/soak/soaker/process.go
@@ -12,34 +12,34 @@
 	"github.com/oriolecroft/oriolecroft/soak/auditor"
 )
 
-// restartPause is between the end of a process and its next start, as the platform has it.
+// restartPause is the time between the end of a process and its next start, as on the platform.
 const restartPause = 300 * time.Millisecond
 
-// process is a daemon of the system on its VM. It is started again whenever it ends.
+// process is a daemon of the system on its VM. It is restarted whenever it ends.
 type process struct {
 	name, binary, role string
 	settings, log      string
 	note               func(auditor.Event)
 	// grace is the time between the signal to stop and the kill.
 	grace time.Duration
-	// memory is how many bytes it may take.
+	// memory is its limit in bytes.
 	memory int64
 
-	// rereading is held while the settings file is written and read again. No process starts
-	// meanwhile: it might find a faulty file.
+	// rereading is held while the settings file is written and reloaded. No process starts meanwhile,
+	// as it might read a faulty file.
 	rereading sync.Mutex
-	// startedOn is the text of the settings on which the running process started.
+	// startedOn is the text of the settings with which the running process started.
 	startedOn string
-	// loggedBefore is how long the log was when the running process started, in bytes.
+	// loggedBefore is the length of the log in bytes when the running process started.
 	loggedBefore int64
 
 	mu  sync.Mutex
 	cmd *exec.Cmd
 	// asked is set once the running process got a signal to end, killed once it got SIGKILL.
 	asked, killed bool
-	// over tells that no further one is to be started.
+	// over is set once the process must not restart.
 	over bool
-	// dark is for how long the VM has no power, once the process has ended; 0 for a VM that has.
+	// dark is how long the VM has no power after the process ends; 0 if it has power.
 	dark time.Duration
 	done chan struct{}
 }
@@ -74,9 +74,9 @@
 	return nil
 }
 
-// await notices the end and starts the process again.
+// await waits for the end of the process and restarts it.
 func (p *process) await(cmd *exec.Cmd, done chan struct{}) {
-	// How it ended is in its log; that it did is what counts here.
+	// The log shows how the process ended; only that it ended matters here.
 	_ = cmd.Wait()
 	p.mu.Lock()
 	over, pause := p.over, max(restartPause, p.dark)
@@ -84,7 +84,7 @@
 	p.note(auditor.Exited{Who: p.name, Alone: !p.asked && !over})
 	if p.killed {
 		p.killed = false
-		p.note(auditor.Calmed{Who: p.name})
+		p.note(auditor.FaultEnded{Who: p.name})
 	}
 	close(done)
 	p.mu.Unlock()
@@ -97,44 +97,44 @@
 	}
 }
 
-// signal sends a signal to this one process. One that has ended meanwhile gets none.
+// signal sends a signal to this process, unless it has already ended.
 func (p *process) signal(s syscall.Signal) { _ = p.cmd.Process.Signal(s) }
 
-// pause stops the process for as long as wait takes.
+// pause suspends the process until wait returns.
 func (p *process) pause(wait func()) {
 	p.mu.Lock()
 	cmd := p.cmd
-	p.note(auditor.Disturbed{Who: p.name, Halted: true})
+	p.note(auditor.FaultStarted{Who: p.name, Halted: true})
 	p.signal(syscall.SIGSTOP)
 	p.mu.Unlock()
 	wait()
 	p.mu.Lock()
 	defer p.mu.Unlock()
 	_ = cmd.Process.Signal(syscall.SIGCONT)
-	p.note(auditor.Calmed{Who: p.name})
+	p.note(auditor.FaultEnded{Who: p.name})
 }
 
-// kill ends the process at once.
+// kill kills the process.
 func (p *process) kill() { p.losePower(0) }
 
-// losePower ends the process at once and starts it no sooner than after a time.
+// losePower kills the process and delays its restart by at least a time.
 func (p *process) losePower(dark time.Duration) {
 	p.mu.Lock()
 	defer p.mu.Unlock()
 	p.dark = dark
-	p.note(auditor.Disturbed{Who: p.name, Halted: true})
+	p.note(auditor.FaultStarted{Who: p.name, Halted: true})
 	p.asked = true
 	p.signal(syscall.SIGKILL)
 	select {
 	case <-p.done:
-		p.note(auditor.Calmed{Who: p.name})
+		p.note(auditor.FaultEnded{Who: p.name})
 	default:
 		// The kernel may take a while to end it, and its connections stay open until then.
 		p.killed = true
 	}
 }
 
-// terminate asks the process to end and kills it after the grace.
+// terminate asks the process to end and kills it after the grace period.
 func (p *process) terminate() {
 	p.mu.Lock()
 	cmd, done := p.cmd, p.done
@@ -145,7 +145,7 @@
 	p.awaitEnd(cmd, done)
 }
 
-// awaitEnd kills a process that has not ended within the grace.
+// awaitEnd kills a process that has not ended within the grace period.
 func (p *process) awaitEnd(cmd *exec.Cmd, done chan struct{}) {
 	select {
 	case <-done:
@@ -155,7 +155,7 @@
 	}
 }
 
-// end stops the process for good.
+// end stops the process permanently.
 func (p *process) end() {
 	p.mu.Lock()
 	p.over = true
@@ -164,13 +164,13 @@
 	if cmd == nil {
 		return
 	}
-	// A paused process could not take the request to end.
+	// A suspended process cannot handle SIGTERM.
 	_ = cmd.Process.Signal(syscall.SIGCONT)
 	_ = cmd.Process.Signal(syscall.SIGTERM)
 	p.awaitEnd(cmd, done)
 }
 
-// newProcess prepares a daemon whose files lie in a directory.
+// newProcess prepares a daemon with its files in the run's directory.
 func (w *world) newProcess(name, role string) *process {
 	return &process{
 		name: name, role: role, binary: w.Binary, note: w.note, grace: w.bounds.Grace,
--- a/soak/soaker/process_test.go
+++ b/soak/soaker/process_test.go
@@ -27,16 +27,16 @@
 		must.Eq(t, auditor.Event(auditor.Started{Entry: "entry"}), next(t, events))
 		p.Kill()
 		for _, want := range []auditor.Event{
-			auditor.Disturbed{Who: "entry", Halted: true},
+			auditor.FaultStarted{Who: "entry", Halted: true},
 			auditor.Exited{Who: "entry"},
-			auditor.Calmed{Who: "entry"},
+			auditor.FaultEnded{Who: "entry"},
 		} {
 			must.Eq(t, want, next(t, events))
 		}
 	}
 }
 
-// Guards against a process that takes more memory than it may without being measured, after a restart too.
+// Guards against a process whose excessive memory use is not measured, also after a restart.
 func TestMemoryOfProcessesIsMeasured(t *testing.T) {
 	dir := t.TempDir()
 	binary, settings := filepath.Join(dir, "daemon"), filepath.Join(dir, "settings.toml")
--- a/soak/soaker/reload.go
+++ b/soak/soaker/reload.go
@@ -12,22 +12,22 @@
 	"github.com/oriolecroft/oriolecroft/soak/auditor"
 )
 
-// What a process's log says of settings that were read again.
+// Parts of the log lines that a process writes after a reload of its settings.
 const (
 	settingsFaulty  = `"Settings not reloaded`
 	settingsRead    = `"Settings read again"`
 	settingsChanged = `"changed":true`
 )
 
-// rereadWithin is how long a process may take to read its settings again, and lookEvery how
-// often its log is looked at meanwhile.
+// rereadWithin is how long a process may take to reload its settings, and lookEvery the interval
+// at which its log is read meanwhile.
 const (
 	rereadWithin = time.Second
 	lookEvery    = 20 * time.Millisecond
 )
 
-// reload changes the settings file, or spoils it for a moment, or leaves it, has the
-// process read it again, and tells the auditor what its log says of that.
+// reload changes the settings file, corrupts it for a moment or leaves it as it is, makes the process
+// reload it, and reports the logged result to the auditor.
 func (p *process) reload(amount int) {
 	p.rereading.Lock()
 	defer p.rereading.Unlock()
@@ -39,13 +39,13 @@
 	text, kept := string(before), string(before)
 	switch amount % 3 {
 	case 1:
-		// The file tells another link's rate, which holds from the next start on.
+		// The file sets another link rate, which takes effect at the next start.
 		text = standin.ChangeLinkRate(text, standin.LinkRate-float64(amount))
 		kept = text
 	case 2:
 		text = standin.CorruptSettings(text)
 	}
-	wanted := auditor.Reread{Who: p.name, Faulty: text != kept, Changed: text == kept && text != p.startedOn}
+	wanted := auditor.ReloadResult{Who: p.name, Faulty: text != kept, Changed: text == kept && text != p.startedOn}
 	said := p.reread(text)
 	if err := os.WriteFile(p.settings, []byte(kept), 0o600); err != nil {
 		said.Lost = true
@@ -53,9 +53,9 @@
 	p.note(auditor.Reloaded{Wanted: wanted, Said: said})
 }
 
-// reread gives the process other settings and waits for what its log says of them.
-func (p *process) reread(text string) auditor.Reread {
-	said := auditor.Reread{Who: p.name}
+// reread gives the process other settings and waits for the result in its log.
+func (p *process) reread(text string) auditor.ReloadResult {
+	said := auditor.ReloadResult{Who: p.name}
 	if !p.awaitFirstLine() {
 		said.Lost = true
 		return said
@@ -66,10 +66,10 @@
 	}
 	from := p.logged()
 	p.mu.Lock()
-	p.note(auditor.HungUp{Entry: p.name})
+	p.note(auditor.ReloadRequested{Entry: p.name})
 	p.signal(syscall.SIGHUP)
 	p.mu.Unlock()
-	// Counted in looks, as a stall of the soak itself would else end the wait without any.
+	// Count reads instead of time, as a stall of the soak itself could end the wait without any read.
 	for range rereadWithin / lookEvery {
 		time.Sleep(lookEvery)
 		for line := range strings.Lines(p.loggedSince(from)) {
@@ -88,8 +88,8 @@
 	return said
 }
 
-// awaitFirstLine waits for a process that starts. Before it has run its first line, any hangup ends it, and it may
-// still read the settings file, which is to be faulty.
+// awaitFirstLine waits for a starting process to log. Before its first line, a SIGHUP ends it, and it
+// may still read the settings file, which could be faulty.
 func (p *process) awaitFirstLine() bool {
 	for range rereadWithin / lookEvery {
 		if p.logged() > p.loggedBefore {
@@ -100,7 +100,7 @@
 	return false
 }
 
-// logged is how long the process's log is.
+// logged returns the length of the process's log.
 func (p *process) logged() int64 {
 	info, err := os.Stat(p.log)
 	if err != nil {
@@ -109,8 +109,8 @@
 	return info.Size()
 }
 
-// loggedSince is what the process logged from some byte on. A log that can't be read shows
-// as one without the line that is looked for.
+// loggedSince returns what the process logged after an offset. An unreadable log counts as one without
+// the expected line.
 func (p *process) loggedSince(from int64) string {
 	f, err := os.Open(p.log)
 	if err != nil {
--- a/soak/soaker/runs.go
+++ b/soak/soaker/runs.go
@@ -10,8 +10,7 @@
 	"time"
 )
 
-// seedFields are the columns of a file of seeds, before that which tells the cause, and the
-// flags of a run.
+// seedFields are the columns of a seed file before the cause, and the flags of a run.
 var seedFields = [5]string{"seed", "seconds", "entries", "engines", "services"}
 
 // ReadRuns reads a file of seeds that failed.
--- a/soak/soaker/slow.go
+++ b/soak/soaker/slow.go
@@ -11,23 +11,24 @@
 )
 
 const (
-	// slowCallers read slowly for slowFor, and ask for answers of longAnswer bytes: more than the kernel buffers on
-	// their way take.
+	// slowCallers callers read slowly for slowFor and request answers of longAnswer bytes, which
+	// exceed the kernel buffers on the path.
 	slowCallers = 8
 	slowFor     = 3500 * time.Millisecond
 	longAnswer  = 48 << 20
-	// slowLimit is how long they wait, and stalls how long one in two reads nothing: the upstream has cut the reply by
-	// then, which the entry sees once there is room for what came before.
+	// slowLimit is how long they wait, and stalls how long every second one reads nothing: the
+	// upstream has cut the reply by then, which the entry detects once there is space for the
+	// preceding bytes.
 	slowLimit = 3400 * time.Millisecond
 	stalls    = 2200 * time.Millisecond
-	// usualHint is how many events a caller expects of a long stream.
+	// usualHint is the number of events that a caller expects in a long stream.
 	usualHint = 16
-	// calmSlowness is when they come after all other faults.
+	// calmSlowness is when they start after all other faults.
 	calmSlowness = 7 * time.Second
 )
 
-// slowness has callers read slowly at some time of the faults, and in the recovery, when nothing else is disturbed. It is
-// drawn apart from all other faults.
+// slowness makes callers read slowly at some time among the faults and in the recovery, when nothing
+// else is disturbed. It is drawn independently of all other faults.
 func slowness(seed uint64, last time.Duration) []fault {
 	r := rand.New(rand.NewPCG(seed, seed+6))
 	first := lateWeightsUntil(last)
@@ -36,7 +37,7 @@
 	return []fault{{At: at, For: lasts, Kind: callersSlow}, {At: last + calmSlowness, For: slowFor, Kind: callersSlow}}
 }
 
-// readSlowly has callers read slowly for a time.
+// readSlowly makes callers read slowly for a time.
 func (w *world) readSlowly(f fault) {
 	ctx, cancel := context.WithTimeout(w.running, f.For)
 	defer cancel()
@@ -55,7 +56,7 @@
 	c.address(q, prefix)
 	q.Path += fmt.Sprintf("&bytes=%d", longAnswer)
 	if prefix == draftPrefix {
-		// By the hint it ends in time, as it would if it were read.
+		// The hint lets the stream end in time, as it would if it were read.
 		q.Prompt, q.Events, q.Hint = 100, longAnswer/standin.LongEvent, usualHint
 	}
 	q.Limit = slowLimit
--- a/soak/soaker/soaker.go
+++ b/soak/soaker/soaker.go
@@ -1,6 +1,6 @@
-// Package soaker runs the system's real programs as separate processes on loopback
-// against stand-ins of everything around them, puts faults on them from outside, and has
-// an auditor check the promises meanwhile.
+// Package soaker runs the system's real programs as separate processes on loopback against stand-ins
+// of everything around them, injects faults from outside, and has an auditor check the promises
+// meanwhile.
 package soaker
 
 import (
@@ -16,36 +16,36 @@
 	"github.com/oriolecroft/oriolecroft/soak/auditor"
 )
 
-// Options are a run's settings.
+// Options are the settings of a run.
 type Options struct {
-	// Seed draws the faults.
+	// Seed determines the faults.
 	Seed uint64
-	// Length is that of the run.
+	// Length is the length of the run.
 	Length time.Duration
-	// Entries, Engines and Services are how many VMs there are of each.
+	// Entries, Engines and Services are the numbers of VMs of each kind.
 	Entries, Engines, Services int
-	// Binary is the program under test, Dir where settings and logs go.
+	// Binary is the program under test, Dir the directory for settings and logs.
 	Binary, Dir string
-	// Out gets the report; Log one line for each fault and each broken promise.
+	// Out receives the report; Log receives one line for each fault and each broken promise.
 	Out, Log io.Writer
 }
 
-// OptionError reports an option that can't be used.
+// OptionError reports an invalid option.
 type OptionError struct{ Option, Problem string }
 
 func (e *OptionError) Error() string { return e.Option + ": " + e.Problem }
 
-// leastLength leaves some seconds for faults; mostVMs keeps processes to a few hundred.
-// mostPairs bounds entries times engines: each entry keeps connections to each engine and its
-// agent, through links that hold two descriptors for each, of the 20,000 that a process has on
-// our machines. More connections come in faults of the store, see ErrDescriptors.
+// leastLength leaves some seconds for faults; mostVMs limits the processes to a few hundred. mostPairs
+// bounds entries times engines: each entry keeps connections to each engine and its agent through
+// links that hold two descriptors for each, of the 20,000 that a process has on our machines. Faults
+// of the store add connections, see ErrDescriptors.
 const (
 	leastLength = settle + recovery + shown + 5*time.Second
 	mostVMs     = 250
 	mostPairs   = 5000
 )
 
-// Check refuses options that can't be used.
+// Check rejects invalid options.
 func (o *Options) Check() error {
 	switch {
 	case o.Length < leastLength:
@@ -62,9 +62,8 @@
 	return nil
 }
 
-// Run makes one run. It tells whether all promises were kept; an error is one of the soak
-// itself. When the context ends early, it ends what it started and says what is left
-// unchecked.
+// Run performs one run and reports whether all promises were kept; an error is one of the soak itself.
+// When the context ends early, it ends what it started and reports what is left unchecked.
 func Run(ctx context.Context, o Options) (kept bool, err error) {
 	if err := o.Check(); err != nil {
 		return false, err
@@ -93,11 +92,11 @@
 	return kept, nil
 }
 
-// ErrDescriptors reports a run without a verdict: connections failed for want of descriptors of the
-// soak itself, which is a fault that no plan has.
+// ErrDescriptors reports a run without a result: connections failed because the soak itself ran out of
+// descriptors, which is a fault that no plan contains.
 var ErrDescriptors = errors.New("the soak ran out of descriptors, so that the run has no verdict; take fewer entries or engines")
 
-// play has callers call and faults happen until the context ends.
+// play runs callers and faults until the context ends.
 func (w *world) play(ctx context.Context, faults []fault) (made int) {
 	var all sync.WaitGroup
 	for i := range callers {
@@ -137,7 +136,7 @@
 	}
 }
 
-// sleep waits and tells whether the context is still on.
+// sleep waits and reports whether the context is still active.
 func sleep(ctx context.Context, d time.Duration) bool {
 	select {
 	case <-ctx.Done():
@@ -147,7 +146,7 @@
 	}
 }
 
-// wait is a pause that the end of the run cuts short; it tells whether that is still on.
+// wait pauses until the time passes or the run ends; it reports whether the run continues.
 func (w *world) wait(d time.Duration) bool { return sleep(w.running, d) }
 
 // say writes a line of the run's log.
@@ -157,7 +156,7 @@
 	fmt.Fprintf(w.Log, "%7.3f  %s\n", time.Since(w.began).Seconds(), fmt.Sprintf(format, args...))
 }
 
-// newAuditor makes the auditor of a run.
+// newAuditor returns the auditor of a run.
 func (w *world) newAuditor() *auditor.Auditor {
 	b := w.bounds
 	return &auditor.Auditor{
@@ -167,6 +166,6 @@
 			RetryRatio: b.RetryRatio, RetrySlack: b.RetrySlack, ColdFactor: b.ColdFactor, ColdSlack: b.ColdSlack,
 		},
 		Clock:    clock.RealClock{},
-		OnBroken: func(b *auditor.Broken) { w.say("BROKEN %v", b) },
+		OnBroken: func(b *auditor.Violation) { w.say("BROKEN %v", b) },
 	}
 }
--- a/soak/soaker/soaker_test.go
+++ b/soak/soaker/soaker_test.go
@@ -37,7 +37,7 @@
 	os.Exit(status)
 }
 
-// options are those of a short run. SOAK_LOGS keeps its logs.
+// options returns the options of a short run. If SOAK_LOGS is set, its logs are kept there.
 func options(t *testing.T, out, log *bytes.Buffer) soaker.Options {
 	dir := os.Getenv("SOAK_LOGS")
 	if dir == "" {
@@ -48,8 +48,8 @@
 	}
 }
 
-// Entries, agents, upstreams and the store fail and change in ways that nobody thought
-// of together. Callers then get wrong, doubled or lost answers, now and then.
+// Guards against combined failures and changes of entries, agents, upstreams and the store that
+// occasionally give callers wrong, duplicate or lost answers.
 func TestShortSoakKeepsAllPromises(t *testing.T) {
 	var out, log bytes.Buffer
 	kept, err := soaker.Run(t.Context(), options(t, &out, &log))
@@ -61,7 +61,7 @@
 	}
 }
 
-// line is a promise's line of a report.
+// line returns a promise's line of a report.
 func line(report string, p auditor.Promise) string {
 	for l := range strings.Lines(report) {
 		if strings.HasPrefix(l, string(p)) {
@@ -71,8 +71,8 @@
 	return "unchecked: not in the report"
 }
 
-// Somebody interrupts a run. Processes that were left behind would hold their addresses
-// and load the machine, and a report without a word on it would look like a whole run's.
+// Guards against an interrupted run that leaves processes behind, which would keep their addresses and
+// load the machine, or whose report looks like that of a complete run.
 func TestInterruptedSoakEndsItsProcesses(t *testing.T) {
 	var out, log bytes.Buffer
 	ctx, cancel := context.WithTimeout(t.Context(), 4*time.Second)
@@ -84,7 +84,7 @@
 	must.Eq(t, "", children(t))
 }
 
-// children lists the processes that this one has.
+// children lists the child processes of this process.
 func children(t *testing.T) string {
 	paths, err := filepath.Glob("/proc/self/task/*/children")
 	must.NoError(t, err)
@@ -140,7 +140,7 @@
 	}
 }
 
-// The list of seeds that failed has to stay readable, or they are rerun no more.
+// Guards against a list of failed seeds that cannot be read, so that they are not rerun.
 func TestKeptSeedsAreReadable(t *testing.T) {
 	_, err := soaker.ReadRuns("../seeds.txt")
 	must.NoError(t, err)
--- a/soak/soaker/world.go
+++ b/soak/soaker/world.go
@@ -43,12 +43,12 @@
 	chunkBytes = 4 << 10
 )
 
-// figures are those of an engine. Its answers take some 0.3 s.
+// figures are the parameters of an engine. Its answers take some 0.3 s.
 var figures = standin.EngineFigures{
 	Model: "rota", Slots: 8, Chunks: chunks, Step: 12 * time.Millisecond, ReadPerSecond: 10000, Load: 300 * time.Millisecond,
 }
 
-// world is a deployment with all that is around it.
+// world is a deployment with everything around it.
 type world struct {
 	*Options
 	dir    string
@@ -61,13 +61,13 @@
 	store      *standin.Store
 	origin     *standin.Origin
 	originLink net.Listener
-	// names gives the entry of each address.
+	// names maps each address to its entry.
 	names           map[netip.AddrPort]string
 	entryVMs        []*standin.VM
 	entries, agents []*process
 	storeLinks      []*link
-	// agentLinks are those before the two ports of each agent, entryLinks those before each
-	// entry's port for other processes of ours.
+	// agentLinks are the links before the two ports of each agent, entryLinks those before each
+	// entry's port for other processes of the system.
 	agentLinks, entryLinks [][]*link
 	places                 []*place
 	operators              *operators
@@ -75,33 +75,33 @@
 	pauses                 standin.Pauses
 	failures               standin.Failures
 	floods                 atomic.Int32
-	// fatal is the part of prompts that crashes engines now; nil for none.
+	// fatal is the part of prompts that crashes engines at present; nil for none.
 	fatal atomic.Pointer[string]
 
 	// storeFault is held during a fault of the whole store, draining while a failure domain is
 	// drained.
 	storeFault, draining sync.Mutex
-	// lateStore is held while the store's watches answer late.
+	// lateStore is held while the store's watches are delayed.
 	lateStore sync.Mutex
 
 	logging sync.Mutex
 	closing sync.Once
 }
 
-// leastSharers is among how many entries the slack of the retries is divided at least.
+// leastSharers is the minimum number of entries among which the slack of the retries is divided.
 const leastSharers = 6
 
 func newWorld(o *Options) *world {
 	w := &world{Options: o, dir: o.Dir, bounds: standin.UsersBounds, names: map[netip.AddrPort]string{}, began: time.Now()}
-	// More entries divide the slack among them; each is to have one retry of it still.
+	// More entries divide the slack; each must still have one retry of it.
 	w.bounds.RetrySlack *= max(1, float64(o.Entries)/leastSharers)
 	w.audit = w.newAuditor()
 	return w
 }
 
-func (w *world) note(e auditor.Event) { w.audit.Note(e) }
+func (w *world) note(e auditor.Event) { w.audit.Observe(e) }
 
-// start brings everything up.
+// start starts the whole deployment.
 func (w *world) start() error {
 	if err := os.MkdirAll(w.dir, 0o700); err != nil {
 		return err
@@ -129,7 +129,7 @@
 	return nil
 }
 
-// layOut gives each VM its name, place and address.
+// layOut assigns each VM its name, failure domain and address.
 func (w *world) layOut(base netip.Addr) []*standin.VM {
 	var vms []*standin.VM
 	ip := base
@@ -153,7 +153,7 @@
 	return vms
 }
 
-// startVM starts what runs on a VM: an entry, an engine with its agent, or a service.
+// startVM starts the processes of a VM: an entry, an engine with its agent, or a service.
 func (w *world) startVM(vm *standin.VM) error {
 	if vm.Service != "" {
 		p, err := w.newPlace(vm)
@@ -199,7 +199,7 @@
 	return p.start()
 }
 
-// memories are the megabytes that a process may take, by its role, as on the users' smallest VMs.
+// memories are the memory limits of processes in megabytes by role, as on the users' smallest VMs.
 var memories = map[string]int{"entry": 184, "agent": 152}
 
 const bytesPerMB int64 = 1e6
@@ -216,10 +216,10 @@
 	return links, nil
 }
 
-// processes lists those of the system: entries, then agents.
+// processes lists the processes of the system: entries, then agents.
 func (w *world) processes() []*process { return slices.Concat(w.entries, w.agents) }
 
-// translate has the records of entries name the links before them.
+// translate replaces the addresses in the records of entries by those of the links before them.
 func (w *world) translate(value []byte) []byte {
 	for _, vm := range w.entryVMs {
 		value = bytes.ReplaceAll(value, quoted(vm.Peers()), quoted(vm.At(standin.PortPeers)))
@@ -229,10 +229,10 @@
 
 func quoted(a netip.AddrPort) []byte { return []byte(strconv.Quote(a.String())) }
 
-// mostSeeds is how many entries the settings name.
+// mostSeeds is the number of entries that the settings list.
 const mostSeeds = 3
 
-// deployment is what all settings have in common. The first entries are the seeds.
+// deployment returns what all settings have in common. The first entries are the seeds.
 func (w *world) deployment() *standin.Deployment {
 	d := &standin.Deployment{Regions: regions(), Bounds: w.bounds}
 	for _, vm := range w.entryVMs[:min(mostSeeds, w.Entries)] {
@@ -241,7 +241,7 @@
 	return d
 }
 
-// close ends all processes that were started, by their ids, and the stand-ins.
+// close ends all processes that were started, by their IDs, and the stand-ins.
 func (w *world) close() {
 	w.closing.Do(func() {
 		var all sync.WaitGroup
@@ -264,12 +264,12 @@
 	})
 }
 
-// links lists all but those before the places, which end with these.
+// links lists all links except those before the places, which are closed with their places.
 func (w *world) links() []*link {
 	return slices.Concat(slices.Concat(w.agentLinks, w.entryLinks, [][]*link{w.storeLinks})...)
 }
 
-// short tells whether some link had no descriptor left for a connection.
+// short reports whether a link had no descriptor left for a connection.
 func (w *world) short() bool {
 	for _, p := range w.places {
 		if p.link.short.Load() {
@@ -290,8 +290,7 @@
 
 var networks atomic.Uint32
 
-// freeNetwork finds addresses on which no other run listens. Each run gets some hundred
-// of them.
+// freeNetwork finds addresses on which no other run listens. Each run gets some hundred of them.
 func freeNetwork() (netip.Addr, error) {
 	pid := uint32(os.Getpid())
 	for range networksTried {
