--- a/soak/main_test.go
+++ b/soak/main_test.go
@@ -9,9 +9,9 @@
 	"github.com/shoenig/test/must"
 )
 
-// Somebody mistypes a flag. A run that quietly took its default would be reported as the
-// one that was asked for.
-func TestFaultyFlagsAreRefusedByName(t *testing.T) {
+// Guards against a mistyped flag for which a run silently uses the default and is reported as the
+// requested one.
+func TestInvalidFlagsAreReportedByName(t *testing.T) {
 	binary := filepath.Join(t.TempDir(), "soak")
 	out, err := exec.Command("go", "build", "-o", binary, ".").CombinedOutput()
 	must.NoError(t, err, must.Sprintf("%s", out))
--- a/soak/soaker/export_test.go
+++ b/soak/soaker/export_test.go
@@ -12,8 +12,8 @@
 type Process struct{ p *process }
 
 // NewProcess prepares a daemon.
-func NewProcess(name, binary, settings, log string, note func(auditor.Event)) *Process {
-	return &Process{&process{name: name, binary: binary, settings: settings, log: log, note: note, grace: time.Second}}
+func NewProcess(name, binary, settings, log string, observe func(auditor.Event)) *Process {
+	return &Process{&process{name: name, binary: binary, settings: settings, log: log, observe: observe, grace: time.Second}}
 }
 
 // Start starts the daemon.
@@ -29,16 +29,16 @@
 func (p *Process) Kill() { p.p.kill() }
 
 // End stops the daemon permanently.
-func (p *Process) End() { p.p.end() }
+func (p *Process) End() { p.p.stopForGood() }
 
-// FaultedLink puts a faulty link before an address. Mend ends the fault.
-func FaultedLink(to netip.AddrPort, kind string, amount int) (at netip.AddrPort, mend, end func(), err error) {
+// FaultedLink puts a faulty link before an address. Repair ends the fault.
+func FaultedLink(to netip.AddrPort, kind string, amount int) (at netip.AddrPort, repair, end func(), err error) {
 	k, err := newLink(netip.MustParseAddrPort("127.0.0.1:0"), to)
 	if err != nil {
 		return netip.AddrPort{}, nil, nil, err
 	}
-	k.fault(fault{Kind: faultKind(kind), Amount: amount})
-	return k.address(), k.mend, k.close, nil
+	k.apply(fault{Kind: faultKind(kind), Amount: amount})
+	return k.address(), k.repair, k.close, nil
 }
 
 // ShortLink puts a link before an address; short reports whether it ran out of descriptors.
@@ -47,7 +47,7 @@
 	if err != nil {
 		return netip.AddrPort{}, nil, nil, err
 	}
-	return k.address(), k.short.Load, k.close, nil
+	return k.address(), k.outOfDescriptors.Load, k.close, nil
 }
 
 // Settle is how long a repaired link may take to deliver the bytes it held.
--- a/soak/soaker/faults.go
+++ b/soak/soaker/faults.go
@@ -9,8 +9,8 @@
 	"github.com/oriolecroft/oriolecroft/soak/auditor"
 )
 
-// make applies a fault and returns when it has ended.
-func (w *world) make(f fault) {
+// applyFault applies a fault and returns when it has ended.
+func (w *deployment) applyFault(f fault) {
 	entry := w.entries[f.Target%len(w.entries)]
 	agent := w.agents[f.Target%len(w.agents)]
 	switch f.Kind {
@@ -29,7 +29,7 @@
 		agent.kill()
 	case agentStop:
 		agent.terminate()
-	case herdKill:
+	case allProcessesKill:
 		for _, p := range w.processes() {
 			p.kill()
 		}
@@ -38,7 +38,7 @@
 	case storeForgets:
 		// The history may be compacted at any time; that is no disturbance.
 		w.store.Compact()
-	case storeBusy, storeOverrun, storeSilent, storeLossy, storeSlow, storeLapse, storeFloods:
+	case storeBusy, storeOverrun, storeSilent, storeLossy, storeSlow, storeExpiresRecords, storeFloods:
 		w.faultStore(f)
 	case linkDelay, linkReset, linkCut, linkSilence, linkNarrow:
 		w.faultStoreLink(f)
@@ -51,58 +51,58 @@
 		w.faultLink(w.entryLinks[f.Target%len(w.entryLinks)], f, func() string { return "" })
 	case entryDelay, entryReset, entrySilent, entryNarrow:
 		w.faultLink(w.entryLinks[f.Target%len(w.entryLinks)], f, func() string { return entry.name })
-	case upstreamLeaves, serviceLeaves, upstreamGone, upstreamCrash, upstreamRests, stagedSpoils:
+	case upstreamLeaves, serviceLeaves, upstreamGone, upstreamCrash, upstreamBacksOff, stagedCorrupted:
 		w.faultUpstream(f)
 	case promptCrashes:
 		w.crashByPrompts(f)
 	case storeLate:
 		w.delayWatches(f)
 	case weightsLate:
-		w.nameBesideLateAnswers(f)
+		w.announceDuringWatchDelay(f)
 	default:
-		w.change(f)
+		w.applyChange(f)
 	}
 }
 
 // storeFaults are faults of the whole store, which do not overlap in a plan.
 var storeFaults = map[faultKind]standin.Fault{
-	storeBusy: standin.Busy, storeOverrun: standin.RateLimited, storeSilent: standin.Unresponsive, storeLossy: standin.Lossy, storeLapse: standin.Busy,
+	storeBusy: standin.Busy, storeOverrun: standin.RateLimited, storeSilent: standin.Unresponsive, storeLossy: standin.Lossy, storeExpiresRecords: standin.Busy,
 	storeSlow: standin.None, powerLoss: standin.Unresponsive, storeFloods: standin.Flooding,
 }
 
-func (w *world) faultStore(f fault) {
+func (w *deployment) faultStore(f fault) {
 	// The previous fault may end late after the soak itself stalled.
 	w.storeFault.Lock()
 	defer w.storeFault.Unlock()
-	w.note(auditor.FaultStarted{Who: auditor.Core})
+	w.observe(auditor.FaultStarted{Who: auditor.Core})
 	w.store.SetFault(storeFaults[f.Kind])
 	if f.Kind == storeSlow {
-		w.eachStoreLink(func(k *link) { k.slow(leastDelay + time.Duration(f.Amount)*delayStep) })
+		w.eachStoreLink(func(k *link) { k.setDelay(minLinkDelay + time.Duration(f.Amount)*delayStep) })
 	}
-	if f.Kind == storeLapse {
+	if f.Kind == storeExpiresRecords {
 		w.store.EndAllLeases()
-		for _, p := range w.places {
-			p.lapse()
+		for _, p := range w.upstreamVMs {
+			p.dropRecord()
 		}
 	}
 	w.wait(f.For)
 	w.store.SetFault(standin.None)
 	if f.Kind == storeSlow {
-		w.eachStoreLink((*link).mend)
+		w.eachStoreLink((*link).repair)
 	}
-	w.note(auditor.FaultEnded{Who: auditor.Core})
+	w.observe(auditor.FaultEnded{Who: auditor.Core})
 }
 
 // losePower simulates a power loss of all machines at once, including those of the upstreams, the
 // origin and the store. Only state that the store has acknowledged survives.
-func (w *world) losePower(f fault) {
+func (w *deployment) losePower(f fault) {
 	w.origin.Down.Store(true)
 	defer w.origin.Down.Store(false)
 	var all sync.WaitGroup
 	for _, p := range w.processes() {
 		p.losePower(f.For)
 	}
-	for _, p := range w.places {
+	for _, p := range w.upstreamVMs {
 		all.Go(func() {
 			p.staged.Clear()
 			p.replace(f.For, p.crash)
@@ -113,103 +113,103 @@
 	all.Wait()
 }
 
-func (w *world) eachStoreLink(do func(*link)) {
+func (w *deployment) eachStoreLink(apply func(*link)) {
 	for _, k := range w.storeLinks {
-		do(k)
+		apply(k)
 	}
 }
 
 const (
-	// mostBroken is the highest percentage of replies that flaky upstreams break off: retrying each
+	// maxBrokenPercent is the highest percentage of replies that flaky upstreams break off: retrying each
 	// would exceed the budget.
-	mostBroken = 90
-	// mostPaused is the highest percentage of replies that pausing upstreams hold.
-	mostPaused = 70
-	// leastDelay and delayStep determine a link's delay, in steps of the fault's amount.
-	leastDelay = 20 * time.Millisecond
-	delayStep  = 3 * time.Millisecond
-	// leastRate and rateStep determine a narrow link's bytes per second, in steps of the fault's
+	maxBrokenPercent = 90
+	// maxPausedPercent is the highest percentage of replies that pausing upstreams hold.
+	maxPausedPercent = 70
+	// minLinkDelay and delayStep determine a link's delay, in steps of the fault's amount.
+	minLinkDelay = 20 * time.Millisecond
+	delayStep    = 3 * time.Millisecond
+	// minLinkRate and rateStep determine a narrow link's bytes per second, in steps of the fault's
 	// amount: from what a few streams need to a seventh of the bandwidth of the users' links.
-	leastRate = 16 << 10
-	rateStep  = 1 << 10
-	// leastRest and restStep determine the backoff that an upstream asks for.
-	leastRest = time.Second
-	restStep  = 50 * time.Millisecond
+	minLinkRate = 16 << 10
+	rateStep    = 1 << 10
+	// minBackoff and backoffStep determine the backoff that an upstream asks for.
+	minBackoff  = time.Second
+	backoffStep = 50 * time.Millisecond
 )
 
-func (w *world) faultStoreLink(f fault) {
+func (w *deployment) faultStoreLink(f fault) {
 	i := f.Target % len(w.storeLinks)
 	// Links to the store are in the order of the VMs: entries, then agents.
-	who := w.processes()[i].name
-	w.faultLink([]*link{w.storeLinks[i]}, f, func() string { return who })
+	affected := w.processes()[i].name
+	w.faultLink([]*link{w.storeLinks[i]}, f, func() string { return affected })
 }
 
-func (w *world) faultUpstreamLink(f fault) {
-	p := w.places[f.Target%len(w.places)]
-	w.faultLink([]*link{p.link}, f, p.id)
+func (w *deployment) faultUpstreamLink(f fault) {
+	p := w.upstreamVMs[f.Target%len(w.upstreamVMs)]
+	w.faultLink([]*link{p.link}, f, p.upstreamID)
 }
 
 // faultLink faults links for a time. The process that is disturbed may have been replaced at its end.
-func (w *world) faultLink(links []*link, f fault, who func() string) {
-	first := who()
-	w.note(auditor.FaultStarted{Who: first})
+func (w *deployment) faultLink(links []*link, f fault, affected func() string) {
+	first := affected()
+	w.observe(auditor.FaultStarted{Who: first})
 	for _, k := range links {
-		k.fault(f)
+		k.apply(f)
 	}
 	w.wait(f.For)
 	for _, k := range links {
-		k.mend()
+		k.repair()
 	}
-	w.note(auditor.FaultEnded{Who: first})
-	if last := who(); last != first {
-		w.note(auditor.FaultStarted{Who: last})
-		w.note(auditor.FaultEnded{Who: last})
+	w.observe(auditor.FaultEnded{Who: first})
+	if last := affected(); last != first {
+		w.observe(auditor.FaultStarted{Who: last})
+		w.observe(auditor.FaultEnded{Who: last})
 	}
 }
 
-// fault applies a link fault to a link.
-func (k *link) fault(f fault) {
+// apply applies a link fault to a link.
+func (k *link) apply(f fault) {
 	switch f.Kind {
 	case linkDelay, agentDelay, upstreamDelay, entryDelay:
-		k.slow(leastDelay + time.Duration(f.Amount)*delayStep)
+		k.setDelay(minLinkDelay + time.Duration(f.Amount)*delayStep)
 	case linkReset, agentReset, upstreamReset, entryReset:
 		k.reset()
 	case linkCut, agentCut, upstreamCut, entryCut:
-		k.cut(f.Amount%3 != 0, f.Amount%3 != 1)
+		k.holdBytes(f.Amount%3 != 0, f.Amount%3 != 1)
 	case linkSilence, agentSilent, upstreamSilent, entrySilent:
 		k.silence()
 	case linkNarrow, agentNarrow, upstreamNarrow, entryNarrow:
-		k.narrow(leastRate + f.Amount*rateStep)
+		k.limitRate(minLinkRate + f.Amount*rateStep)
 	}
 }
 
-func (w *world) faultUpstream(f fault) {
-	p := w.places[f.Target%len(w.places)]
+func (w *deployment) faultUpstream(f fault) {
+	p := w.upstreamVMs[f.Target%len(w.upstreamVMs)]
 	switch f.Kind {
 	case upstreamLeaves:
 		p.replace(f.For/2, p.leave)
 	case serviceLeaves:
-		s := w.bookingOutside(domains[f.Target%len(domains)].name)
+		s := w.bookingPlaceOutside(domains[f.Target%len(domains)].name)
 		for s != nil && !s.replace(f.For/2, s.leave) {
 			// Another fault of this upstream is still in progress.
-			if !w.wait(announceEvery) {
+			if !w.wait(announceInterval) {
 				break
 			}
 		}
 	case upstreamGone:
-		p.replace(f.For/2, p.vanish)
+		p.replace(f.For/2, p.leaveUnannounced)
 	case upstreamCrash:
 		p.replace(f.For, p.crash)
-	case upstreamRests:
-		p.rest(f.For, leastRest+time.Duration(f.Amount)*restStep)
-	case stagedSpoils:
+	case upstreamBacksOff:
+		p.rejectWithBackoff(f.For, minBackoff+time.Duration(f.Amount)*backoffStep)
+	case stagedCorrupted:
 		p.staged.Corrupt(f.Amount % chunks)
 	}
 }
 
-// bookingOutside returns a place of the booking service outside a failure domain; nil for none.
-func (w *world) bookingOutside(domain string) *place {
-	for _, p := range w.places {
+// bookingPlaceOutside returns a place of the booking service outside a failure domain; nil for none.
+func (w *deployment) bookingPlaceOutside(domain string) *upstreamVM {
+	for _, p := range w.upstreamVMs {
 		if p.vm.Service == bookingService && p.vm.FailureDomain != domain {
 			return p
 		}
@@ -217,26 +217,26 @@
 	return nil
 }
 
-// change applies faults of the operators, the callers, the origin and flaky upstreams.
-func (w *world) change(f fault) {
+// applyChange applies faults of the operators, the callers, the origin and flaky upstreams.
+func (w *deployment) applyChange(f fault) {
 	switch f.Kind {
 	case tableChange:
-		w.operators.change(f.Amount)
+		w.operators.changeRoutes(f.Amount)
 	case keyRemoval:
 		w.operators.removeKey()
-	case weightsNamed:
+	case weightsAnnounced:
 		for range 1 + f.Amount%3 {
-			w.operators.name()
+			w.operators.announceWeights()
 			w.wait(f.For / 3)
 		}
 	case domainDrained:
 		w.drain(f)
 	case upstreamBreaks:
-		w.breakOff.Store(int32(1 + f.Amount*mostBroken/100))
+		w.breakOff.Store(int32(1 + f.Amount*maxBrokenPercent/100))
 		w.wait(f.For)
 		w.breakOff.Store(0)
 	case upstreamPauses:
-		w.pauses.Share.Store(int32(1 + f.Amount*mostPaused/100))
+		w.pauses.Share.Store(int32(1 + f.Amount*maxPausedPercent/100))
 		w.pauses.BreakOthers.Store(f.Target%2 == 0)
 		w.wait(f.For)
 		w.pauses.Share.Store(0)
@@ -248,7 +248,7 @@
 		w.floods.Store(int32(f.Amount))
 		w.wait(f.For)
 		w.floods.Store(0)
-	case originSpoils:
+	case originCorrupts:
 		w.origin.Spoil.Store(int32(f.Amount / 2))
 		w.wait(f.For)
 		w.origin.Spoil.Store(0)
@@ -260,16 +260,16 @@
 }
 
 // drain drains a failure domain for longer than the bound.
-func (w *world) drain(f fault) {
+func (w *deployment) drain(f fault) {
 	w.draining.Lock()
 	defer w.draining.Unlock()
 	domain := domains[f.Target%len(domains)].name
 	w.operators.drain(domain)
 	w.wait(w.bounds.Evacuate + f.For)
-	w.operators.takeBack(domain)
+	w.operators.undrain(domain)
 }
 
-func (w *world) burst(f fault) {
+func (w *deployment) burst(f fault) {
 	ctx, cancel := context.WithTimeout(w.running, f.For)
 	defer cancel()
 	var all sync.WaitGroup
--- a/soak/soaker/link.go
+++ b/soak/soaker/link.go
@@ -17,23 +17,23 @@
 
 // link forwards TCP connections to one address and can simulate faults of a network.
 type link struct {
-	at, to netip.AddrPort
+	listenAddress, target netip.AddrPort
 
 	mu sync.Mutex
 	// listener is nil while the link refuses connections, like a port without a listener.
 	listener net.Listener
 	closed   bool
 	delay    time.Duration
-	// there and back hold the bytes of a direction until the channel is closed; nil lets bytes pass.
-	there, back chan struct{}
-	conns       map[*pipe]bool
+	// outward and inward hold the bytes of a direction until the channel is closed; nil lets bytes pass.
+	outward, inward chan struct{}
+	conns           map[*pipe]bool
 	// limiter paces each direction of a narrow link; nil on a wide one. widened is closed once the
 	// link is wide again.
 	limiter *rate.Limiter
 	widened chan struct{}
 
-	// short is set once the soak had no descriptor left for a connection.
-	short atomic.Bool
+	// outOfDescriptors is set once the soak had no descriptor left for a connection.
+	outOfDescriptors atomic.Bool
 }
 
 // pipe is one connection through a link.
@@ -49,12 +49,12 @@
 	if err != nil {
 		return nil, err
 	}
-	k := &link{at: netip.MustParseAddrPort(l.Addr().String()), listener: l, to: to, conns: map[*pipe]bool{}}
+	k := &link{listenAddress: netip.MustParseAddrPort(l.Addr().String()), listener: l, target: to, conns: map[*pipe]bool{}}
 	go k.accept(l)
 	return k, nil
 }
 
-func (k *link) address() netip.AddrPort { return k.at }
+func (k *link) address() netip.AddrPort { return k.listenAddress }
 
 // refuse makes the link refuse connections until it is opened.
 func (k *link) refuse() {
@@ -73,7 +73,7 @@
 	if k.listener != nil || k.closed {
 		return nil
 	}
-	l, err := net.Listen("tcp", k.at.String())
+	l, err := net.Listen("tcp", k.listenAddress.String())
 	if err != nil {
 		return err
 	}
@@ -89,28 +89,28 @@
 			return
 		}
 		if err != nil {
-			k.noteShort(err)
+			k.recordDescriptorError(err)
 			// A link that stopped accepting would be a fault that no plan contains.
-			time.Sleep(acceptAgain)
+			time.Sleep(acceptRetryPause)
 			continue
 		}
 		go k.connect(near)
 	}
 }
 
-func (k *link) noteShort(err error) {
+func (k *link) recordDescriptorError(err error) {
 	if errors.Is(err, syscall.EMFILE) {
-		k.short.Store(true)
+		k.outOfDescriptors.Store(true)
 	}
 }
 
-// acceptAgain is the pause after a failed accept.
-const acceptAgain = 10 * time.Millisecond
+// acceptRetryPause is the pause after a failed accept.
+const acceptRetryPause = 10 * time.Millisecond
 
 func (k *link) connect(near net.Conn) {
-	far, err := net.Dial("tcp", k.to.String())
+	far, err := net.Dial("tcp", k.target.String())
 	if err != nil {
-		k.noteShort(err)
+		k.recordDescriptorError(err)
 		connector.Reset(near)
 		return
 	}
@@ -119,8 +119,8 @@
 	k.conns[p] = true
 	k.mu.Unlock()
 	var both sync.WaitGroup
-	both.Go(func() { k.pass(p, near, far, &k.there) })
-	both.Go(func() { k.pass(p, far, near, &k.back) })
+	both.Go(func() { k.forward(p, near, far, &k.outward) })
+	both.Go(func() { k.forward(p, far, near, &k.inward) })
 	both.Wait()
 	k.mu.Lock()
 	delete(k.conns, p)
@@ -140,16 +140,16 @@
 	}
 }
 
-// passedAtOnce is the largest number of bytes that pass a link in one piece.
-const passedAtOnce = 32 << 10
+// maxPieceBytes is the largest number of bytes that pass a link in one piece.
+const maxPieceBytes = 32 << 10
 
-// pass copies one direction until its end. It forwards an end as an end and a reset as a reset: a
+// forward copies one direction until its end. It forwards an end as an end and a reset as a reset: a
 // reply without a length is complete after the former and truncated after the latter.
-func (k *link) pass(p *pipe, from, to net.Conn, held *chan struct{}) {
-	buffer := make([]byte, passedAtOnce)
+func (k *link) forward(p *pipe, from, to net.Conn, held *chan struct{}) {
+	buffer := make([]byte, maxPieceBytes)
 	for {
 		n, err := from.Read(buffer)
-		if !k.wait(p, held) || !k.pace(p, n) {
+		if !k.waitWhileHeld(p, held) || !k.pace(p, n) {
 			return
 		}
 		if _, e := to.Write(buffer[:n]); e != nil {
@@ -159,7 +159,7 @@
 		}
 		switch {
 		case errors.Is(err, io.EOF):
-			endWrites(to)
+			closeWrite(to)
 			return
 		case err != nil:
 			connector.Reset(to)
@@ -169,16 +169,16 @@
 	}
 }
 
-// endWrites signals the end of the bytes to the other side.
-func endWrites(c net.Conn) {
+// closeWrite signals the end of the bytes to the other side.
+func closeWrite(c net.Conn) {
 	if t, ok := c.(*net.TCPConn); ok {
 		// This has no effect on a closed connection.
 		_ = t.CloseWrite()
 	}
 }
 
-// wait delays bytes while the link holds them; false on a connection that is permanently silent.
-func (k *link) wait(p *pipe, held *chan struct{}) bool {
+// waitWhileHeld delays bytes while the link holds them; false on a connection that is permanently silent.
+func (k *link) waitWhileHeld(p *pipe, held *chan struct{}) bool {
 	for {
 		k.mu.Lock()
 		delay, hold := k.delay, *held
@@ -218,39 +218,39 @@
 	return true
 }
 
-// narrow limits the bytes per second until the link is repaired.
-func (k *link) narrow(perSecond int) {
+// limitRate limits the bytes per second until the link is repaired.
+func (k *link) limitRate(perSecond int) {
 	k.mu.Lock()
 	defer k.mu.Unlock()
 	if k.limiter != nil {
 		return
 	}
-	k.limiter, k.widened = rate.NewLimiter(rate.Limit(perSecond), passedAtOnce), make(chan struct{})
+	k.limiter, k.widened = rate.NewLimiter(rate.Limit(perSecond), maxPieceBytes), make(chan struct{})
 	// Start without any accumulated burst.
-	k.limiter.AllowN(time.Now(), passedAtOnce)
+	k.limiter.AllowN(time.Now(), maxPieceBytes)
 }
 
-// slow delays all bytes until it is set to 0.
-func (k *link) slow(d time.Duration) {
+// setDelay delays all bytes until it is set to 0.
+func (k *link) setDelay(d time.Duration) {
 	k.mu.Lock()
 	defer k.mu.Unlock()
 	k.delay = d
 }
 
-// cut holds the bytes of one or both directions until the link is repaired.
-func (k *link) cut(there, back bool) {
+// holdBytes holds the bytes of one or both directions until the link is repaired.
+func (k *link) holdBytes(outward, inward bool) {
 	k.mu.Lock()
 	defer k.mu.Unlock()
-	if there && k.there == nil {
-		k.there = make(chan struct{})
+	if outward && k.outward == nil {
+		k.outward = make(chan struct{})
 	}
-	if back && k.back == nil {
-		k.back = make(chan struct{})
+	if inward && k.inward == nil {
+		k.inward = make(chan struct{})
 	}
 }
 
-// mend ends delays, cuts and rate limits.
-func (k *link) mend() {
+// repair ends delays, cuts and rate limits.
+func (k *link) repair() {
 	k.mu.Lock()
 	defer k.mu.Unlock()
 	k.delay = 0
@@ -258,7 +258,7 @@
 		k.limiter = nil
 		close(k.widened)
 	}
-	for _, held := range []*chan struct{}{&k.there, &k.back} {
+	for _, held := range []*chan struct{}{&k.outward, &k.inward} {
 		if *held != nil {
 			close(*held)
 			*held = nil
@@ -291,7 +291,7 @@
 	k.mu.Lock()
 	k.closed = true
 	k.mu.Unlock()
-	k.mend()
+	k.repair()
 	k.silence()
 	k.reset()
 }
--- a/soak/soaker/link_test.go
+++ b/soak/soaker/link_test.go
@@ -48,7 +48,7 @@
 
 // Guards against a link that ignores its faults, which would make every run undisturbed, so that all
 // promises would seem to be kept.
-func TestFaultsOfLinksAreFelt(t *testing.T) {
+func TestLinkFaultsAffectConnections(t *testing.T) {
 	const bytes = 8 << 10
 	for _, c := range []struct {
 		kind           string
@@ -63,14 +63,14 @@
 		{"entry link cut one way", 1, 0, 300 * time.Millisecond, true},
 		{"entry link cut one way", 2, 0, 300 * time.Millisecond, true},
 	} {
-		at, mend, end, err := soaker.FaultedLink(echo(t), c.kind, c.amount)
+		at, repair, end, err := soaker.FaultedLink(echo(t), c.kind, c.amount)
 		must.NoError(t, err)
 		conn, err := net.Dial("tcp", at.String())
 		must.NoError(t, err)
 		took, ok := exchange(t, conn, bytes, c.timeout)
 		must.Eq(t, !c.held, ok, must.Sprint(c.kind))
 		must.GreaterEq(t, c.least, took, must.Sprint(c.kind))
-		mend()
+		repair()
 		after, err := net.Dial("tcp", at.String())
 		must.NoError(t, err)
 		took, ok = exchange(t, after, bytes, time.Second)
@@ -82,7 +82,7 @@
 
 // Guards against evaluating a run in which the soak has no descriptors left, so that its links refuse
 // connections, which no planned fault does.
-func TestLinkNotesThatDescriptorsAreMissing(t *testing.T) {
+func TestLinkRecordsMissingDescriptors(t *testing.T) {
 	at, short, end, err := soaker.ShortLink(echo(t))
 	must.NoError(t, err)
 	defer end()
@@ -98,9 +98,9 @@
 	must.Wait(t, wait.InitialSuccess(wait.BoolFunc(short), wait.Timeout(time.Second), wait.Gap(time.Millisecond)))
 }
 
-// closeGarbage waits until garbage collection has closed what earlier tests left open, which would
+// waitForGarbageCollection waits until garbage collection has closed what earlier tests left open, which would
 // free descriptors later.
-func closeGarbage(t *testing.T) {
+func waitForGarbageCollection(t *testing.T) {
 	for last, same := -1, 0; same < 5; time.Sleep(10 * time.Millisecond) {
 		runtime.GC()
 		open, err := os.ReadDir("/proc/self/fd")
@@ -113,7 +113,7 @@
 
 // takeDescriptors leaves this process a single descriptor until they are returned.
 func takeDescriptors(t *testing.T) (giveBack func()) {
-	closeGarbage(t)
+	waitForGarbageCollection(t)
 	const most = 256
 	var limit syscall.Rlimit
 	must.NoError(t, syscall.Getrlimit(syscall.RLIMIT_NOFILE, &limit))
--- a/soak/soaker/memory.go
+++ b/soak/soaker/memory.go
@@ -10,12 +10,12 @@
 	"github.com/oriolecroft/oriolecroft/soak/auditor"
 )
 
-// measureEvery is the interval at which the memory of processes is read. The kernel records the peak
+// memoryInterval is the interval at which the memory of processes is read. The kernel records the peak
 // of each.
-const measureEvery = 200 * time.Millisecond
+const memoryInterval = 200 * time.Millisecond
 
-// measure is a process's memory use in megabytes.
-type measure struct {
+// memorySample is a process's memory use in megabytes.
+type memorySample struct {
 	pid       int
 	megabytes int64
 }
@@ -23,19 +23,19 @@
 // watchMemory reports the memory that the process uses whenever it changes by a megabyte, and returns
 // the peak.
 func (p *process) watchMemory(ctx context.Context) (most int64) {
-	var before measure
-	for sleep(ctx, measureEvery) {
-		pid, taken, ok := p.peak()
-		if now := (measure{pid, taken / bytesPerMB}); ok && now != before {
-			p.note(auditor.Measured{Who: p.name, Taken: taken, Allowed: p.memory})
-			before, most = now, max(most, taken)
+	var previous memorySample
+	for sleep(ctx, memoryInterval) {
+		pid, taken, ok := p.peakMemory()
+		if now := (memorySample{pid, taken / bytesPerMB}); ok && now != previous {
+			p.observe(auditor.Measured{Who: p.name, Taken: taken, Allowed: p.memory})
+			previous, most = now, max(most, taken)
 		}
 	}
 	return most
 }
 
-// peak returns the peak resident memory of the running process in bytes; false if none runs.
-func (p *process) peak() (pid int, taken int64, ok bool) {
+// peakMemory returns the peak resident memory of the running process in bytes; false if none runs.
+func (p *process) peakMemory() (pid int, taken int64, ok bool) {
 	p.mu.Lock()
 	defer p.mu.Unlock()
 	if p.cmd == nil {
@@ -57,6 +57,6 @@
 			return p.cmd.Process.Pid, kibibytes << 10, true
 		}
 	}
-	// One that is just ending has no memory.
+	// The status of a process that is just ending lists no memory.
 	return 0, 0, false
 }
--- a/soak/soaker/operators.go
+++ b/soak/soaker/operators.go
@@ -32,33 +32,33 @@
 )
 
 // priorities are the priorities of the routes; the other routes have the most urgent one.
-// homesPriority is that of a workspace, which takes precedence.
+// homeWorkspacePriority is that of a workspace, which takes precedence.
 var priorities = map[string]int{oncePrefix: 2, homePrefix: 1, lookPrefix: 2, publicPrefix: 3, comingPrefix: 1}
 
-const homesPriority = 4
+const homeWorkspacePriority = 4
 
 // operators write the configuration of the deployment to the store and report it to the auditor when
 // it is confirmed.
 type operators struct {
-	*world
+	*deployment
 
 	mu    sync.Mutex
 	table standin.Table
-	// grown are routes that make the table large. No caller uses them, so the auditor does not receive
+	// extra are routes that make the table large. No caller uses them, so the auditor does not receive
 	// them.
-	grown   []standin.Route
+	extra   []standin.Route
 	removed int
 	weights uint64
 }
 
-func newOperators(w *world) *operators {
-	o := &operators{world: w, weights: 1}
+func newOperators(w *deployment) *operators {
+	o := &operators{deployment: w, weights: 1}
 	route := func(prefix, service string, kind standin.Kind) standin.Route {
 		return standin.Route{
 			Name: prefix, Prefix: prefix, Service: service, Kind: kind, Attempts: 2, Timeout: 3 * time.Second, Priority: priorities[prefix],
 		}
 	}
-	homePriority := homesPriority
+	homePriority := homeWorkspacePriority
 	drafts, once, homes := route(draftPrefix, engineService, standin.Streaming), route(oncePrefix, engineService, standin.Streaming), route(homePrefix, engineService, standin.Streaming)
 	drafts.Resume, homes.Resume = true, true
 	homes.Regions = []string{homeRegion}
@@ -66,7 +66,7 @@
 	public.Public = true
 	o.table = standin.Table{
 		Host: host, Version: 1, Engines: []string{engineService}, Services: []string{bookingService, portalService},
-		Origin: netip.MustParseAddrPort(w.originLink.Addr().String()), OriginDomain: domains[0].name, ColdRate: coldRate, Engine: figures,
+		Origin: netip.MustParseAddrPort(w.originLink.Addr().String()), OriginDomain: domains[0].name, ColdRate: coldRate, Engine: engineFigures,
 		Routes: []standin.Route{
 			drafts, once, homes, public, route(bookPrefix, bookingService, standin.NonIdempotent),
 			route(lookPrefix, bookingService, standin.Idempotent), route(movingPrefix, bookingService, standin.NonIdempotent),
@@ -79,16 +79,16 @@
 	return o
 }
 
-// begin writes the first table and announces the first version of the weights.
-func (o *operators) begin() {
-	o.put()
-	o.store.AnnounceWeights(figures.Model, o.weights)
-	o.note(auditor.WeightsAnnounced{Version: o.weights})
+// writeInitialState writes the first table and announces the first version of the weights.
+func (o *operators) writeInitialState() {
+	o.writeTable()
+	o.store.AnnounceWeights(engineFigures.Model, o.weights)
+	o.observe(auditor.WeightsAnnounced{Version: o.weights})
 }
 
-// put writes the table. The auditor receives it first, as an entry may use it before this process
+// writeTable writes the table. The auditor receives it first, as an entry may use it before this process
 // continues.
-func (o *operators) put() {
+func (o *operators) writeTable() {
 	t := auditor.Table{Version: o.table.Version, Keys: map[string]auditor.Workspace{}}
 	for i := range o.table.Routes {
 		r := &o.table.Routes[i]
@@ -105,14 +105,14 @@
 			}
 		}
 	}
-	o.note(auditor.Configured{Table: t})
+	o.observe(auditor.Configured{Table: t})
 	table := o.table
-	table.Routes = slices.Concat(table.Routes, o.grown)
+	table.Routes = slices.Concat(table.Routes, o.extra)
 	o.store.PutTable(&table)
 }
 
-// change moves a route between services, or adds or removes one.
-func (o *operators) change(amount int) {
+// changeRoutes moves a route between services, or adds or removes one.
+func (o *operators) changeRoutes(amount int) {
 	o.mu.Lock()
 	defer o.mu.Unlock()
 	o.table.Version += uint64(1 + amount%3)
@@ -133,24 +133,24 @@
 		})
 	}
 	o.table.Routes = routes
-	o.put()
+	o.writeTable()
 }
 
-// grownRoutes yields a table of some 100 KB.
-const grownRoutes = 400
+// extraRoutes yields a table of some 100 KB.
+const extraRoutes = 400
 
-// grow makes the table large.
-func (o *operators) grow() {
+// enlargeTable makes the table large.
+func (o *operators) enlargeTable() {
 	o.mu.Lock()
 	defer o.mu.Unlock()
 	o.table.Version++
-	for i := range grownRoutes {
+	for i := range extraRoutes {
 		prefix := fmt.Sprintf("/grown/%d/", i)
-		o.grown = append(o.grown, standin.Route{
+		o.extra = append(o.extra, standin.Route{
 			Name: prefix, Prefix: prefix, Service: portalService, Kind: standin.Idempotent, Attempts: 2, Timeout: 3 * time.Second,
 		})
 	}
-	o.put()
+	o.writeTable()
 }
 
 // removeKey replaces the key of callers that use it.
@@ -161,34 +161,34 @@
 	o.removed++
 	o.table.Workspaces = slices.Clone(o.table.Workspaces)
 	o.table.Workspaces[len(o.table.Workspaces)-1].Keys = []string{fmt.Sprint(removedPrefix, o.removed)}
-	o.put()
+	o.writeTable()
 }
 
 // changingKeys returns the current value of the key that changes and the previous one.
-func (o *operators) changingKeys() (now, before string) {
+func (o *operators) changingKeys() (current, previous string) {
 	o.mu.Lock()
 	defer o.mu.Unlock()
 	return fmt.Sprint(removedPrefix, o.removed), fmt.Sprint(removedPrefix, max(0, o.removed-1))
 }
 
-// name announces the next version of the weights.
-func (o *operators) name() {
+// announceWeights announces the next version of the weights.
+func (o *operators) announceWeights() {
 	o.mu.Lock()
 	defer o.mu.Unlock()
 	o.weights++
-	o.store.AnnounceWeights(figures.Model, o.weights)
-	o.note(auditor.WeightsAnnounced{Version: o.weights})
+	o.store.AnnounceWeights(engineFigures.Model, o.weights)
+	o.observe(auditor.WeightsAnnounced{Version: o.weights})
 }
 
 // drain drains a failure domain.
 func (o *operators) drain(domain string) {
 	o.store.Drain(domain)
-	o.note(auditor.Drained{FailureDomain: domain})
+	o.observe(auditor.Drained{FailureDomain: domain})
 }
 
-// takeBack ends the draining of a failure domain. The auditor receives it first, as an entry may use
+// undrain ends the draining of a failure domain. The auditor receives it first, as an entry may use
 // the domain before this process continues.
-func (o *operators) takeBack(domain string) {
-	o.note(auditor.Undrained{FailureDomain: domain})
+func (o *operators) undrain(domain string) {
+	o.observe(auditor.Undrained{FailureDomain: domain})
 	o.store.Undrain(domain)
 }
--- a/soak/soaker/plan_test.go
+++ b/soak/soaker/plan_test.go
@@ -35,7 +35,7 @@
 // Guards against overlapping faults of the store or drainings in a plan. If overlaps were detected
 // only during a run, a stall of the soak for half a second would change which faults occur and leave
 // promises unchecked.
-func TestFaultsOfTheStoreAreInTurn(t *testing.T) {
+func TestStoreFaultsDoNotOverlap(t *testing.T) {
 	for seed := range uint64(200) {
 		var b bytes.Buffer
 		soaker.Describe(&b, seed, time.Minute)
--- a/soak/soaker/process.go
+++ b/soak/soaker/process.go
@@ -19,44 +19,44 @@
 type process struct {
 	name, binary, role string
 	settings, log      string
-	note               func(auditor.Event)
+	observe            func(auditor.Event)
 	// grace is the time between the signal to stop and the kill.
 	grace time.Duration
 	// memory is its limit in bytes.
 	memory int64
 
-	// rereading is held while the settings file is written and reloaded. No process starts meanwhile,
+	// reloading is held while the settings file is written and reloaded. No process starts meanwhile,
 	// as it might read a faulty file.
-	rereading sync.Mutex
-	// startedOn is the text of the settings with which the running process started.
-	startedOn string
-	// loggedBefore is the length of the log in bytes when the running process started.
-	loggedBefore int64
+	reloading sync.Mutex
+	// startSettings is the text of the settings with which the running process started.
+	startSettings string
+	// logLengthAtStart is the length of the log in bytes when the running process started.
+	logLengthAtStart int64
 
 	mu  sync.Mutex
 	cmd *exec.Cmd
-	// asked is set once the running process got a signal to end, killed once it got SIGKILL.
-	asked, killed bool
-	// over is set once the process must not restart.
-	over bool
-	// dark is how long the VM has no power after the process ends; 0 if it has power.
-	dark time.Duration
-	done chan struct{}
+	// signaled is set once the running process got a signal to end, killed once it got SIGKILL.
+	signaled, killed bool
+	// ended is set once the process must not restart.
+	ended bool
+	// powerLossTime is how long the VM has no power after the process ends; 0 if it has power.
+	powerLossTime time.Duration
+	done          chan struct{}
 }
 
 func (p *process) start() error {
-	p.rereading.Lock()
-	defer p.rereading.Unlock()
+	p.reloading.Lock()
+	defer p.reloading.Unlock()
 	p.mu.Lock()
 	defer p.mu.Unlock()
-	if p.over {
+	if p.ended {
 		return nil
 	}
 	text, err := os.ReadFile(p.settings)
 	if err != nil {
 		return err
 	}
-	p.startedOn, p.loggedBefore = string(text), p.logged()
+	p.startSettings, p.logLengthAtStart = string(text), p.logLength()
 	log, err := os.OpenFile(p.log, os.O_CREATE|os.O_APPEND|os.O_WRONLY, 0o600)
 	if err != nil {
 		return err
@@ -68,32 +68,32 @@
 	if err := cmd.Start(); err != nil {
 		return err
 	}
-	p.cmd, p.asked, p.done = cmd, false, make(chan struct{})
-	p.note(auditor.Started{Entry: p.name})
-	go p.await(cmd, p.done)
+	p.cmd, p.signaled, p.done = cmd, false, make(chan struct{})
+	p.observe(auditor.Started{Entry: p.name})
+	go p.restartWhenDone(cmd, p.done)
 	return nil
 }
 
-// await waits for the end of the process and restarts it.
-func (p *process) await(cmd *exec.Cmd, done chan struct{}) {
+// restartWhenDone waits for the end of the process and restarts it.
+func (p *process) restartWhenDone(cmd *exec.Cmd, done chan struct{}) {
 	// The log shows how the process ended; only that it ended matters here.
 	_ = cmd.Wait()
 	p.mu.Lock()
-	over, pause := p.over, max(restartPause, p.dark)
-	p.dark = 0
-	p.note(auditor.Exited{Who: p.name, Alone: !p.asked && !over})
+	ended, pause := p.ended, max(restartPause, p.powerLossTime)
+	p.powerLossTime = 0
+	p.observe(auditor.Exited{Who: p.name, Alone: !p.signaled && !ended})
 	if p.killed {
 		p.killed = false
-		p.note(auditor.FaultEnded{Who: p.name})
+		p.observe(auditor.FaultEnded{Who: p.name})
 	}
 	close(done)
 	p.mu.Unlock()
-	if over {
+	if ended {
 		return
 	}
 	time.Sleep(pause)
 	if err := p.start(); err != nil {
-		p.note(auditor.Exited{Who: p.name, Alone: true})
+		p.observe(auditor.Exited{Who: p.name, Alone: true})
 	}
 }
 
@@ -104,30 +104,30 @@
 func (p *process) pause(wait func()) {
 	p.mu.Lock()
 	cmd := p.cmd
-	p.note(auditor.FaultStarted{Who: p.name, Halted: true})
+	p.observe(auditor.FaultStarted{Who: p.name, Halted: true})
 	p.signal(syscall.SIGSTOP)
 	p.mu.Unlock()
 	wait()
 	p.mu.Lock()
 	defer p.mu.Unlock()
 	_ = cmd.Process.Signal(syscall.SIGCONT)
-	p.note(auditor.FaultEnded{Who: p.name})
+	p.observe(auditor.FaultEnded{Who: p.name})
 }
 
 // kill kills the process.
 func (p *process) kill() { p.losePower(0) }
 
 // losePower kills the process and delays its restart by at least a time.
-func (p *process) losePower(dark time.Duration) {
+func (p *process) losePower(downtime time.Duration) {
 	p.mu.Lock()
 	defer p.mu.Unlock()
-	p.dark = dark
-	p.note(auditor.FaultStarted{Who: p.name, Halted: true})
-	p.asked = true
+	p.powerLossTime = downtime
+	p.observe(auditor.FaultStarted{Who: p.name, Halted: true})
+	p.signaled = true
 	p.signal(syscall.SIGKILL)
 	select {
 	case <-p.done:
-		p.note(auditor.FaultEnded{Who: p.name})
+		p.observe(auditor.FaultEnded{Who: p.name})
 	default:
 		// The kernel may take a while to end it, and its connections stay open until then.
 		p.killed = true
@@ -138,8 +138,8 @@
 func (p *process) terminate() {
 	p.mu.Lock()
 	cmd, done := p.cmd, p.done
-	p.asked = true
-	p.note(auditor.Stopping{Entry: p.name})
+	p.signaled = true
+	p.observe(auditor.Stopping{Entry: p.name})
 	p.signal(syscall.SIGTERM)
 	p.mu.Unlock()
 	p.awaitEnd(cmd, done)
@@ -155,10 +155,10 @@
 	}
 }
 
-// end stops the process permanently.
-func (p *process) end() {
+// stopForGood stops the process permanently.
+func (p *process) stopForGood() {
 	p.mu.Lock()
-	p.over = true
+	p.ended = true
 	cmd, done := p.cmd, p.done
 	p.mu.Unlock()
 	if cmd == nil {
@@ -171,9 +171,9 @@
 }
 
 // newProcess prepares a daemon with its files in the run's directory.
-func (w *world) newProcess(name, role string) *process {
+func (w *deployment) newProcess(name, role string) *process {
 	return &process{
-		name: name, role: role, binary: w.Binary, note: w.note, grace: w.bounds.Grace,
+		name: name, role: role, binary: w.Binary, observe: w.observe, grace: w.bounds.Grace,
 		settings: filepath.Join(w.dir, name+".toml"), log: filepath.Join(w.dir, name+".log"),
 	}
 }
--- a/soak/soaker/process_test.go
+++ b/soak/soaker/process_test.go
@@ -24,14 +24,14 @@
 	must.NoError(t, p.Start())
 	defer p.End()
 	for range 3 {
-		must.Eq(t, auditor.Event(auditor.Started{Entry: "entry"}), next(t, events))
+		must.Eq(t, auditor.Event(auditor.Started{Entry: "entry"}), nextEvent(t, events))
 		p.Kill()
 		for _, want := range []auditor.Event{
 			auditor.FaultStarted{Who: "entry", Halted: true},
 			auditor.Exited{Who: "entry"},
 			auditor.FaultEnded{Who: "entry"},
 		} {
-			must.Eq(t, want, next(t, events))
+			must.Eq(t, want, nextEvent(t, events))
 		}
 	}
 }
@@ -51,20 +51,20 @@
 	go p.WatchMemory(t.Context(), allowed)
 	for range 2 {
 		for most := int64(0); most < taken; {
-			if m, ok := next(t, events).(auditor.Measured); ok {
+			if m, ok := nextEvent(t, events).(auditor.Measured); ok {
 				must.Eq(t, auditor.Measured{Who: "agent", Taken: m.Taken, Allowed: allowed}, m)
 				most = m.Taken
 			}
 		}
 		p.Kill()
 		for ended := false; !ended; {
-			_, ended = next(t, events).(auditor.Exited)
+			_, ended = nextEvent(t, events).(auditor.Exited)
 		}
 	}
 }
 
-// next waits for an event.
-func next(t *testing.T, events <-chan auditor.Event) auditor.Event {
+// nextEvent waits for an event.
+func nextEvent(t *testing.T, events <-chan auditor.Event) auditor.Event {
 	t.Helper()
 	select {
 	case e := <-events:
--- a/soak/soaker/reload.go
+++ b/soak/soaker/reload.go
@@ -19,21 +19,21 @@
 	settingsChanged = `"changed":true`
 )
 
-// rereadWithin is how long a process may take to reload its settings, and lookEvery the interval
+// reloadTimeout is how long a process may take to reload its settings, and logPollInterval the interval
 // at which its log is read meanwhile.
 const (
-	rereadWithin = time.Second
-	lookEvery    = 20 * time.Millisecond
+	reloadTimeout   = time.Second
+	logPollInterval = 20 * time.Millisecond
 )
 
 // reload changes the settings file, corrupts it for a moment or leaves it as it is, makes the process
 // reload it, and reports the logged result to the auditor.
 func (p *process) reload(amount int) {
-	p.rereading.Lock()
-	defer p.rereading.Unlock()
+	p.reloading.Lock()
+	defer p.reloading.Unlock()
 	before, err := os.ReadFile(p.settings)
 	if err != nil {
-		p.note(auditor.Exited{Who: p.name, Alone: true})
+		p.observe(auditor.Exited{Who: p.name, Alone: true})
 		return
 	}
 	text, kept := string(before), string(before)
@@ -45,63 +45,63 @@
 	case 2:
 		text = standin.CorruptSettings(text)
 	}
-	wanted := auditor.ReloadResult{Who: p.name, Faulty: text != kept, Changed: text == kept && text != p.startedOn}
-	said := p.reread(text)
+	wanted := auditor.ReloadResult{Who: p.name, Faulty: text != kept, Changed: text == kept && text != p.startSettings}
+	logged := p.signalReload(text)
 	if err := os.WriteFile(p.settings, []byte(kept), 0o600); err != nil {
-		said.Lost = true
+		logged.Lost = true
 	}
-	p.note(auditor.Reloaded{Wanted: wanted, Said: said})
+	p.observe(auditor.Reloaded{Wanted: wanted, Said: logged})
 }
 
-// reread gives the process other settings and waits for the result in its log.
-func (p *process) reread(text string) auditor.ReloadResult {
-	said := auditor.ReloadResult{Who: p.name}
+// signalReload gives the process other settings and waits for the result in its log.
+func (p *process) signalReload(text string) auditor.ReloadResult {
+	logged := auditor.ReloadResult{Who: p.name}
 	if !p.awaitFirstLine() {
-		said.Lost = true
-		return said
+		logged.Lost = true
+		return logged
 	}
 	if err := os.WriteFile(p.settings, []byte(text), 0o600); err != nil {
-		said.Lost = true
-		return said
+		logged.Lost = true
+		return logged
 	}
-	from := p.logged()
+	from := p.logLength()
 	p.mu.Lock()
-	p.note(auditor.ReloadRequested{Entry: p.name})
+	p.observe(auditor.ReloadRequested{Entry: p.name})
 	p.signal(syscall.SIGHUP)
 	p.mu.Unlock()
 	// Count reads instead of time, as a stall of the soak itself could end the wait without any read.
-	for range rereadWithin / lookEvery {
-		time.Sleep(lookEvery)
+	for range reloadTimeout / logPollInterval {
+		time.Sleep(logPollInterval)
 		for line := range strings.Lines(p.loggedSince(from)) {
 			switch {
 			case !strings.HasSuffix(line, "\n"):
 			case strings.Contains(line, settingsFaulty):
-				said.Faulty = true
-				return said
+				logged.Faulty = true
+				return logged
 			case strings.Contains(line, settingsRead):
-				said.Changed = strings.Contains(line, settingsChanged)
-				return said
+				logged.Changed = strings.Contains(line, settingsChanged)
+				return logged
 			}
 		}
 	}
-	said.Lost = true
-	return said
+	logged.Lost = true
+	return logged
 }
 
 // awaitFirstLine waits for a starting process to log. Before its first line, a SIGHUP ends it, and it
 // may still read the settings file, which could be faulty.
 func (p *process) awaitFirstLine() bool {
-	for range rereadWithin / lookEvery {
-		if p.logged() > p.loggedBefore {
+	for range reloadTimeout / logPollInterval {
+		if p.logLength() > p.logLengthAtStart {
 			return true
 		}
-		time.Sleep(lookEvery)
+		time.Sleep(logPollInterval)
 	}
 	return false
 }
 
-// logged returns the length of the process's log.
-func (p *process) logged() int64 {
+// logLength returns the length of the process's log.
+func (p *process) logLength() int64 {
 	info, err := os.Stat(p.log)
 	if err != nil {
 		return 0
--- a/soak/soaker/slow.go
+++ b/soak/soaker/slow.go
@@ -11,34 +11,34 @@
 )
 
 const (
-	// slowCallers callers read slowly for slowFor and request answers of longAnswer bytes, which
+	// slowCallers callers read slowly for slowDuration and request answers of longAnswer bytes, which
 	// exceed the kernel buffers on the path.
-	slowCallers = 8
-	slowFor     = 3500 * time.Millisecond
-	longAnswer  = 48 << 20
+	slowCallers  = 8
+	slowDuration = 3500 * time.Millisecond
+	longAnswer   = 48 << 20
 	// slowLimit is how long they wait, and stalls how long every second one reads nothing: the
 	// upstream has cut the reply by then, which the entry detects once there is space for the
 	// preceding bytes.
 	slowLimit = 3400 * time.Millisecond
-	stalls    = 2200 * time.Millisecond
-	// usualHint is the number of events that a caller expects in a long stream.
-	usualHint = 16
-	// calmSlowness is when they start after all other faults.
-	calmSlowness = 7 * time.Second
+	readStall = 2200 * time.Millisecond
+	// expectedEvents is the number of events that a caller expects in a long stream.
+	expectedEvents = 16
+	// quietSlowDelay is when they start after all other faults.
+	quietSlowDelay = 7 * time.Second
 )
 
-// slowness makes callers read slowly at some time among the faults and in the recovery, when nothing
+// slowReaderFaults makes callers read slowly at some time among the faults and in the recovery, when nothing
 // else is disturbed. It is drawn independently of all other faults.
-func slowness(seed uint64, last time.Duration) []fault {
+func slowReaderFaults(seed uint64, last time.Duration) []fault {
 	r := rand.New(rand.NewPCG(seed, seed+6))
 	first := lateWeightsUntil(last)
-	lasts := min(slowFor, (last-first)/2)
+	lasts := min(slowDuration, (last-first)/2)
 	at := first + time.Duration(r.Int64N(int64(last-first-lasts)))
-	return []fault{{At: at, For: lasts, Kind: callersSlow}, {At: last + calmSlowness, For: slowFor, Kind: callersSlow}}
+	return []fault{{At: at, For: lasts, Kind: callersSlow}, {At: last + quietSlowDelay, For: slowDuration, Kind: callersSlow}}
 }
 
 // readSlowly makes callers read slowly for a time.
-func (w *world) readSlowly(f fault) {
+func (w *deployment) readSlowly(f fault) {
 	ctx, cancel := context.WithTimeout(w.running, f.For)
 	defer cancel()
 	var all sync.WaitGroup
@@ -53,15 +53,15 @@
 func (c *caller) drawSlow() *standin.Request {
 	q := c.newRequest()
 	prefix := []string{lookPrefix, publicPrefix, draftPrefix}[c.random.IntN(3)]
-	c.address(q, prefix)
+	c.setPath(q, prefix)
 	q.Path += fmt.Sprintf("&bytes=%d", longAnswer)
 	if prefix == draftPrefix {
 		// The hint lets the stream end in time, as it would if it were read.
-		q.Prompt, q.Events, q.Hint = 100, longAnswer/standin.LongEvent, usualHint
+		q.Prompt, q.Events, q.Hint = 100, longAnswer/standin.LongEvent, expectedEvents
 	}
 	q.Limit = slowLimit
 	if q.Drips = c.random.IntN(2) == 0; !q.Drips {
-		q.Stalls = stalls
+		q.Stalls = readStall
 	}
 	return q
 }
--- a/soak/soaker/soaker.go
+++ b/soak/soaker/soaker.go
@@ -35,29 +35,29 @@
 
 func (e *OptionError) Error() string { return e.Option + ": " + e.Problem }
 
-// leastLength leaves some seconds for faults; mostVMs limits the processes to a few hundred. mostPairs
+// minLength leaves some seconds for faults; maxVMs limits the processes to a few hundred. maxPairs
 // bounds entries times engines: each entry keeps connections to each engine and its agent through
 // links that hold two descriptors for each, of the 20,000 that a process has on our machines. Faults
 // of the store add connections, see ErrDescriptors.
 const (
-	leastLength = settle + recovery + shown + 5*time.Second
-	mostVMs     = 250
-	mostPairs   = 5000
+	minLength = startupTime + recovery + recoveryCheck + 5*time.Second
+	maxVMs    = 250
+	maxPairs  = 5000
 )
 
 // Check rejects invalid options.
 func (o *Options) Check() error {
 	switch {
-	case o.Length < leastLength:
-		return &OptionError{"seconds", fmt.Sprintf("must be at least %.0f", leastLength.Seconds())}
-	case o.Entries < 1 || o.Entries > mostVMs:
-		return &OptionError{"entries", fmt.Sprintf("must be from 1 to %d", mostVMs)}
-	case o.Engines < 1 || o.Engines > mostVMs:
-		return &OptionError{"engines", fmt.Sprintf("must be from 1 to %d", mostVMs)}
-	case o.Entries*o.Engines > mostPairs:
-		return &OptionError{"engines", fmt.Sprintf("must be at most %d with %d entries", mostPairs/o.Entries, o.Entries)}
-	case o.Services < 2 || o.Services > mostVMs:
-		return &OptionError{"services", fmt.Sprintf("must be from 2 to %d", mostVMs)}
+	case o.Length < minLength:
+		return &OptionError{"seconds", fmt.Sprintf("must be at least %.0f", minLength.Seconds())}
+	case o.Entries < 1 || o.Entries > maxVMs:
+		return &OptionError{"entries", fmt.Sprintf("must be from 1 to %d", maxVMs)}
+	case o.Engines < 1 || o.Engines > maxVMs:
+		return &OptionError{"engines", fmt.Sprintf("must be from 1 to %d", maxVMs)}
+	case o.Entries*o.Engines > maxPairs:
+		return &OptionError{"engines", fmt.Sprintf("must be at most %d with %d entries", maxPairs/o.Entries, o.Entries)}
+	case o.Services < 2 || o.Services > maxVMs:
+		return &OptionError{"services", fmt.Sprintf("must be from 2 to %d", maxVMs)}
 	}
 	return nil
 }
@@ -68,25 +68,25 @@
 	if err := o.Check(); err != nil {
 		return false, err
 	}
-	w := newWorld(&o)
+	w := newDeployment(&o)
 	defer w.close()
 	if err := w.start(); err != nil {
 		return false, err
 	}
-	faults := plan(o.Seed, o.Length)
-	w.say("seed %d: %d faults in %v", o.Seed, len(faults), o.Length)
-	running, cancel := context.WithTimeout(ctx, o.Length)
+	faults := drawPlan(o.Seed, o.Length)
+	w.logf("seed %d: %d faults in %v", o.Seed, len(faults), o.Length)
+	runCtx, cancel := context.WithTimeout(ctx, o.Length)
 	defer cancel()
-	w.running = running
-	made := w.play(running, faults)
+	w.running = runCtx
+	applied := w.runFaults(runCtx, faults)
 	w.close()
 	if ctx.Err() != nil {
-		fmt.Fprintf(o.Out, "interrupted: %d of %d faults made, recovery not checked\n", made, len(faults))
+		fmt.Fprintf(o.Out, "interrupted: %d of %d faults made, recovery not checked\n", applied, len(faults))
 	} else {
-		w.audit.Finish(w.began.Add(o.Length - shown))
+		w.audit.Finish(w.startedAt.Add(o.Length - recoveryCheck))
 	}
 	kept = w.audit.Report(o.Out)
-	if w.short() {
+	if w.outOfDescriptors() {
 		return false, ErrDescriptors
 	}
 	return kept, nil
@@ -96,41 +96,41 @@
 // descriptors, which is a fault that no plan contains.
 var ErrDescriptors = errors.New("the soak ran out of descriptors, so that the run has no verdict; take fewer entries or engines")
 
-// play runs callers and faults until the context ends.
-func (w *world) play(ctx context.Context, faults []fault) (made int) {
+// runFaults runs callers and faults until the context ends.
+func (w *deployment) runFaults(ctx context.Context, faults []fault) (applied int) {
 	var all sync.WaitGroup
 	for i := range callers {
 		all.Go(func() { w.newCaller(i).run(ctx) })
 	}
 	all.Go(func() { w.watchStalls(ctx) })
 	for _, p := range w.processes() {
-		all.Go(func() { w.say("%s took %d MB at most", p.name, p.watchMemory(ctx)/bytesPerMB) })
+		all.Go(func() { w.logf("%s took %d MB at most", p.name, p.watchMemory(ctx)/bytesPerMB) })
 	}
 	for _, f := range faults {
-		if !sleep(ctx, time.Until(w.began.Add(f.At))) {
+		if !sleep(ctx, time.Until(w.startedAt.Add(f.At))) {
 			break
 		}
-		w.say("%v", f)
-		made++
-		all.Go(func() { w.make(f) })
+		w.logf("%v", f)
+		applied++
+		all.Go(func() { w.applyFault(f) })
 	}
 	<-ctx.Done()
 	all.Wait()
-	return made
+	return applied
 }
 
-// stallEvery is how often the soak looks whether it is itself held up, longStall from
-// what on it says so: its own delay would show as that of the system.
+// stallCheckInterval is how often the soak checks whether it is itself delayed, longStall the delay that it
+// reports: its own delay would look like one of the system.
 const (
-	stallEvery = 10 * time.Millisecond
-	longStall  = 100 * time.Millisecond
+	stallCheckInterval = 10 * time.Millisecond
+	longStall          = 100 * time.Millisecond
 )
 
-func (w *world) watchStalls(ctx context.Context) {
-	for last := time.Now(); sleep(ctx, stallEvery); {
+func (w *deployment) watchStalls(ctx context.Context) {
+	for last := time.Now(); sleep(ctx, stallCheckInterval); {
 		now := time.Now()
-		if late := now.Sub(last) - stallEvery; late > longStall {
-			w.say("the soak itself stood still for %v", late)
+		if late := now.Sub(last) - stallCheckInterval; late > longStall {
+			w.logf("the soak itself stood still for %v", late)
 		}
 		last = now
 	}
@@ -147,17 +147,17 @@
 }
 
 // wait pauses until the time passes or the run ends; it reports whether the run continues.
-func (w *world) wait(d time.Duration) bool { return sleep(w.running, d) }
+func (w *deployment) wait(d time.Duration) bool { return sleep(w.running, d) }
 
-// say writes a line of the run's log.
-func (w *world) say(format string, args ...any) {
-	w.logging.Lock()
-	defer w.logging.Unlock()
-	fmt.Fprintf(w.Log, "%7.3f  %s\n", time.Since(w.began).Seconds(), fmt.Sprintf(format, args...))
+// logf writes a line of the run's log.
+func (w *deployment) logf(format string, args ...any) {
+	w.logMu.Lock()
+	defer w.logMu.Unlock()
+	fmt.Fprintf(w.Log, "%7.3f  %s\n", time.Since(w.startedAt).Seconds(), fmt.Sprintf(format, args...))
 }
 
 // newAuditor returns the auditor of a run.
-func (w *world) newAuditor() *auditor.Auditor {
+func (w *deployment) newAuditor() *auditor.Auditor {
 	b := w.bounds
 	return &auditor.Auditor{
 		Bounds: auditor.Bounds{
@@ -166,6 +166,6 @@
 			RetryRatio: b.RetryRatio, RetrySlack: b.RetrySlack, ColdFactor: b.ColdFactor, ColdSlack: b.ColdSlack,
 		},
 		Clock:    clock.RealClock{},
-		OnBroken: func(b *auditor.Violation) { w.say("BROKEN %v", b) },
+		OnBroken: func(b *auditor.Violation) { w.logf("BROKEN %v", b) },
 	}
 }
--- a/soak/soaker/soaker_test.go
+++ b/soak/soaker/soaker_test.go
@@ -57,12 +57,12 @@
 	t.Logf("%s", &out)
 	must.True(t, kept, must.Sprintf("%s", &log))
 	for _, p := range auditor.Promises {
-		must.StrNotContains(t, line(out.String(), p), "unchecked")
+		must.StrNotContains(t, reportLine(out.String(), p), "unchecked")
 	}
 }
 
-// line returns a promise's line of a report.
-func line(report string, p auditor.Promise) string {
+// reportLine returns a promise's line of a report.
+func reportLine(report string, p auditor.Promise) string {
 	for l := range strings.Lines(report) {
 		if strings.HasPrefix(l, string(p)) {
 			return l
@@ -80,7 +80,7 @@
 	_, err := soaker.Run(ctx, options(t, &out, &log))
 	must.NoError(t, err)
 	must.StrContains(t, out.String(), "interrupted")
-	must.StrContains(t, line(out.String(), auditor.Recovery), "unchecked")
+	must.StrContains(t, reportLine(out.String(), auditor.Recovery), "unchecked")
 	must.Eq(t, "", children(t))
 }
 
@@ -98,7 +98,7 @@
 	return all
 }
 
-func TestFaultyOptionsAreRefusedByName(t *testing.T) {
+func TestInvalidOptionsAreReportedByName(t *testing.T) {
 	good := soaker.Options{Length: time.Minute, Entries: 3, Engines: 6, Services: 3}
 	must.NoError(t, good.Check())
 	for name, change := range map[string]func(*soaker.Options){
@@ -118,7 +118,7 @@
 	must.Error(t, good.Check())
 }
 
-func TestFaultyFileOfSeedsIsRefusedByName(t *testing.T) {
+func TestInvalidSeedFileIsReportedByName(t *testing.T) {
 	path := filepath.Join(t.TempDir(), "seeds.txt")
 	for text, name := range map[string]string{
 		"# none\n1 | 45 | 3 | 6 | 3 | a cause\n": "",
--- a/soak/soaker/world.go
+++ b/soak/soaker/world.go
@@ -43,33 +43,33 @@
 	chunkBytes = 4 << 10
 )
 
-// figures are the parameters of an engine. Its answers take some 0.3 s.
-var figures = standin.EngineFigures{
+// engineFigures are the parameters of an engine. Its answers take some 0.3 s.
+var engineFigures = standin.EngineFigures{
 	Model: "rota", Slots: 8, Chunks: chunks, Step: 12 * time.Millisecond, ReadPerSecond: 10000, Load: 300 * time.Millisecond,
 }
 
-// world is a deployment with everything around it.
-type world struct {
+// deployment is a deployment with everything around it.
+type deployment struct {
 	*Options
-	dir    string
-	bounds standin.Bounds
-	audit  *auditor.Auditor
-	began  time.Time
+	dir       string
+	bounds    standin.Bounds
+	audit     *auditor.Auditor
+	startedAt time.Time
 	// running ends with the run.
 	running context.Context
 
 	store      *standin.Store
 	origin     *standin.Origin
 	originLink net.Listener
-	// names maps each address to its entry.
-	names           map[netip.AddrPort]string
+	// entryNames maps each address to its entry.
+	entryNames      map[netip.AddrPort]string
 	entryVMs        []*standin.VM
 	entries, agents []*process
 	storeLinks      []*link
 	// agentLinks are the links before the two ports of each agent, entryLinks those before each
 	// entry's port for other processes of the system.
 	agentLinks, entryLinks [][]*link
-	places                 []*place
+	upstreamVMs            []*upstreamVM
 	operators              *operators
 	breakOff               atomic.Int32
 	pauses                 standin.Pauses
@@ -81,28 +81,28 @@
 	// storeFault is held during a fault of the whole store, draining while a failure domain is
 	// drained.
 	storeFault, draining sync.Mutex
-	// lateStore is held while the store's watches are delayed.
-	lateStore sync.Mutex
+	// watchDelayed is held while the store's watches are delayed.
+	watchDelayed sync.Mutex
 
-	logging sync.Mutex
-	closing sync.Once
+	logMu     sync.Mutex
+	closeOnce sync.Once
 }
 
-// leastSharers is the minimum number of entries among which the slack of the retries is divided.
-const leastSharers = 6
+// minRetrySharers is the minimum number of entries among which the slack of the retries is divided.
+const minRetrySharers = 6
 
-func newWorld(o *Options) *world {
-	w := &world{Options: o, dir: o.Dir, bounds: standin.UsersBounds, names: map[netip.AddrPort]string{}, began: time.Now()}
+func newDeployment(o *Options) *deployment {
+	w := &deployment{Options: o, dir: o.Dir, bounds: standin.UsersBounds, entryNames: map[netip.AddrPort]string{}, startedAt: time.Now()}
 	// More entries divide the slack; each must still have one retry of it.
-	w.bounds.RetrySlack *= max(1, float64(o.Entries)/leastSharers)
+	w.bounds.RetrySlack *= max(1, float64(o.Entries)/minRetrySharers)
 	w.audit = w.newAuditor()
 	return w
 }
 
-func (w *world) note(e auditor.Event) { w.audit.Observe(e) }
+func (w *deployment) observe(e auditor.Event) { w.audit.Observe(e) }
 
 // start starts the whole deployment.
-func (w *world) start() error {
+func (w *deployment) start() error {
 	if err := os.MkdirAll(w.dir, 0o700); err != nil {
 		return err
 	}
@@ -112,7 +112,7 @@
 	if err != nil {
 		return err
 	}
-	vms := w.layOut(base)
+	vms := w.assignVMs(base)
 	w.store.Translate = w.translate
 	w.originLink, err = net.Listen("tcp", netip.AddrPortFrom(base, standin.PortOrigin).String())
 	if err != nil {
@@ -120,7 +120,7 @@
 	}
 	go func() { _ = w.origin.Serve(w.originLink) }()
 	w.operators = newOperators(w)
-	w.operators.begin()
+	w.operators.writeInitialState()
 	for _, vm := range vms {
 		if err := w.startVM(vm); err != nil {
 			return err
@@ -129,8 +129,8 @@
 	return nil
 }
 
-// layOut assigns each VM its name, failure domain and address.
-func (w *world) layOut(base netip.Addr) []*standin.VM {
+// assignVMs assigns each VM its name, failure domain and address.
+func (w *deployment) assignVMs(base netip.Addr) []*standin.VM {
 	var vms []*standin.VM
 	ip := base
 	add := func(kind, service string, n int) {
@@ -154,13 +154,13 @@
 }
 
 // startVM starts the processes of a VM: an entry, an engine with its agent, or a service.
-func (w *world) startVM(vm *standin.VM) error {
+func (w *deployment) startVM(vm *standin.VM) error {
 	if vm.Service != "" {
-		p, err := w.newPlace(vm)
+		p, err := w.newUpstreamVM(vm)
 		if err != nil {
 			return err
 		}
-		w.places = append(w.places, p)
+		w.upstreamVMs = append(w.upstreamVMs, p)
 		p.open(0, 1)
 		if vm.Service != engineService {
 			return nil
@@ -176,10 +176,10 @@
 	if vm.Service == "" {
 		role = "entry"
 	}
-	vm.MemoryMB = memories[role]
+	vm.MemoryMB = memoryLimits[role]
 	p := w.newProcess(vm.Name, role)
 	p.memory = int64(vm.MemoryMB) * bytesPerMB
-	if err := w.deployment().WriteSettings(p.settings, vm); err != nil {
+	if err := w.settings().WriteSettings(p.settings, vm); err != nil {
 		return err
 	}
 	ports := []uint16{standin.PortSlots, standin.PortChunks}
@@ -192,15 +192,15 @@
 	}
 	if role == "entry" {
 		w.entries, w.entryLinks = append(w.entries, p), append(w.entryLinks, links)
-		w.names[vm.At(standin.PortCallers)] = vm.Name
+		w.entryNames[vm.At(standin.PortCallers)] = vm.Name
 	} else {
 		w.agents, w.agentLinks = append(w.agents, p), append(w.agentLinks, links)
 	}
 	return p.start()
 }
 
-// memories are the memory limits of processes in megabytes by role, as on the users' smallest VMs.
-var memories = map[string]int{"entry": 184, "agent": 152}
+// memoryLimits are the memory limits of processes in megabytes by role, as on the users' smallest VMs.
+var memoryLimits = map[string]int{"entry": 184, "agent": 152}
 
 const bytesPerMB int64 = 1e6
 
@@ -217,10 +217,10 @@
 }
 
 // processes lists the processes of the system: entries, then agents.
-func (w *world) processes() []*process { return slices.Concat(w.entries, w.agents) }
+func (w *deployment) processes() []*process { return slices.Concat(w.entries, w.agents) }
 
 // translate replaces the addresses in the records of entries by those of the links before them.
-func (w *world) translate(value []byte) []byte {
+func (w *deployment) translate(value []byte) []byte {
 	for _, vm := range w.entryVMs {
 		value = bytes.ReplaceAll(value, quoted(vm.Peers()), quoted(vm.At(standin.PortPeers)))
 	}
@@ -229,27 +229,27 @@
 
 func quoted(a netip.AddrPort) []byte { return []byte(strconv.Quote(a.String())) }
 
-// mostSeeds is the number of entries that the settings list.
-const mostSeeds = 3
+// maxSeeds is the number of entries that the settings list.
+const maxSeeds = 3
 
-// deployment returns what all settings have in common. The first entries are the seeds.
-func (w *world) deployment() *standin.Deployment {
+// settings returns what all settings have in common. The first entries are the seeds.
+func (w *deployment) settings() *standin.Deployment {
 	d := &standin.Deployment{Regions: regions(), Bounds: w.bounds}
-	for _, vm := range w.entryVMs[:min(mostSeeds, w.Entries)] {
+	for _, vm := range w.entryVMs[:min(maxSeeds, w.Entries)] {
 		d.Seeds = append(d.Seeds, vm.At(standin.PortPeers))
 	}
 	return d
 }
 
 // close ends all processes that were started, by their IDs, and the stand-ins.
-func (w *world) close() {
-	w.closing.Do(func() {
+func (w *deployment) close() {
+	w.closeOnce.Do(func() {
 		var all sync.WaitGroup
 		for _, p := range w.processes() {
-			all.Go(p.end)
+			all.Go(p.stopForGood)
 		}
 		all.Wait()
-		for _, p := range w.places {
+		for _, p := range w.upstreamVMs {
 			p.close()
 		}
 		for _, k := range w.links() {
@@ -265,18 +265,18 @@
 }
 
 // links lists all links except those before the places, which are closed with their places.
-func (w *world) links() []*link {
+func (w *deployment) links() []*link {
 	return slices.Concat(slices.Concat(w.agentLinks, w.entryLinks, [][]*link{w.storeLinks})...)
 }
 
-// short reports whether a link had no descriptor left for a connection.
-func (w *world) short() bool {
-	for _, p := range w.places {
-		if p.link.short.Load() {
+// outOfDescriptors reports whether a link had no descriptor left for a connection.
+func (w *deployment) outOfDescriptors() bool {
+	for _, p := range w.upstreamVMs {
+		if p.link.outOfDescriptors.Load() {
 			return true
 		}
 	}
-	return slices.ContainsFunc(w.links(), func(k *link) bool { return k.short.Load() })
+	return slices.ContainsFunc(w.links(), func(k *link) bool { return k.outOfDescriptors.Load() })
 }
 
 // NoNetworkError reports that all loopback networks tried are in use.
@@ -286,14 +286,14 @@
 	return fmt.Sprintf("no free loopback network among %d", e.Tried)
 }
 
-const networksTried = 200
+const maxNetworks = 200
 
 var networks atomic.Uint32
 
 // freeNetwork finds addresses on which no other run listens. Each run gets some hundred of them.
 func freeNetwork() (netip.Addr, error) {
 	pid := uint32(os.Getpid())
-	for range networksTried {
+	for range maxNetworks {
 		n := networks.Add(1) + pid
 		base := netip.AddrFrom4([4]byte{127, byte(64 + n%128), byte(n >> 7), 1})
 		l, err := net.Listen("tcp", netip.AddrPortFrom(base.Next(), standin.PortCallers).String())
@@ -302,5 +302,5 @@
 			return base, nil
 		}
 	}
-	return netip.Addr{}, &NoNetworkError{networksTried}
+	return netip.Addr{}, &NoNetworkError{maxNetworks}
 }
