--- a/soak/auditor/answers.go
+++ b/soak/auditor/answers.go
@@ -92,7 +92,7 @@
 // checkDenial checks the statuses with which an entry denies a request.
 func (a *Auditor) checkDenial(r *request, e Answered) {
 	h := a.history
-	current := h.boundsApply(r.Entry, h.now) && h.boundsApply(r.Entry, r.at)
+	current := h.boundsApply(r.Entry, h.now) && h.boundsApply(r.Entry, r.sentAt)
 	denied := e.Upstream == "" && (e.Status == 401 || e.Status == 403 || e.Status == 404)
 	allows := func(t Table) bool { return t.allows(r, "") }
 	allAllow := !slices.ContainsFunc(h.tablesFrom(0), func(t Table) bool { return !allows(t) })
@@ -100,7 +100,7 @@
 	case !denied:
 		a.checked[Denial]++
 	case current:
-		someDenies := slices.ContainsFunc(h.tablesInForce(r.at), func(t Table) bool { return !allows(t) })
+		someDenies := slices.ContainsFunc(h.tablesInForce(r.sentAt), func(t Table) bool { return !allows(t) })
 		a.check(Denial, e.ID, someDenies, "%s denied with %d by %s, which every table in force allows", r.Path, e.Status, r.Entry)
 	case allAllow:
 		a.denied++
@@ -112,9 +112,9 @@
 func (a *Auditor) checkLoss(r *request, e Answered) {
 	h := a.history
 	from, planned := h.overlapsPlannedStop(r)
-	expired := e.Expired || h.now.Sub(r.at) >= r.Limit-answerMargin
+	expired := e.Expired || h.now.Sub(r.sentAt) >= r.Limit-answerMargin
 	lost := !e.Whole && !expired && !h.excused(r)
-	read := len(r.arrivals) > 0 || h.now.Sub(r.at) > h.LossSlack
+	read := len(r.arrivals) > 0 || h.now.Sub(r.sentAt) > h.LossSlack
 	if planned && h.undisturbed(r.Entry, from, h.now) {
 		a.check(Graceful, e.ID, !lost || !read, "cut by %s beside a stop or reload", r.Entry)
 		return
@@ -133,10 +133,10 @@
 // Neither a pause of an upstream nor a change of the route table excuses a running entry.
 func (a *Auditor) checkReplied(r *request, e Answered) {
 	h := a.history
-	expired := e.Expired || h.now.Sub(r.at) >= r.Limit-answerMargin
-	read := len(r.arrivals) > 0 || h.now.Sub(r.at) > h.LossSlack
-	excused := expired || !read || h.halted(r.Entry, r.at, h.now) || len(r.runs) > 0 && !h.hasIntactRun(r)
-	a.check(Replied, e.ID, e.Whole || excused, "ended by %s after %v, status %d, with %d runs", r.Entry, h.now.Sub(r.at), e.Status, len(r.runs))
+	expired := e.Expired || h.now.Sub(r.sentAt) >= r.Limit-answerMargin
+	read := len(r.arrivals) > 0 || h.now.Sub(r.sentAt) > h.LossSlack
+	excused := expired || !read || h.halted(r.Entry, r.sentAt, h.now) || len(r.runs) > 0 && !h.hasIntactRun(r)
+	a.check(Replied, e.ID, e.Whole || excused, "ended by %s after %v, status %d, with %d runs", r.Entry, h.now.Sub(r.sentAt), e.Status, len(r.runs))
 }
 
 // hasIntactRun reports whether an upstream that ran a request would have completed it. If an upstream sent
@@ -146,7 +146,7 @@
 		return false
 	}
 	return slices.ContainsFunc(r.runs, func(x run) bool {
-		return !x.broken && h.undisturbed(x.upstream, r.at, h.now) && !h.reportFlooded(x.upstream, r.at)
+		return !x.broken && h.undisturbed(x.upstream, r.sentAt, h.now) && !h.reportFlooded(x.upstream, r.sentAt)
 	})
 }
 
@@ -155,20 +155,20 @@
 func (h *history) overlapsPlannedStop(r *request) (from time.Time, ok bool) {
 	e := h.entry(r.Entry)
 	stop := !e.stoppingAt.IsZero() && !h.now.Before(e.stoppingAt) && h.now.Before(e.stoppingAt.Add(h.Grace+graceSlack))
-	reload := !e.hungUpAt.IsZero() && r.at.Before(e.hungUpAt.Add(h.ConfigApply)) && h.now.After(e.hungUpAt)
-	return r.at.Add(-h.StableWindow), stop || reload
+	reload := !e.hungUpAt.IsZero() && r.sentAt.Before(e.hungUpAt.Add(h.ConfigApply)) && h.now.After(e.hungUpAt)
+	return r.sentAt.Add(-h.StableWindow), stop || reload
 }
 
 // excused reports whether an upstream of the request broke it off, was disturbed meanwhile or could
 // not show that it was running.
 func (h *history) excused(r *request) bool {
 	for _, x := range r.runs {
-		if x.broken || h.reportFlooded(x.upstream, r.at) {
+		if x.broken || h.reportFlooded(x.upstream, r.sentAt) {
 			return true
 		}
 	}
 	for _, x := range r.arrivals {
-		if !h.undisturbed(x.upstream, r.at.Add(-h.StableWindow), h.now) {
+		if !h.undisturbed(x.upstream, r.sentAt.Add(-h.StableWindow), h.now) {
 			return true
 		}
 	}
@@ -199,7 +199,7 @@
 	a.checkSoundRequests()
 	served, all := 0, 0
 	for _, r := range a.history.requests {
-		if r.at.Before(since) || r.answer == nil || r.Fatal != "" {
+		if r.sentAt.Before(since) || r.answer == nil || r.Fatal != "" {
 			continue
 		}
 		all++
--- a/soak/auditor/arrivals.go
+++ b/soak/auditor/arrivals.go
@@ -36,11 +36,11 @@
 	a.checkKey(r, e)
 	a.checkTables(r, u)
 	a.checkCold(r, u)
-	longer := e.Left <= 0 || e.Left > r.Limit+deadlineSlack
-	if longer {
+	exceeds := e.Left <= 0 || e.Left > r.Limit+deadlineSlack
+	if exceeds {
 		a.longerLimits++
 	}
-	a.check(Deadline, e.ID, !longer || a.longerLimits <= toleratedLonger, "told to take %v of the caller's %v", e.Left, r.Limit)
+	a.check(Deadline, e.ID, !exceeds || a.longerLimits <= toleratedLonger, "told to take %v of the caller's %v", e.Left, r.Limit)
 	a.checkDeparted(r, u)
 	if len(r.arrivals) > 1 {
 		ok, extra, allowed := a.budget.addRepeat(h, u.Service)
@@ -52,11 +52,11 @@
 func (a *Auditor) checkDeparted(r *request, u *upstream) {
 	h := a.history
 	from := h.now.Add(-h.StableWindow)
-	late := r.answer != nil && h.now.Sub(r.answeredAt) > departureSlack && h.boundsApply(r.Entry, h.now) && h.undisturbed(u.Upstream, from, h.now)
-	if late {
+	afterDeparture := r.answer != nil && h.now.Sub(r.answeredAt) > departureSlack && h.boundsApply(r.Entry, h.now) && h.undisturbed(u.Upstream, from, h.now)
+	if afterDeparture {
 		a.departed++
 	}
-	a.check(Gone, r.ID, !late || a.departed <= toleratedGone, "reached %s %v after its caller had left", u.Upstream, h.now.Sub(r.answeredAt))
+	a.check(Gone, r.ID, !afterDeparture || a.departed <= toleratedGone, "reached %s %v after its caller had left", u.Upstream, h.now.Sub(r.answeredAt))
 }
 
 // checkUpstreamStatements checks that an entry respects what upstreams reported to it. A request that reached one
@@ -66,15 +66,15 @@
 	e := h.entry(r.Entry)
 	for id, stated := range e.leavingStated {
 		if h.serves(id, u.Service) {
-			late := r.at.Sub(stated)
+			late := r.sentAt.Sub(stated)
 			a.check(LeavingStated, r.ID, id != u.Upstream || late <= h.Drain, "reached %s by %s, sent %v after it said that it leaves", id, r.Entry, late)
 		}
 	}
-	for id, rests := range e.backoffs {
+	for id, backoffs := range e.backoffs {
 		if !h.serves(id, u.Service) {
 			continue
 		}
-		for _, s := range rests {
+		for _, s := range backoffs {
 			a.checkBackoff(r, id, s, id == u.Upstream)
 		}
 	}
@@ -105,7 +105,7 @@
 // checkPlacement checks the chosen upstream.
 func (a *Auditor) checkPlacement(r *request, u *upstream) {
 	h := a.history
-	binding := h.boundsApply(r.Entry, h.now) && h.boundsApply(r.Entry, r.at) && h.undisturbed(u.Upstream, h.now.Add(-h.StableWindow), h.now)
+	binding := h.boundsApply(r.Entry, h.now) && h.boundsApply(r.Entry, r.sentAt) && h.undisturbed(u.Upstream, h.now.Add(-h.StableWindow), h.now)
 	if binding && h.anyLeft() {
 		late := h.sinceBinding(u.leftAt)
 		a.check(Drain, r.ID, late <= h.Drain, "reached %s by %s %v after it left", u.Upstream, r.Entry, late)
@@ -185,8 +185,8 @@
 	if !everAllowed {
 		return
 	}
-	if h.boundsApply(r.Entry, h.now) && h.boundsApply(r.Entry, r.at) {
-		allowed := slices.ContainsFunc(h.tablesInForce(r.at), func(t Table) bool { return t.allows(r, u.Service) })
+	if h.boundsApply(r.Entry, h.now) && h.boundsApply(r.Entry, r.sentAt) {
+		allowed := slices.ContainsFunc(h.tablesInForce(r.sentAt), func(t Table) bool { return t.allows(r, u.Service) })
 		a.check(Config, r.ID, allowed, "%s at %s by %s is as only an older table allows", r.Path, u.Service, r.Entry)
 	}
 	a.checkRegress(r, u)
@@ -205,10 +205,10 @@
 		}
 	}
 	e := h.entry(r.Entry)
-	if e.shownVersion > 0 && r.at.After(e.shownAt.Add(h.RollbackSlack)) && r.at.After(e.startedAt) {
+	if e.shownVersion > 0 && r.sentAt.After(e.shownAt.Add(h.RollbackSlack)) && r.sentAt.After(e.startedAt) {
 		a.check(Regress, r.ID, newest >= e.shownVersion, "%s follows table %d after it showed %d", r.Entry, newest, e.shownVersion)
 	}
-	if oldest > e.shownVersion && r.at.After(e.startedAt) {
+	if oldest > e.shownVersion && r.sentAt.After(e.startedAt) {
 		e.shownVersion, e.shownAt = oldest, h.now
 	}
 }
@@ -220,7 +220,7 @@
 	}
 	u.recent = slices.DeleteFunc(u.recent, func(t time.Time) bool { return h.now.Sub(t) >= time.Second })
 	// Only requests sent within the same second count.
-	if h.now.Sub(r.at) < time.Second {
+	if h.now.Sub(r.sentAt) < time.Second {
 		u.recent = append(u.recent, h.now)
 	}
 	limit := u.ColdRate*h.ColdFactor + h.ColdSlack
--- a/soak/auditor/fatal.go
+++ b/soak/auditor/fatal.go
@@ -65,7 +65,7 @@
 	if f == nil {
 		return
 	}
-	if at, ok := f.knownAt(); ok && r.at.After(at.Add(h.StableWindow)) && h.boundsApply(r.Entry, r.at) && h.boundsApply(r.Entry, h.now) {
+	if at, ok := f.knownAt(); ok && r.sentAt.After(at.Add(h.StableWindow)) && h.boundsApply(r.Entry, r.sentAt) && h.boundsApply(r.Entry, h.now) {
 		f.late++
 	}
 	a.check(Fatal, r.ID, f.late <= toleratedLateFatal, "%d requests with part %s, the last at %s, %d crashes", f.late, r.Fatal, u.Upstream, len(f.crashes))
@@ -82,13 +82,13 @@
 		from := f.crashes[min(len(f.crashes), fatalCrashes)-1].Add(2 * h.StableWindow)
 		var beside, usual soundCount
 		for _, r := range h.requests {
-			if r.Fatal != "" || len(r.Parts) == 0 || h.route(r) != f.route || !h.boundsApply(r.Entry, r.at) {
+			if r.Fatal != "" || len(r.Parts) == 0 || h.route(r) != f.route || !h.boundsApply(r.Entry, r.sentAt) {
 				continue
 			}
 			switch {
-			case r.at.After(from) && r.at.Before(f.last):
+			case r.sentAt.After(from) && r.sentAt.Before(f.last):
 				beside.add(r)
-			case !h.fatalPartInUse(r.at) && h.undisturbedAround(r.at):
+			case !h.fatalPartInUse(r.sentAt) && h.undisturbedAround(r.sentAt):
 				usual.add(r)
 			}
 		}
@@ -122,8 +122,8 @@
 
 // undisturbedAround reports whether nothing was disturbed around a time.
 func (h *history) undisturbedAround(at time.Time) bool {
-	for who, spans := range h.disturbances {
-		if slices.ContainsFunc(spans, func(s disturbance) bool { return !s.from.After(at) && h.endOf(who, s).After(at.Add(-h.StableWindow)) }) {
+	for process, spans := range h.disturbances {
+		if slices.ContainsFunc(spans, func(s disturbance) bool { return !s.from.After(at) && h.endOf(process, s).After(at.Add(-h.StableWindow)) }) {
 			return false
 		}
 	}
@@ -132,11 +132,11 @@
 
 // endOf returns the end of a disturbance. That of an upstream that has exited ends when its
 // successor is ready.
-func (h *history) endOf(who string, s disturbance) time.Time {
+func (h *history) endOf(process string, s disturbance) time.Time {
 	switch {
 	case !s.to.IsZero():
 		return s.to
-	case h.upstreams[who] != nil:
+	case h.upstreams[process] != nil:
 		return s.from.Add(h.StableWindow)
 	default:
 		return h.now
--- a/soak/auditor/flood.go
+++ b/soak/auditor/flood.go
@@ -40,20 +40,20 @@
 		return
 	}
 	last := r.runs[len(r.runs)-1]
-	if !last.flooded || !h.allUndisturbed(r.at) || !h.undisturbed(last.upstream, r.at, h.now) {
+	if !last.flooded || !h.allUndisturbed(r.sentAt) || !h.undisturbed(last.upstream, r.sentAt, h.now) {
 		return
 	}
 	if e.Expired && (last.floodedAt.IsZero() || h.now.Sub(last.floodedAt) <= maxFloodWait) {
 		return
 	}
-	a.check(Flood, e.ID, !e.Expired && e.Status != 0, "status %d by %s, %v after %s began to send bytes without end", e.Status, r.Entry, h.now.Sub(last.at), last.upstream)
+	a.check(Flood, e.ID, !e.Expired && e.Status != 0, "status %d by %s, %v after %s began to send bytes without end", e.Status, r.Entry, h.now.Sub(last.startedAt), last.upstream)
 }
 
 // allUndisturbed reports whether no process or link has been disturbed since a moment: another entry
 // may have forwarded the request.
 func (h *history) allUndisturbed(since time.Time) bool {
-	for who := range h.entries {
-		if !h.undisturbed(who, since, h.now) {
+	for process := range h.entries {
+		if !h.undisturbed(process, since, h.now) {
 			return false
 		}
 	}
--- a/soak/auditor/history.go
+++ b/soak/auditor/history.go
@@ -29,7 +29,7 @@
 // request is the recorded state of one request.
 type request struct {
 	Sent
-	at       time.Time
+	sentAt   time.Time
 	arrivals []arrival
 	runs     []run
 	// failed counts the upstreams that failed at it in turn.
@@ -42,15 +42,15 @@
 }
 
 type arrival struct {
-	upstream string
-	at       time.Time
+	upstream  string
+	arrivedAt time.Time
 }
 
 // run is one execution of a request at an upstream.
 type run struct {
-	upstream string
-	at       time.Time
-	broken   bool
+	upstream  string
+	startedAt time.Time
+	broken    bool
 	// events is how many events were sent before it broke off.
 	events int
 	// flooded is set if its upstream sent endless bytes, and floodedAt is when they exceeded any valid
@@ -83,7 +83,7 @@
 // entry is a process that answers callers.
 type entry struct {
 	startedAt, stoppingAt, hungUpAt, exitedAt time.Time
-	// leavingStated is when it passed on an answer whose upstream stated that it leaves, and rests
+	// leavingStated is when it passed on an answer whose upstream stated that it leaves, and backoffs
 	// holds the backoffs that upstreams asked for, both by upstream.
 	leavingStated map[string]time.Time
 	backoffs      map[string][]*backoff
@@ -132,7 +132,7 @@
 func (h *history) record(e Event) {
 	switch e := e.(type) {
 	case Sent:
-		h.requests[e.ID] = &request{Sent: e, at: h.now}
+		h.requests[e.ID] = &request{Sent: e, sentAt: h.now}
 		h.recordFatal(e)
 	case Crashed:
 		h.recordFatal(e)
@@ -149,7 +149,7 @@
 		h.recordBackoff(e)
 	case RunStarted:
 		if r := h.requests[e.ID]; r != nil {
-			r.runs = append(r.runs, run{upstream: e.Upstream, at: h.now})
+			r.runs = append(r.runs, run{upstream: e.Upstream, startedAt: h.now})
 		}
 	case RunEnded:
 		h.recordRunEnd(e)
--- a/soak/auditor/runs.go
+++ b/soak/auditor/runs.go
@@ -49,7 +49,7 @@
 	if i < 0 || !h.boundsApply(r.Entry, h.now) || !h.undisturbed(r.Entry, from, h.now) || !h.undisturbed(e.Upstream, from, h.now) {
 		return
 	}
-	if !r.runs[i].at.Add(r.Lasts).After(r.answeredAt.Add(departureSlack)) {
+	if !r.runs[i].startedAt.Add(r.Lasts).After(r.answeredAt.Add(departureSlack)) {
 		return
 	}
 	a.abandoned++
@@ -75,7 +75,7 @@
 func (h *history) undisturbedRuns(r *request) int {
 	n := 0
 	for _, x := range r.runs {
-		if !x.broken && h.undisturbed(x.upstream, x.at, h.now) {
+		if !x.broken && h.undisturbed(x.upstream, x.startedAt, h.now) {
 			n++
 		}
 	}
@@ -100,8 +100,8 @@
 		if since := h.undisturbedSince(Core, h.now); !since.IsZero() && since.Add(h.StableWindow).After(from) {
 			from = since.Add(h.StableWindow)
 		}
-		late := h.now.Sub(from)
-		a.check(Version, e.ID, late <= h.Weights, "begins at %s on weights %d by %s %v after %d was named", e.Upstream, e.Version, r.Entry, late, n.value)
+		age := h.now.Sub(from)
+		a.check(Version, e.ID, age <= h.Weights, "begins at %s on weights %d by %s %v after %d was named", e.Upstream, e.Version, r.Entry, age, n.value)
 		return
 	}
 	a.checked[Version]++
--- a/soak/auditor/unread.go
+++ b/soak/auditor/unread.go
@@ -6,7 +6,7 @@
 // one. It may be if something other than the caller held the reply up.
 func (a *Auditor) checkUnread(r *request) {
 	h := a.history
-	if r.unreadBy == "" || !h.allUndisturbed(r.at.Add(-h.StableWindow)) || !h.undisturbed(r.unreadBy, r.at.Add(-h.StableWindow), h.now) {
+	if r.unreadBy == "" || !h.allUndisturbed(r.sentAt.Add(-h.StableWindow)) || !h.undisturbed(r.unreadBy, r.sentAt.Add(-h.StableWindow), h.now) {
 		return
 	}
 	last := r.arrivals[len(r.arrivals)-1]
--- a/soak/soaker/callers.go
+++ b/soak/soaker/callers.go
@@ -19,7 +19,7 @@
 	burstCallers = 12
 	// maxThinkTime is the longest pause between an answer and a caller's next request.
 	maxThinkTime = 200 * time.Millisecond
-	// callerLimit is how long callers wait, impatience how long impatient ones do.
+	// callerLimit is how long callers wait, impatientLimit how long impatient ones do.
 	callerLimit    = 2500 * time.Millisecond
 	impatientLimit = 120 * time.Millisecond
 	// longEvents is the length of long streams, which last 1.4 s or more. Some callers leave after
--- a/soak/soaker/world.go
+++ b/soak/soaker/deployment.go
@@ -264,7 +264,7 @@
 	})
 }
 
-// links lists all links except those before the places, which are closed with their places.
+// links lists all links except those before upstreams, which are closed with their VMs.
 func (w *deployment) links() []*link {
 	return slices.Concat(slices.Concat(w.agentLinks, w.entryLinks, [][]*link{w.storeLinks})...)
 }
--- a/soak/soaker/faults.go
+++ b/soak/soaker/faults.go
@@ -189,7 +189,7 @@
 	case upstreamLeaves:
 		p.replace(f.For/2, p.leave)
 	case serviceLeaves:
-		s := w.bookingPlaceOutside(domains[f.Target%len(domains)].name)
+		s := w.bookingVMOutside(domains[f.Target%len(domains)].name)
 		for s != nil && !s.replace(f.For/2, s.leave) {
 			// Another fault of this upstream is still in progress.
 			if !w.wait(announceInterval) {
@@ -207,8 +207,8 @@
 	}
 }
 
-// bookingPlaceOutside returns a place of the booking service outside a failure domain; nil for none.
-func (w *deployment) bookingPlaceOutside(domain string) *upstreamVM {
+// bookingVMOutside returns a VM of the booking service outside a failure domain; nil for none.
+func (w *deployment) bookingVMOutside(domain string) *upstreamVM {
 	for _, p := range w.upstreamVMs {
 		if p.vm.Service == bookingService && p.vm.FailureDomain != domain {
 			return p
--- a/soak/soaker/plan.go
+++ b/soak/soaker/plan.go
@@ -109,8 +109,8 @@
 	// startupTime is how long a run lasts before the first fault, while processes and engines start.
 	startupTime = 3 * time.Second
 	// recovery is the part of a run without faults at its end: 12 s within which service must recover
-	// by the users' bounds. recoveryCheck is the time in which that is
-	// checked.
+	// by the users' bounds. recoveryCheck is the time in which that
+	// is checked.
 	recovery      = 12 * time.Second
 	recoveryCheck = 4 * time.Second
 	// minFault and maxFault limit how long a fault lasts.
--- a/soak/soaker/slow.go
+++ b/soak/soaker/slow.go
@@ -16,7 +16,7 @@
 	slowCallers  = 8
 	slowDuration = 3500 * time.Millisecond
 	longAnswer   = 48 << 20
-	// slowLimit is how long they wait, and stalls how long every second one reads nothing: the
+	// slowLimit is how long they wait, and readStall how long every second one reads nothing: the
 	// upstream has cut the reply by then, which the entry detects once there is space for the
 	// preceding bytes.
 	slowLimit = 3400 * time.Millisecond
--- a/soak/soaker/place.go
+++ b/soak/soaker/upstream_vm.go
@@ -53,7 +53,7 @@
 	return p, nil
 }
 
-// open starts an upstream at the place.
+// open starts an upstream on the VM.
 func (p *upstreamVM) open(cold time.Duration, version uint64) {
 	p.mu.Lock()
 	defer p.mu.Unlock()
