--- a/soak/auditor/fatal.go
+++ b/soak/auditor/fatal.go
@@ -122,10 +122,8 @@
 
 // undisturbedAround reports whether nothing was disturbed around a time.
 func (h *history) undisturbedAround(at time.Time) bool {
-	for process, spans := range h.disturbances {
-		if slices.ContainsFunc(spans, func(s disturbance) bool {
-			return !s.from.After(at) && h.endOf(process, s).After(at.Add(-h.StableWindow))
-		}) {
+	for id, spans := range h.disturbances {
+		if slices.ContainsFunc(spans, func(s disturbance) bool { return !s.from.After(at) && h.endOf(id, s).After(at.Add(-h.StableWindow)) }) {
 			return false
 		}
 	}
