--- a/soak/soaker/fatal.go
+++ b/soak/soaker/fatal.go
@@ -12,37 +12,38 @@
 )
 
 const (
-	// fatalEvery is the pause between two requests with a part that crashes engines, and crashedFor how
-	// long an engine is down.
-	fatalEvery = 300 * time.Millisecond
-	crashedFor = 700 * time.Millisecond
-	// farms is of how many farms prompts are.
-	farms = 8
+	// fatalInterval is the pause between two requests with a part that crashes engines, and crashDowntime
+	// how long an engine is down.
+	fatalInterval = 300 * time.Millisecond
+	crashDowntime = 700 * time.Millisecond
+	// farmCount is the number of farms to which prompts belong.
+	farmCount = 8
 )
 
-// fatals has a part crash engines at some time of the faults, and another one in the recovery, when nothing
-// else disturbs the bounds. They are drawn apart from all other faults.
-func fatals(seed uint64, last time.Duration) []fault {
+// promptCrashFaults makes one part crash engines at some time among the faults and another in the recovery, when
+// nothing else is disturbed. They are drawn independently of all other faults.
+func promptCrashFaults(seed uint64, last time.Duration) []fault {
 	r := rand.New(rand.NewPCG(seed, seed+2))
 	first := lateWeightsUntil(last)
-	among := min(fatalAmong, last-first)
+	among := min(fatalAmongFaults, last-first)
 	at := first + time.Duration(r.Int64N(int64(last-first-among)+1))
 	return []fault{
 		{At: at, For: among, Kind: promptCrashes, Target: 1, Amount: r.IntN(100)},
-		{At: last + leastFault, For: fatalInRecovery, Kind: promptCrashes, Target: 2, Amount: r.IntN(100)},
+		{At: last + minFault, For: fatalInRecovery, Kind: promptCrashes, Target: 2, Amount: r.IntN(100)},
 	}
 }
 
 const (
-	// fatalAmong is how long requests with a fatal part come among the other faults, fatalInRecovery in the
-	// recovery: until sound ones are judged, two stable windows after the crashes, and then for long
-	// enough that there are some.
-	fatalAmong      = 8 * time.Second
-	fatalInRecovery = 12 * time.Second
+	// fatalAmongFaults is how long requests with a fatal part are sent among the other faults,
+	// fatalInRecovery in the recovery: until sound ones are checked, two stable windows after the
+	// crashes, and long enough afterwards to have some.
+	fatalAmongFaults = 8 * time.Second
+	fatalInRecovery  = 12 * time.Second
 )
 
-// crashByPrompts plays queries of death: a part of prompts crashes engines for a time, while requests with it come.
-func (w *world) crashByPrompts(f fault) {
+// crashByPrompts simulates queries of death: for a time, engines crash on a part of prompts while
+// requests with it are sent.
+func (w *deployment) crashByPrompts(f fault) {
 	part := fmt.Sprintf("fa%x%d", w.Seed, f.Target)
 	w.fatal.Store(&part)
 	defer w.fatal.CompareAndSwap(&part, nil)
@@ -53,44 +54,45 @@
 	for n := f.Amount; ctx.Err() == nil; n++ {
 		c := w.newCaller(n)
 		all.Go(func() { c.sendFatal(ctx, part, n) })
-		sleep(ctx, fatalEvery)
+		sleep(ctx, fatalInterval)
 	}
 }
 
-// sendFatal sends one request with a fatal part: first, in the middle, or among parts that never recur.
+// sendFatal sends one request with the fatal part first, in the middle, or among parts that never
+// recur.
 func (c *caller) sendFatal(ctx context.Context, part string, n int) {
 	if c.resolve(ctx); !c.connect(ctx) {
 		return
 	}
-	defer c.hangUp()
+	defer c.disconnect()
 	q := c.newRequest()
-	c.address(q, draftPrefix)
+	c.setPath(q, draftPrefix)
 	q.Prompt, q.Events = 100, 12
-	farm := fmt.Sprintf("farm%d", n%farms)
-	q.Parts = [][]string{{part, farm}, {kindPart(draftPrefix), part, farm}, {q.ID + "a", part, q.ID + "b"}}[n%3]
-	c.askFatal(q, part)
+	farm := fmt.Sprintf("farm%d", n%farmCount)
+	q.Parts = [][]string{{part, farm}, {routePart(draftPrefix), part, farm}, {q.ID + "a", part, q.ID + "b"}}[n%3]
+	c.sendWithFatal(q, part)
 }
 
-// kindPart is the part that all prompts of a route begin with.
-func kindPart(prefix string) string { return "kind" + fmt.Sprint(len(prefix)) + prefix[1:2] }
+// routePart is the part with which all prompts of a route start.
+func routePart(prefix string) string { return "kind" + fmt.Sprint(len(prefix)) + prefix[1:2] }
 
-// soundParts are the shared parts of a sound prompt. They aren't drawn, so that seeds draw what they did
-// before prompts had parts.
+// soundParts returns the shared parts of a sound prompt. They are not random, so that they do not
+// change what a seed draws.
 func soundParts(prefix string) []string {
-	n := requests.Load()
-	farm := fmt.Sprintf("farm%d", n%farms)
-	return [][]string{{kindPart(prefix)}, {kindPart(prefix), farm}, {farm, kindPart(prefix)}}[n/farms%3]
+	n := requestCount.Load()
+	farm := fmt.Sprintf("farm%d", n%farmCount)
+	return [][]string{{routePart(prefix)}, {routePart(prefix), farm}, {farm, routePart(prefix)}}[n/farmCount%3]
 }
 
-// crashUnder ends an engine under a request with the fatal part.
-func (p *place) crashUnder(u *standin.Upstream) {
+// crashOnFatalPart crashes an engine that runs a request with the fatal part.
+func (p *upstreamVM) crashOnFatalPart(u *standin.Upstream) {
 	part := p.fatal.Load()
 	if part == nil {
 		return
 	}
-	p.note(auditor.Crashed{Upstream: u.ID, Part: *part})
-	if !p.replace(crashedFor, p.crash) {
-		// It is being replaced already, and ends sooner now.
+	p.observe(auditor.Crashed{Upstream: u.ID, Part: *part})
+	if !p.replace(crashDowntime, p.crash) {
+		// It is already being replaced, so crash it sooner.
 		p.crash(u)
 	}
 }
--- a/soak/soaker/link.go
+++ b/soak/soaker/link.go
@@ -15,33 +15,31 @@
 	"github.com/oriolecroft/oriolecroft/internal/connector"
 )
 
-// link passes TCP connections on to one address and can do to them what a faulty
-// network does.
+// link forwards TCP connections to one address and can simulate faults of a network.
 type link struct {
-	at, to netip.AddrPort
+	listenAddress, target netip.AddrPort
 
 	mu sync.Mutex
 	// listener is nil while the link refuses connections, like a port without a listener.
 	listener net.Listener
 	closed   bool
 	delay    time.Duration
-	// there and back are held while closed channels of their own are missing: nil lets
-	// bytes pass.
-	there, back chan struct{}
-	conns       map[*pipe]bool
-	// limiter paces each direction of a narrow link; nil on a wide one. Widened is closed
-	// once the link is wide again.
+	// outward and inward hold the bytes of a direction until the channel is closed; nil lets bytes pass.
+	outward, inward chan struct{}
+	conns           map[*pipe]bool
+	// limiter paces each direction of a narrow link; nil on a wide one. widened is closed once the
+	// link is wide again.
 	limiter *rate.Limiter
 	widened chan struct{}
 
-	// short is set once the soak had no descriptor left for a connection.
-	short atomic.Bool
+	// outOfDescriptors is set once the soak had no descriptor left for a connection.
+	outOfDescriptors atomic.Bool
 }
 
 // pipe is one connection through a link.
 type pipe struct {
 	near, far net.Conn
-	// silent is closed once the connection says nothing any more.
+	// silent is closed once the connection stops passing bytes.
 	silent chan struct{}
 	once   sync.Once
 }
@@ -51,14 +49,14 @@
 	if err != nil {
 		return nil, err
 	}
-	k := &link{at: netip.MustParseAddrPort(l.Addr().String()), listener: l, to: to, conns: map[*pipe]bool{}}
+	k := &link{listenAddress: netip.MustParseAddrPort(l.Addr().String()), listener: l, target: to, conns: map[*pipe]bool{}}
 	go k.accept(l)
 	return k, nil
 }
 
-func (k *link) address() netip.AddrPort { return k.at }
+func (k *link) address() netip.AddrPort { return k.listenAddress }
 
-// refuse has the link refuse connections until it is opened.
+// refuse makes the link refuse connections until it is opened.
 func (k *link) refuse() {
 	k.mu.Lock()
 	defer k.mu.Unlock()
@@ -68,14 +66,14 @@
 	}
 }
 
-// open has the link take connections again.
+// open makes the link accept connections again.
 func (k *link) open() error {
 	k.mu.Lock()
 	defer k.mu.Unlock()
 	if k.listener != nil || k.closed {
 		return nil
 	}
-	l, err := net.Listen("tcp", k.at.String())
+	l, err := net.Listen("tcp", k.listenAddress.String())
 	if err != nil {
 		return err
 	}
@@ -91,28 +89,28 @@
 			return
 		}
 		if err != nil {
-			k.noteShort(err)
-			// A link that took no more connections for good would be a fault that no plan has.
-			time.Sleep(acceptAgain)
+			k.recordDescriptorError(err)
+			// A link that stopped accepting would be a fault that no plan contains.
+			time.Sleep(acceptRetryPause)
 			continue
 		}
 		go k.connect(near)
 	}
 }
 
-func (k *link) noteShort(err error) {
+func (k *link) recordDescriptorError(err error) {
 	if errors.Is(err, syscall.EMFILE) {
-		k.short.Store(true)
+		k.outOfDescriptors.Store(true)
 	}
 }
 
-// acceptAgain is the pause after a connection that could not be taken.
-const acceptAgain = 10 * time.Millisecond
+// acceptRetryPause is the pause after a failed accept.
+const acceptRetryPause = 10 * time.Millisecond
 
 func (k *link) connect(near net.Conn) {
-	far, err := net.Dial("tcp", k.to.String())
+	far, err := net.Dial("tcp", k.target.String())
 	if err != nil {
-		k.noteShort(err)
+		k.recordDescriptorError(err)
 		connector.Reset(near)
 		return
 	}
@@ -121,8 +119,8 @@
 	k.conns[p] = true
 	k.mu.Unlock()
 	var both sync.WaitGroup
-	both.Go(func() { k.pass(p, near, far, &k.there) })
-	both.Go(func() { k.pass(p, far, near, &k.back) })
+	both.Go(func() { k.forward(p, near, far, &k.outward) })
+	both.Go(func() { k.forward(p, far, near, &k.inward) })
 	both.Wait()
 	k.mu.Lock()
 	delete(k.conns, p)
@@ -142,16 +140,16 @@
 	}
 }
 
-// passedAtOnce is how many bytes pass a link in one piece at most.
-const passedAtOnce = 32 << 10
+// maxPieceBytes is the largest number of bytes that pass a link in one piece.
+const maxPieceBytes = 32 << 10
 
-// pass copies one direction until its end. An end is passed on as an end, a reset as a reset: a reply without a
-// length is whole by the one and cut by the other.
-func (k *link) pass(p *pipe, from, to net.Conn, held *chan struct{}) {
-	buffer := make([]byte, passedAtOnce)
+// forward copies one direction until its end. It forwards an end as an end and a reset as a reset: a
+// reply without a length is complete after the former and truncated after the latter.
+func (k *link) forward(p *pipe, from, to net.Conn, held *chan struct{}) {
+	buffer := make([]byte, maxPieceBytes)
 	for {
 		n, err := from.Read(buffer)
-		if !k.wait(p, held) || !k.pace(p, n) {
+		if !k.waitWhileHeld(p, held) || !k.pace(p, n) {
 			return
 		}
 		if _, e := to.Write(buffer[:n]); e != nil {
@@ -161,7 +159,7 @@
 		}
 		switch {
 		case errors.Is(err, io.EOF):
-			endWrites(to)
+			closeWrite(to)
 			return
 		case err != nil:
 			connector.Reset(to)
@@ -171,17 +169,16 @@
 	}
 }
 
-// endWrites tells the other end that nothing more comes.
-func endWrites(c net.Conn) {
+// closeWrite signals the end of the bytes to the other side.
+func closeWrite(c net.Conn) {
 	if t, ok := c.(*net.TCPConn); ok {
-		// On one that is closed already this changes nothing.
+		// This has no effect on a closed connection.
 		_ = t.CloseWrite()
 	}
 }
 
-// wait holds bytes back for as long as the link does; false on a connection that is
-// silent for good.
-func (k *link) wait(p *pipe, held *chan struct{}) bool {
+// waitWhileHeld delays bytes while the link holds them; false on a connection that is permanently silent.
+func (k *link) waitWhileHeld(p *pipe, held *chan struct{}) bool {
 	for {
 		k.mu.Lock()
 		delay, hold := k.delay, *held
@@ -203,8 +200,8 @@
 	}
 }
 
-// pace waits until a narrow link has room for some bytes; false on a connection that is
-// silent for good.
+// pace waits until a narrow link can carry some bytes; false on a connection that is permanently
+// silent.
 func (k *link) pace(p *pipe, bytes int) bool {
 	k.mu.Lock()
 	limiter, widened := k.limiter, k.widened
@@ -221,39 +218,39 @@
 	return true
 }
 
-// narrow lets no more than so many bytes a second pass, until the link is mended.
-func (k *link) narrow(perSecond int) {
+// limitRate limits the bytes per second until the link is repaired.
+func (k *link) limitRate(perSecond int) {
 	k.mu.Lock()
 	defer k.mu.Unlock()
 	if k.limiter != nil {
 		return
 	}
-	k.limiter, k.widened = rate.NewLimiter(rate.Limit(perSecond), passedAtOnce), make(chan struct{})
-	// Nothing is saved up at the beginning.
-	k.limiter.AllowN(time.Now(), passedAtOnce)
+	k.limiter, k.widened = rate.NewLimiter(rate.Limit(perSecond), maxPieceBytes), make(chan struct{})
+	// Start without any accumulated burst.
+	k.limiter.AllowN(time.Now(), maxPieceBytes)
 }
 
-// slow delays everything until it is set to 0.
-func (k *link) slow(d time.Duration) {
+// setDelay delays all bytes until it is set to 0.
+func (k *link) setDelay(d time.Duration) {
 	k.mu.Lock()
 	defer k.mu.Unlock()
 	k.delay = d
 }
 
-// cut holds the bytes of one direction or of both until the link is mended.
-func (k *link) cut(there, back bool) {
+// holdBytes holds the bytes of one or both directions until the link is repaired.
+func (k *link) holdBytes(outward, inward bool) {
 	k.mu.Lock()
 	defer k.mu.Unlock()
-	if there && k.there == nil {
-		k.there = make(chan struct{})
+	if outward && k.outward == nil {
+		k.outward = make(chan struct{})
 	}
-	if back && k.back == nil {
-		k.back = make(chan struct{})
+	if inward && k.inward == nil {
+		k.inward = make(chan struct{})
 	}
 }
 
-// mend ends delays, cuts and narrowness.
-func (k *link) mend() {
+// repair ends delays, cuts and rate limits.
+func (k *link) repair() {
 	k.mu.Lock()
 	defer k.mu.Unlock()
 	k.delay = 0
@@ -261,7 +258,7 @@
 		k.limiter = nil
 		close(k.widened)
 	}
-	for _, held := range []*chan struct{}{&k.there, &k.back} {
+	for _, held := range []*chan struct{}{&k.outward, &k.inward} {
 		if *held != nil {
 			close(*held)
 			*held = nil
@@ -269,7 +266,7 @@
 	}
 }
 
-// silence has all open connections say nothing any more; new ones work.
+// silence stops all bytes on open connections permanently; new connections work.
 func (k *link) silence() {
 	k.mu.Lock()
 	defer k.mu.Unlock()
@@ -278,7 +275,7 @@
 	}
 }
 
-// reset breaks all connections.
+// reset resets all connections.
 func (k *link) reset() {
 	k.mu.Lock()
 	defer k.mu.Unlock()
@@ -288,13 +285,13 @@
 	}
 }
 
-// close ends the link.
+// close shuts the link down.
 func (k *link) close() {
 	k.refuse()
 	k.mu.Lock()
 	k.closed = true
 	k.mu.Unlock()
-	k.mend()
+	k.repair()
 	k.silence()
 	k.reset()
 }
--- a/soak/soaker/reload.go
+++ b/soak/soaker/reload.go
@@ -12,96 +12,96 @@
 	"github.com/oriolecroft/oriolecroft/soak/auditor"
 )
 
-// What a process's log says of settings that were read again.
+// Parts of the log lines that a process writes after a reload of its settings.
 const (
 	settingsFaulty  = `"Settings not reloaded`
 	settingsRead    = `"Settings read again"`
 	settingsChanged = `"changed":true`
 )
 
-// rereadWithin is how long a process may take to read its settings again, and lookEvery how
-// often its log is looked at meanwhile.
+// reloadTimeout is how long a process may take to reload its settings, and logPollInterval the interval
+// at which its log is read meanwhile.
 const (
-	rereadWithin = time.Second
-	lookEvery    = 20 * time.Millisecond
+	reloadTimeout   = time.Second
+	logPollInterval = 20 * time.Millisecond
 )
 
-// reload changes the settings file, or spoils it for a moment, or leaves it, has the
-// process read it again, and tells the auditor what its log says of that.
+// reload changes the settings file, corrupts it for a moment or leaves it as it is, makes the process
+// reload it, and reports the logged result to the auditor.
 func (p *process) reload(amount int) {
-	p.rereading.Lock()
-	defer p.rereading.Unlock()
+	p.reloading.Lock()
+	defer p.reloading.Unlock()
 	before, err := os.ReadFile(p.settings)
 	if err != nil {
-		p.note(auditor.Exited{Who: p.name, Alone: true})
+		p.observe(auditor.Exited{Who: p.name, Alone: true})
 		return
 	}
 	text, kept := string(before), string(before)
 	switch amount % 3 {
 	case 1:
-		// The file tells another link's rate, which holds from the next start on.
+		// The file sets another link rate, which takes effect at the next start.
 		text = standin.ChangeLinkRate(text, standin.LinkRate-float64(amount))
 		kept = text
 	case 2:
 		text = standin.CorruptSettings(text)
 	}
-	wanted := auditor.Reread{Who: p.name, Faulty: text != kept, Changed: text == kept && text != p.startedOn}
-	said := p.reread(text)
+	wanted := auditor.ReloadResult{Who: p.name, Faulty: text != kept, Changed: text == kept && text != p.startSettings}
+	logged := p.signalReload(text)
 	if err := os.WriteFile(p.settings, []byte(kept), 0o600); err != nil {
-		said.Lost = true
+		logged.Lost = true
 	}
-	p.note(auditor.Reloaded{Wanted: wanted, Said: said})
+	p.observe(auditor.Reloaded{Wanted: wanted, Said: logged})
 }
 
-// reread gives the process other settings and waits for what its log says of them.
-func (p *process) reread(text string) auditor.Reread {
-	said := auditor.Reread{Who: p.name}
+// signalReload gives the process other settings and waits for the result in its log.
+func (p *process) signalReload(text string) auditor.ReloadResult {
+	logged := auditor.ReloadResult{Who: p.name}
 	if !p.awaitFirstLine() {
-		said.Lost = true
-		return said
+		logged.Lost = true
+		return logged
 	}
 	if err := os.WriteFile(p.settings, []byte(text), 0o600); err != nil {
-		said.Lost = true
-		return said
+		logged.Lost = true
+		return logged
 	}
-	from := p.logged()
+	from := p.logLength()
 	p.mu.Lock()
-	p.note(auditor.HungUp{Entry: p.name})
+	p.observe(auditor.ReloadRequested{Entry: p.name})
 	p.signal(syscall.SIGHUP)
 	p.mu.Unlock()
-	// Counted in looks, as a stall of the soak itself would else end the wait without any.
-	for range rereadWithin / lookEvery {
-		time.Sleep(lookEvery)
+	// Count reads instead of time, as a stall of the soak itself could end the wait without any read.
+	for range reloadTimeout / logPollInterval {
+		time.Sleep(logPollInterval)
 		for line := range strings.Lines(p.loggedSince(from)) {
 			switch {
 			case !strings.HasSuffix(line, "\n"):
 			case strings.Contains(line, settingsFaulty):
-				said.Faulty = true
-				return said
+				logged.Faulty = true
+				return logged
 			case strings.Contains(line, settingsRead):
-				said.Changed = strings.Contains(line, settingsChanged)
-				return said
+				logged.Changed = strings.Contains(line, settingsChanged)
+				return logged
 			}
 		}
 	}
-	said.Lost = true
-	return said
+	logged.Lost = true
+	return logged
 }
 
-// awaitFirstLine waits for a process that starts. Before it has run its first line, any hangup ends it, and it may
-// still read the settings file, which is to be faulty.
+// awaitFirstLine waits for a starting process to log. Before its first line, a SIGHUP ends it, and it
+// may still read the settings file, which could be faulty.
 func (p *process) awaitFirstLine() bool {
-	for range rereadWithin / lookEvery {
-		if p.logged() > p.loggedBefore {
+	for range reloadTimeout / logPollInterval {
+		if p.logLength() > p.logLengthAtStart {
 			return true
 		}
-		time.Sleep(lookEvery)
+		time.Sleep(logPollInterval)
 	}
 	return false
 }
 
-// logged is how long the process's log is.
-func (p *process) logged() int64 {
+// logLength returns the length of the process's log.
+func (p *process) logLength() int64 {
 	info, err := os.Stat(p.log)
 	if err != nil {
 		return 0
@@ -109,8 +109,8 @@
 	return info.Size()
 }
 
-// loggedSince is what the process logged from some byte on. A log that can't be read shows
-// as one without the line that is looked for.
+// loggedSince returns what the process logged after an offset. An unreadable log counts as one without
+// the expected line.
 func (p *process) loggedSince(from int64) string {
 	f, err := os.Open(p.log)
 	if err != nil {
