--- a/internal/relayer/engine.go
+++ b/internal/relayer/engine.go
@@ -198,7 +198,7 @@
 }
 
 // askTimeSpent reports whether a request should be refused rather than ask further engines. Agents that are dead
-// or behind a congested link each take AskTimeout; waiting for several of them in turn only delays the refusal.
+// or behind a congested link each take ReserveTimeout; waiting for several of them in turn only delays the refusal.
 func (p *Placer) askTimeSpent(j *Job, start time.Time) bool {
 	limit := time.Duration(askTimeShare * float64(j.Route.Objective))
 	return limit > 0 && p.Clock.Since(start) > max(limit, minAskTime)
--- a/internal/relayer/memory.go
+++ b/internal/relayer/memory.go
@@ -170,7 +170,7 @@
 
 func (x *exchange) releaseMemory() { x.account.release(x.retainedBytes.Swap(0)) }
 
-// readReplyStart reads a plain reply whole, or its start if it is longer than bufferedReply or than
+// readReplyStart reads a plain reply whole, or its start if it is longer than maxBufferedReply or than
 // the available memory.
 func (x *exchange) readReplyStart(body *bodyreader.Reader) (start []byte, ended bool, err error) {
 	start = make([]byte, 0, uncountedReply)
--- a/internal/relayer/move.go
+++ b/internal/relayer/move.go
@@ -112,7 +112,7 @@
 }
 
 // eventInterval predicts the time per event of the present reply, whose events took this long so
-// far. The agent's prediction has the weight of PaceSpan of observed events, as the pace varies too
+// far. The agent's prediction has the weight of PaceValidity of observed events, as the pace varies too
 // much for shorter observation to predict the rest.
 func (l *Relayer) eventInterval(j *Job, place *Placement, elapsed time.Duration) time.Duration {
 	events := float64(j.events - 1)
--- a/internal/relayer/reception.go
+++ b/internal/relayer/reception.go
@@ -155,7 +155,7 @@
 	}
 }
 
-// receivePlain reads a plain reply whole, or a long one up to bufferedReply.
+// receivePlain reads a plain reply whole, or a long one up to maxBufferedReply.
 func (r *reception) receivePlain(ctx context.Context, x *exchange) (*receivedReply, error) {
 	x.onStart()
 	r.setGap(x, 0)
--- a/internal/relayer/stall.go
+++ b/internal/relayer/stall.go
@@ -15,7 +15,7 @@
 	stallCheckInterval = 200 * time.Millisecond
 )
 
-// Read reads from the upstream. When nothing arrives until the read deadline, stalled decides whether to read on;
+// Read reads from the upstream. When nothing arrives until the read deadline, keepReading decides whether to read on;
 // nil gives up.
 func (c *connection) Read(b []byte) (int, error) {
 	for {
--- a/internal/syncer/fallback.go
+++ b/internal/syncer/fallback.go
@@ -14,7 +14,7 @@
 // same time. If all processes read the store then, each would receive the next route table, the
 // link to the region would be saturated, and no table would arrive in time. So the entries of a
 // region fall back one after the other, by rank, and agents after them; later ones wait for what
-// those ahead read. The delays end before registrar's triesApart: after a later first call to the
+// those ahead read. The delays end before registrar's maxCallGap: after a later first call to the
 // store, a process can't distinguish an outage from its own suspension.
 const (
 	// entryFallbackStep is the additional age per entry ahead, up to maxEntryFallbackDelay.
