--- a/proofs/bookings_test.go
+++ b/proofs/bookings_test.go
@@ -11,91 +11,91 @@
 	"github.com/shoenig/test/must"
 )
 
-// bookingTries is how often a caller tries a booking of unknown fate.
-const bookingTries = 6
+// maxBookingTries is how often a caller tries a booking whose fate is unknown.
+const maxBookingTries = 6
 
-// crossed is the fate of a booking whose caller got the answer to another one.
-const crossed = "crossed"
+// outcomeCrossed is the fate of a booking whose caller got the answer to another booking.
+const outcomeCrossed = "crossed"
 
-// keyKind says where a booking's key comes from.
-type keyKind struct {
+// keySource describes where the key of a booking comes from.
+type keySource struct {
 	name   string
 	header string
-	// make gives the key for a booking; empty when there is none now.
-	make func(ctx context.Context, at netip.AddrPort, booking string) string
+	// newKey returns the key for a booking, or "" if none is available.
+	newKey func(ctx context.Context, addr netip.AddrPort, booking string) string
 }
 
-// minted keys are made by an entry, ownKeys by the caller.
+// entryKeys are issued by an entry, callerKeys are made by the caller.
 var (
-	minted = keyKind{"minted", "Oriolecroft-Key", func(ctx context.Context, at netip.AddrPort, _ string) string {
-		return mint(ctx, at)
+	entryKeys = keySource{"minted", "Oriolecroft-Key", func(ctx context.Context, addr netip.AddrPort, _ string) string {
+		return fetchKey(ctx, addr)
 	}}
-	ownKeys = keyKind{"own", "Idempotency-Key", func(_ context.Context, _ netip.AddrPort, booking string) string {
+	callerKeys = keySource{"own", "Idempotency-Key", func(_ context.Context, _ netip.AddrPort, booking string) string {
 		return "key-of-" + booking
 	}}
 )
 
-// bookings are callers that book until they are stopped, each booking with one
-// key and through one entry after the other until its fate is known.
+// bookings runs callers that make bookings until they are stopped. Each booking is
+// tried with one key through one entry after the other until its fate is known.
 type bookings struct {
 	deployment *deployment
-	kind       keyKind
+	source     keySource
 	cancel     context.CancelFunc
 	group      sync.WaitGroup
 
 	mu    sync.Mutex
 	fates map[string]string
-	// keys are those of the bookings, by name.
+	// keys holds the key of each booking, by name.
 	keys map[string]string
 }
 
-func startBookings(t *testing.T, callers int, d *deployment, kind keyKind) *bookings {
+func startBookings(t *testing.T, callers int, d *deployment, kind keySource) *bookings {
 	ctx, cancel := context.WithCancel(t.Context())
-	b := &bookings{deployment: d, kind: kind, cancel: cancel, fates: map[string]string{}, keys: map[string]string{}}
+	b := &bookings{deployment: d, source: kind, cancel: cancel, fates: map[string]string{}, keys: map[string]string{}}
 	for i := range callers {
-		b.group.Go(func() { b.run(ctx, i) })
+		b.group.Go(func() { b.bookRepeatedly(ctx, i) })
 	}
 	t.Cleanup(b.stop)
 	return b
 }
 
-func (b *bookings) run(ctx context.Context, caller int) {
-	pause := time.NewTicker(betweenRefusals)
+func (b *bookings) bookRepeatedly(ctx context.Context, caller int) {
+	pause := time.NewTicker(refusalPause)
 	defer pause.Stop()
 	for n := 0; ctx.Err() == nil; n++ {
-		name := fmt.Sprintf("%s-%d-%d", b.kind.name, caller, n)
-		// A booking that was begun is followed to its end.
+		name := fmt.Sprintf("%s-%d-%d", b.source.name, caller, n)
+		// A booking that was started is followed to its end.
 		key, fate := b.book(context.WithoutCancel(ctx), name, caller+n, pause.C)
 		b.mu.Lock()
 		b.keys[name], b.fates[name] = key, fate
 		b.mu.Unlock()
-		if fate != ran {
+		if fate != outcomeRan {
 			<-pause.C
 		}
 	}
 }
 
-// book tries one booking and gives its key and the last word on it.
-func (b *bookings) book(ctx context.Context, name string, first int, pause <-chan time.Time) (key, fate string) {
-	entries := b.deployment.callers()
-	fate = notRun
-	for try := range bookingTries {
-		at := entries[(first+try)%len(entries)]
+// book tries one booking and returns its key and its last known fate.
+func (b *bookings) book(ctx context.Context, name string, offset int, pause <-chan time.Time) (key, fate string) {
+	entries := b.deployment.callerAddresses()
+	fate = outcomeNotRun
+	for try := range maxBookingTries {
+		addr := entries[(offset+try)%len(entries)]
 		if key == "" {
-			key = b.kind.make(ctx, at, name)
+			key = b.source.newKey(ctx, addr, name)
 		}
 		if key == "" {
 			<-pause
 			continue
 		}
-		r := book(ctx, at, b.kind.header, key, name)
-		if r.outcome == ran && r.name != name {
-			return key, crossed
+		r := book(ctx, addr, b.source.header, key, name)
+		if r.outcome == outcomeRan && r.name != name {
+			return key, outcomeCrossed
 		}
-		if r.outcome != unsent {
+		if r.outcome != outcomeUnsent {
 			fate = r.outcome
 		}
-		if fate == ran || fate == notRun && r.outcome != unsent {
+		if fate == outcomeRan || fate == outcomeNotRun && r.outcome != outcomeUnsent {
 			return key, fate
 		}
 		<-pause
@@ -103,17 +103,17 @@
 	return key, fate
 }
 
-// stop ends the callers once they have the last word on their bookings.
+// stop ends the callers once the fates of their bookings are settled.
 func (b *bookings) stop() {
 	b.cancel()
 	b.group.Wait()
 }
 
-// done is how many bookings were confirmed so far.
-func (b *bookings) done() int { return b.count(ran) }
+// confirmed returns the number of bookings confirmed so far.
+func (b *bookings) confirmed() int { return b.countFate(outcomeRan) }
 
-// count is how many bookings had a fate so far.
-func (b *bookings) count(fate string) int {
+// countFate returns the number of bookings with the given fate so far.
+func (b *bookings) countFate(fate string) int {
 	b.mu.Lock()
 	defer b.mu.Unlock()
 	n := 0
@@ -125,38 +125,38 @@
 	return n
 }
 
-// moves waits for a number of further confirmed bookings.
-func (b *bookings) moves(t *testing.T, further int) {
+// awaitConfirmed waits until the given number of further bookings is confirmed.
+func (b *bookings) awaitConfirmed(t *testing.T, further int) {
 	t.Helper()
-	target := b.done() + further
-	eventually(t, patience, fmt.Sprintf("%d more bookings", further), func() bool { return b.done() >= target })
+	target := b.confirmed() + further
+	eventually(t, waitTimeout, fmt.Sprintf("%d more bookings", further), func() bool { return b.confirmed() >= target })
 }
 
-// mustBeTrue compares what callers were told with what the services did. Of those
-// whose fate is unknown the system is asked once more, by their keys.
-func (b *bookings) mustBeTrue(t *testing.T) {
+// mustMatchRuns compares the outcomes that callers received with the runs at the
+// services. Unknown fates are first queried once more by key.
+func (b *bookings) mustMatchRuns(t *testing.T) {
 	t.Helper()
-	must.Positive(t, b.done())
-	at := b.deployment.callers()[len(b.deployment.entries)-1]
-	for name, word := range b.fates {
-		if word == unknown {
-			b.fates[name] = fate(t.Context(), at, b.keys[name])
+	must.Positive(t, b.confirmed())
+	addr := b.deployment.callerAddresses()[len(b.deployment.entries)-1]
+	for name, fate := range b.fates {
+		if fate == outcomeUnknown {
+			b.fates[name] = fetchFate(t.Context(), addr, b.keys[name])
 		}
 	}
-	runs := b.deployment.runs()
-	for name, word := range b.fates {
-		mustMatch(t, name, word, runs[name])
+	runs := b.deployment.bookingRuns()
+	for name, fate := range b.fates {
+		mustMatchRunCount(t, name, fate, runs[name])
 	}
 }
 
-// mustMatch compares the word on one booking with how often it ran.
-func mustMatch(t *testing.T, name, word string, runs int64) {
+// mustMatchRunCount compares the fate of one booking with how often it ran.
+func mustMatchRunCount(t *testing.T, name, fate string, runs int64) {
 	t.Helper()
 	must.LessEq(t, 1, runs, must.Sprintf("booking %s ran twice", name))
-	switch word {
-	case ran:
-		must.Eq(t, 1, runs, must.Sprintf("booking %s was confirmed and has not run", name))
-	case notRun:
-		must.Zero(t, runs, must.Sprintf("booking %s was called not run and ran", name))
+	switch fate {
+	case outcomeRan:
+		must.Eq(t, 1, runs, must.Sprintf("booking %s was confirmed but has not run", name))
+	case outcomeNotRun:
+		must.Zero(t, runs, must.Sprintf("booking %s was reported as not run but ran", name))
 	}
 }
--- a/proofs/caller_test.go
+++ b/proofs/caller_test.go
@@ -24,31 +24,31 @@
 	"github.com/oriolecroft/oriolecroft/standins/imitator"
 )
 
-// The words of the system on whether a request ran, and ours for one that left
-// for no entry.
+// Outcomes as the system reports them, and outcomeUnsent for a request that reached
+// no entry.
 const (
-	ran     = "ran"
-	notRun  = "notRun"
-	unknown = "unknown"
-	unsent  = "unsent"
+	outcomeRan     = "ran"
+	outcomeNotRun  = "notRun"
+	outcomeUnknown = "unknown"
+	outcomeUnsent  = "unsent"
 )
 
 const (
-	headerOutcome     = "Oriolecroft-Outcome"
-	headerKeyClosed   = "Oriolecroft-Key-Closed"
-	headerReplayed    = "Oriolecroft-Replayed"
-	tokensOfRequest   = 20
-	callTimeout       = 20 * time.Second
-	bookingDeadline   = 2 * time.Second
-	betweenRefusals   = 20 * time.Millisecond
-	connectionsOfEach = 64
+	headerOutcome       = "Oriolecroft-Outcome"
+	headerKeyClosed     = "Oriolecroft-Key-Closed"
+	headerReplayed      = "Oriolecroft-Replayed"
+	defaultMaxTokens    = 20
+	callTimeout         = 20 * time.Second
+	bookingDeadline     = 2 * time.Second
+	refusalPause        = 20 * time.Millisecond
+	maxIdleConnsPerHost = 64
 )
 
-// client keeps connections as callers do.
-var client = &http.Client{Transport: &http.Transport{MaxIdleConnsPerHost: connectionsOfEach}}
+// client keeps connections open for reuse, as callers do.
+var client = &http.Client{Transport: &http.Transport{MaxIdleConnsPerHost: maxIdleConnsPerHost}}
 
-// question is a request to a model.
-type question struct {
+// modelRequest is a request to a model.
+type modelRequest struct {
 	Workspace string `json:"workspace"`
 	Model     string `json:"model"`
 	Prompt    string `json:"prompt"`
@@ -56,36 +56,36 @@
 	RequestID string `json:"requestId,omitempty"`
 }
 
-// answer is what a caller has of a request to a model in the end.
+// answer holds everything that a caller received for a request to a model.
 type answer struct {
-	question question
-	events   []imitator.Event
-	// whole is set once the end mark came.
-	whole bool
-	// outcome is the system's word if the answer is not whole; empty when it
-	// ended without one.
+	request modelRequest
+	events  []imitator.Event
+	// complete is set once the end mark has arrived.
+	complete bool
+	// outcome is the reported outcome of an incomplete answer, empty if the answer ended
+	// without one.
 	outcome string
 	message string
-	begun   time.Time
+	started time.Time
 }
 
-// ask sends one request and reads its answer to the end. Each event is handed to
-// watch as it comes, unless that is nil. The caller leaves once nothing has come for
-// callTimeout: a long answer may take longer as a whole on a busy machine.
-func ask(ctx context.Context, at netip.AddrPort, q question, watch func(imitator.Event)) answer {
+// generate sends one request and reads its answer to the end. Each event is passed to
+// watch as it arrives, unless watch is nil. The caller gives up once nothing has arrived
+// for callTimeout: a long answer may take longer as a whole on a busy machine.
+func generate(ctx context.Context, addr netip.AddrPort, q modelRequest, watch func(imitator.Event)) answer {
 	ctx, cancel := context.WithCancel(ctx)
 	defer cancel()
-	silence := time.AfterFunc(callTimeout, cancel)
-	defer silence.Stop()
+	idleTimer := time.AfterFunc(callTimeout, cancel)
+	defer idleTimer.Stop()
 	q.Workspace, q.Model = workspace, model
 	if q.MaxTokens == 0 {
-		q.MaxTokens = tokensOfRequest
+		q.MaxTokens = defaultMaxTokens
 	}
-	a := answer{question: q, begun: time.Now()}
+	a := answer{request: q, started: time.Now()}
 	body, _ := json.Marshal(q)
-	res, err := send(ctx, at, "/v1/generate", nil, body)
+	res, err := send(ctx, addr, "/v1/generate", nil, body)
 	if err != nil {
-		a.outcome, a.message = outcomeOf(err), err.Error()
+		a.outcome, a.message = outcomeOfError(err), err.Error()
 		return a
 	}
 	defer res.Body.Close()
@@ -95,7 +95,7 @@
 		return a
 	}
 	a.read(bufio.NewScanner(res.Body), func(e imitator.Event) {
-		silence.Reset(callTimeout)
+		idleTimer.Reset(callTimeout)
 		if watch != nil {
 			watch(e)
 		}
@@ -127,64 +127,64 @@
 		a.events = append(a.events, v.Event)
 		watch(v.Event)
 		if v.Done {
-			a.whole = true
+			a.complete = true
 			return
 		}
 	}
-	a.message = fmt.Sprintf("ended without an end mark: %v", lines.Err())
+	a.message = fmt.Sprintf("answer ended without an end mark: %v", lines.Err())
 }
 
-// fault says what is wrong with an answer; empty when nothing is. Of an answer
-// that is not whole its part counts too: a caller has read it already.
-func (a answer) fault(weights map[string]string) string {
-	if !a.whole && a.outcome == "" {
+// defect describes what is wrong with an answer, or returns "" if nothing is. The part
+// received of an incomplete answer is checked too: the caller has read it already.
+func (a answer) defect(weights map[string]string) string {
+	if !a.complete && a.outcome == "" {
 		return "cut: " + a.message
 	}
-	if a.outcome == notRun && len(a.events) > 0 {
-		return "has tokens but was called not run"
+	if a.outcome == outcomeNotRun && len(a.events) > 0 {
+		return "has tokens but was reported as not run"
 	}
 	var tokens []string
 	for i, v := range a.events {
 		first := a.events[0]
 		switch {
 		case weights[v.Version] != v.Weights:
-			return fmt.Sprintf("event %d is of weights %s, which are not those of %s", i, v.Weights, v.Version)
+			return fmt.Sprintf("event %d is from weights %s, which are not those of %s", i, v.Weights, v.Version)
 		case v.Weights != first.Weights || v.Version != first.Version:
-			return fmt.Sprintf("event %d is of %s after %s", i, v.Version, first.Version)
+			return fmt.Sprintf("event %d is from %s after %s", i, v.Version, first.Version)
 		case v.Done:
-			return a.faultOfEnd(v, tokens)
-		case v.Index != i || v.Token != tokenOf(a.question.Prompt, v):
-			return fmt.Sprintf("event %d is token %d, %q of another prompt", i, v.Index, v.Token)
+			return a.endDefect(v, tokens)
+		case v.Index != i || v.Token != expectedToken(a.request.Prompt, v):
+			return fmt.Sprintf("event %d is token %d, %q, of another prompt", i, v.Index, v.Token)
 		}
 		tokens = append(tokens, v.Token)
 	}
 	return ""
 }
 
-func (a answer) faultOfEnd(end imitator.Event, tokens []string) string {
+func (a answer) endDefect(end imitator.Event, tokens []string) string {
 	sum := sha256.Sum256([]byte(strings.Join(tokens, " ")))
 	switch {
-	case len(tokens) != a.question.MaxTokens || end.Tokens != len(tokens):
-		return fmt.Sprintf("has %d tokens of %d", len(tokens), a.question.MaxTokens)
+	case len(tokens) != a.request.MaxTokens || end.Tokens != len(tokens):
+		return fmt.Sprintf("has %d of %d tokens", len(tokens), a.request.MaxTokens)
 	case end.Digest != "sha256:"+hex.EncodeToString(sum[:]):
-		return "has another digest than its tokens"
+		return "digest does not match its tokens"
 	}
 	return ""
 }
 
-// tokenOf is the only token that the stand-in engine can have made for this
+// expectedToken returns the only token that the stand-in engine can produce for this
 // prompt at this index from these weights.
-func tokenOf(prompt string, v imitator.Event) string {
+func expectedToken(prompt string, v imitator.Event) string {
 	sum := sha256.Sum256(fmt.Appendf(nil, "%q %d %s %s", prompt, v.Index, v.Weights, v.AdapterWeights))
 	return hex.EncodeToString(sum[:4])
 }
 
-func send(ctx context.Context, at netip.AddrPort, path string, h http.Header, body []byte) (*http.Response, error) {
-	r, err := http.NewRequestWithContext(ctx, http.MethodPost, "http://"+at.String()+path, bytes.NewReader(body))
+func send(ctx context.Context, addr netip.AddrPort, path string, h http.Header, body []byte) (*http.Response, error) {
+	r, err := http.NewRequestWithContext(ctx, http.MethodPost, "http://"+addr.String()+path, bytes.NewReader(body))
 	if err != nil {
 		return nil, err
 	}
-	// Without a way to read the body again the library never repeats a request.
+	// Without GetBody the HTTP client can't read the body again and never repeats a request.
 	r.GetBody = nil
 	for name, values := range h {
 		r.Header[name] = values
@@ -192,79 +192,79 @@
 	return client.Do(r)
 }
 
-// outcomeOf is a caller's own word on a request without any answer.
-func outcomeOf(err error) string {
+// outcomeOfError returns the outcome of a request that got no answer.
+func outcomeOfError(err error) string {
 	var o *net.OpError
 	if errors.As(err, &o) && o.Op == "dial" {
-		return unsent
+		return outcomeUnsent
 	}
-	return unknown
+	return outcomeUnknown
 }
 
-// traffic is callers that ask without a pause until they are stopped.
+// traffic runs callers that send requests continuously until they are stopped.
 type traffic struct {
 	cancel context.CancelFunc
 	group  sync.WaitGroup
 
-	// tokens is the length of the replies asked for; 0 means a short one.
+	// tokens is the length of the requested replies, 0 for the default.
 	tokens int
 
-	mu      sync.Mutex
-	answers []answer
-	number  int
+	mu       sync.Mutex
+	answers  []answer
+	requests int
 }
 
-// startTraffic has a number of callers ask where pick says.
-func startTraffic(t *testing.T, callers int, pick picker) *traffic {
+// startTraffic starts callers that send requests to the entries chosen by pick.
+func startTraffic(t *testing.T, callers int, pick entryPicker) *traffic {
 	return startLongTraffic(t, callers, 0, pick)
 }
 
-// startLongTraffic asks for replies of so many tokens.
-func startLongTraffic(t *testing.T, callers, tokens int, pick picker) *traffic {
+// startLongTraffic is startTraffic with replies of the given number of tokens.
+func startLongTraffic(t *testing.T, callers, tokens int, pick entryPicker) *traffic {
 	ctx, cancel := context.WithCancel(t.Context())
 	f := &traffic{cancel: cancel, tokens: tokens}
 	for i := range callers {
-		f.group.Go(func() { f.run(ctx, i, pick) })
+		f.group.Go(func() { f.requestRepeatedly(ctx, i, pick) })
 	}
 	t.Cleanup(f.stop)
 	return f
 }
 
-// picker gives the entry for a caller's request with the given number.
-type picker func(caller, request int) netip.AddrPort
+// entryPicker returns the entry for a caller's request with the given number.
+type entryPicker func(caller, request int) netip.AddrPort
 
-// inTurn picks one entry after the other.
-func inTurn(entries []netip.AddrPort) picker {
+// roundRobin picks one entry after the other.
+func roundRobin(entries []netip.AddrPort) entryPicker {
 	return func(caller, request int) netip.AddrPort { return entries[(caller+request)%len(entries)] }
 }
 
-func (f *traffic) run(ctx context.Context, caller int, pick picker) {
-	pause := time.NewTicker(betweenRefusals)
+func (f *traffic) requestRepeatedly(ctx context.Context, caller int, pick entryPicker) {
+	pause := time.NewTicker(refusalPause)
 	defer pause.Stop()
 	for n := 0; ctx.Err() == nil; n++ {
-		// A caller's last request is read to its end.
-		a := ask(context.WithoutCancel(ctx), pick(caller, n), f.question(caller), nil)
-		f.note(a)
-		if !a.whole {
+		// A caller's last answer is read to its end.
+		a := generate(context.WithoutCancel(ctx), pick(caller, n), f.nextRequest(caller), nil)
+		f.record(a)
+		if !a.complete {
 			<-pause.C
 		}
 	}
 }
 
-// question makes a prompt that no other request has. All have the same request
-// id, as callers may give one twice.
-func (f *traffic) question(caller int) question {
+// nextRequest returns a request with a unique prompt. All requests have the same
+// request id, as callers may use one twice.
+func (f *traffic) nextRequest(caller int) modelRequest {
 	f.mu.Lock()
 	defer f.mu.Unlock()
-	f.number++
-	return question{
-		Prompt:    fmt.Sprintf("Caller %d drafts roster %d.", caller, f.number),
+	f.requests++
+	return modelRequest{
+		Prompt:    fmt.Sprintf("Caller %d drafts roster %d.", caller, f.requests),
 		MaxTokens: f.tokens,
 		RequestID: "roster",
 	}
 }
 
-func (f *traffic) note(a answer) {
+func (f *traffic) record(a answer) {
 	f.mu.Lock()
 	defer f.mu.Unlock()
 	f.answers = append(f.answers, a)
@@ -276,41 +276,41 @@
 	f.group.Wait()
 }
 
-// whole is how many answers were whole so far.
-func (f *traffic) whole() int { return f.count(func(a answer) bool { return a.whole }) }
+// completeAnswers returns the number of complete answers so far.
+func (f *traffic) completeAnswers() int { return f.count(func(a answer) bool { return a.complete }) }
 
-func (f *traffic) count(which func(a answer) bool) int {
+func (f *traffic) count(match func(a answer) bool) int {
 	f.mu.Lock()
 	defer f.mu.Unlock()
 	n := 0
 	for _, a := range f.answers {
-		if which(a) {
+		if match(a) {
 			n++
 		}
 	}
 	return n
 }
 
-// moves waits for a number of further whole answers.
-func (f *traffic) moves(t *testing.T, further int) {
+// awaitComplete waits until the given number of further answers is complete.
+func (f *traffic) awaitComplete(t *testing.T, further int) {
 	t.Helper()
-	target := f.whole() + further
-	eventually(t, patience, fmt.Sprintf("%d more whole answers", further), func() bool { return f.whole() >= target })
+	target := f.completeAnswers() + further
+	eventually(t, waitTimeout, fmt.Sprintf("%d more complete answers", further), func() bool { return f.completeAnswers() >= target })
 }
 
-// mustBeHonest checks that no answer has a fault.
-func (f *traffic) mustBeHonest(t *testing.T, weights map[string]string) {
+// mustHaveNoDefects checks that no answer has a defect.
+func (f *traffic) mustHaveNoDefects(t *testing.T, weights map[string]string) {
 	t.Helper()
 	f.mu.Lock()
 	defer f.mu.Unlock()
 	must.Positive(t, len(f.answers))
 	for _, a := range f.answers {
-		must.Eq(t, "", a.fault(weights), must.Sprintf("answer to %q", a.question.Prompt))
+		must.Eq(t, "", a.defect(weights), must.Sprintf("answer to %q", a.request.Prompt))
 	}
 }
 
-// booked is what a caller knows after one try of a booking.
-type booked struct {
+// bookingResult is the result of one try of a booking as its caller sees it.
+type bookingResult struct {
 	outcome  string
 	status   int
 	name     string
@@ -319,9 +319,9 @@
 	message  string
 }
 
-// book tries a booking once. The key is one that an entry made if header is
-// Oriolecroft-Key, and the caller's own if it is Idempotency-Key.
-func book(ctx context.Context, at netip.AddrPort, header, key, name string) booked {
+// book tries a booking once. The key was issued by an entry if header is
+// Oriolecroft-Key, and made by the caller if it is Idempotency-Key.
+func book(ctx context.Context, addr netip.AddrPort, header, key, name string) bookingResult {
 	ctx, cancel := context.WithTimeout(ctx, callTimeout)
 	defer cancel()
 	h := http.Header{}
@@ -332,12 +332,12 @@
 	if key != "" {
 		h.Set(header, key)
 	}
-	res, err := send(ctx, at, "/v1/services/"+service+"/slots", h, []byte(`{"slot":"`+name+`"}`))
+	res, err := send(ctx, addr, "/v1/services/"+service+"/slots", h, []byte(`{"slot":"`+name+`"}`))
 	if err != nil {
-		return booked{outcome: outcomeOf(err), message: err.Error()}
+		return bookingResult{outcome: outcomeOfError(err), message: err.Error()}
 	}
 	defer res.Body.Close()
-	b := booked{
+	b := bookingResult{
 		status:   res.StatusCode,
 		outcome:  res.Header.Get(headerOutcome),
 		replayed: res.Header.Get(headerReplayed) != "",
@@ -348,24 +348,24 @@
 		Error   string `json:"error"`
 	}
 	if err := json.NewDecoder(res.Body).Decode(&reply); err != nil {
-		return booked{outcome: unknown, message: err.Error()}
+		return bookingResult{outcome: outcomeUnknown, message: err.Error()}
 	}
 	b.name, b.message = reply.Booking, reply.Error
 	if res.StatusCode == http.StatusOK {
-		b.outcome = ran
+		b.outcome = outcomeRan
 	}
 	return b
 }
 
-// mint gets a key from an entry; it is empty when the entry gives none.
-func mint(ctx context.Context, at netip.AddrPort) string {
+// fetchKey gets a key from an entry. It returns "" if the entry issues none.
+func fetchKey(ctx context.Context, addr netip.AddrPort) string {
 	ctx, cancel := context.WithTimeout(ctx, callTimeout)
 	defer cancel()
 	body, _ := json.Marshal(struct {
 		Workspace string `json:"workspace"`
 		Service   string `json:"service"`
 	}{workspace, service})
-	res, err := send(ctx, at, "/v1/keys", nil, body)
+	res, err := send(ctx, addr, "/v1/keys", nil, body)
 	if err != nil {
 		return ""
 	}
@@ -379,12 +379,12 @@
 	return reply.Key
 }
 
-// fate asks what became of a key; empty when the entry can not tell now.
-func fate(ctx context.Context, at netip.AddrPort, key string) string {
+// fetchFate asks an entry for the fate of a key. It returns "" if the entry doesn't answer.
+func fetchFate(ctx context.Context, addr netip.AddrPort, key string) string {
 	ctx, cancel := context.WithTimeout(ctx, callTimeout)
 	defer cancel()
 	q := url.Values{"workspace": {workspace}, "service": {service}}
-	r, err := http.NewRequestWithContext(ctx, http.MethodGet, "http://"+at.String()+"/v1/keys/"+url.PathEscape(key)+"?"+q.Encode(), nil)
+	r, err := http.NewRequestWithContext(ctx, http.MethodGet, "http://"+addr.String()+"/v1/keys/"+url.PathEscape(key)+"?"+q.Encode(), nil)
 	if err != nil {
 		return ""
 	}
--- a/proofs/deployment_test.go
+++ b/proofs/deployment_test.go
@@ -31,14 +31,14 @@
 	model     = "rota"
 	service   = "bookings"
 
-	// freshFor and keepFor are the daemons' settings, heartbeat is shorter than
-	// the default so that a deployment stands sooner.
+	// freshFor and keepFor are settings of the daemons, heartbeat is shorter than the
+	// default so that a deployment is ready sooner.
 	freshFor  = 2500 * time.Millisecond
 	keepFor   = time.Second
 	heartbeat = 100 * time.Millisecond
-	// promptly is the brief's "a few seconds" after which a failure domain or
-	// an upstream that was taken out must get no new work.
-	promptly = 5 * time.Second
+	// reactionLimit is the brief's "a few seconds" after which a failure domain or an
+	// upstream that was taken out must get no new work.
+	reactionLimit = 5 * time.Second
 
 	weightBytes = 256 << 10
 	chunkBytes  = 32 << 10
@@ -46,35 +46,35 @@
 )
 
 // domains are the failure domains, each in the region before the dash. Entry i,
-// engine i and service i stand in number i, beginning anew after the last.
+// engine i and service i are in domain i modulo their number.
 var domains = []string{"huon-a", "derwent-a", "tamar-a"}
 
-// kind is what a process stands for.
-type kind string
+// processKind is the role of a process.
+type processKind string
 
 const (
-	kindEntry   kind = "entry"
-	kindEngine  kind = "engine"
-	kindService kind = "service"
+	kindEntry   processKind = "entry"
+	kindEngine  processKind = "engine"
+	kindService processKind = "service"
 )
 
-// shape is what a deployment consists of.
-type shape struct {
+// topology describes the parts of a deployment.
+type topology struct {
 	entries, engines, services int
-	// engine and service change stand-in i before it is used.
+	// engine and service modify stand-in i before it is used.
 	engine  func(i int, e *imitator.Engine)
 	service func(i int, s *imitator.Service)
-	// inside, if set, says which processes stand inside a partition; the other ones
+	// inside, if set, reports which processes are inside a partition. The other ones
 	// and the platform are outside.
-	inside func(k kind, i int) bool
+	inside func(k processKind, i int) bool
 }
 
-// standin is an outside system that runs in this process.
+// standin is an outside system that runs in the test process.
 type standin struct {
 	t       *testing.T
 	address netip.AddrPort
-	// starts counts its restarts.
-	starts *atomic.Int64
+	// restarts counts the restarts of the stand-in.
+	restarts *atomic.Int64
 }
 
 // vm is an agent with its upstream.
@@ -95,25 +95,25 @@
 	callers, peers, operators netip.AddrPort
 }
 
-// deployment is a whole system.
+// deployment is a complete system with the stand-ins around it.
 type deployment struct {
-	t                   *testing.T
-	host                netip.Addr
-	shape               shape
-	store, list, origin standin
-	partition           *partition
-	public, private     string
-	entries             []*entry
-	engines, services   []*vm
-	bundle              bundler.Bundle
-	// weights are the digests of all bytes by version.
+	t                     *testing.T
+	host                  netip.Addr
+	topology              topology
+	store, vmList, origin standin
+	partition             *partition
+	publicKey, privateKey string
+	entries               []*entry
+	engines, services     []*vm
+	bundle                bundler.Bundle
+	// weights holds the digest of all bytes of each version.
 	weights map[string]string
 	changes int
 }
 
 // deploy starts a deployment with the first bundle in force and all of its
 // upstreams ready.
-func deploy(t *testing.T, s shape) *deployment {
+func deploy(t *testing.T, s topology) *deployment {
 	t.Helper()
 	d := newDeployment(t, s)
 	for i := range s.entries {
@@ -136,17 +136,17 @@
 	return d
 }
 
-func newDeployment(t *testing.T, s shape) *deployment {
+func newDeployment(t *testing.T, s topology) *deployment {
 	t.Helper()
-	d := &deployment{t: t, host: host(), shape: s, weights: map[string]string{}}
-	d.store = d.serve((&imitator.KV{Seed: 1}).Handler())
-	d.list = d.serve((&imitator.List{Lag: listLag}).Handler())
-	d.origin = d.serve((&imitator.Origin{Seed: 1}).Handler())
+	d := &deployment{t: t, host: newHost(), topology: s, weights: map[string]string{}}
+	d.store = d.startStandin((&imitator.KV{Seed: 1}).Handler())
+	d.vmList = d.startStandin((&imitator.List{Lag: listLag}).Handler())
+	d.origin = d.startStandin((&imitator.Origin{Seed: 1}).Handler())
 	if s.inside != nil {
 		d.partition = &partition{t: t}
 	}
 	var err error
-	d.public, d.private, err = bundler.GenerateKey()
+	d.publicKey, d.privateKey, err = bundler.GenerateKey()
 	must.NoError(t, err)
 	for _, n := range domains {
 		region, _, _ := strings.Cut(n, "-")
@@ -166,63 +166,66 @@
 	return d
 }
 
-// startKey is where a connection's context has the start that it was made to.
-type startKey struct{}
+// restartCountKey is the context key for the restart count at the time a connection
+// was made.
+type restartCountKey struct{}
 
-// serve runs a stand-in until the test ends.
-func (d *deployment) serve(h http.Handler) standin {
+// startStandin runs a stand-in until the test ends.
+func (d *deployment) startStandin(h http.Handler) standin {
 	d.t.Helper()
 	l := listen(d.t, d.host)
-	in := standin{t: d.t, address: addressOf(l), starts: new(atomic.Int64)}
+	st := standin{t: d.t, address: addressOf(l), restarts: new(atomic.Int64)}
 	s := &http.Server{
-		Handler:           in.current(h),
+		Handler:           st.rejectOldConns(h),
 		ReadHeaderTimeout: time.Minute,
 		ConnContext: func(ctx context.Context, _ net.Conn) context.Context {
-			return context.WithValue(ctx, startKey{}, in.starts.Load())
+			return context.WithValue(ctx, restartCountKey{}, st.restarts.Load())
 		},
 	}
 	go func() { _ = s.Serve(l) }()
 	d.t.Cleanup(func() { s.Close() })
-	return in
+	return st
 }
 
-// current breaks connections that were made before a restart, as the end of a
-// process does: what had not been read from them must not run afterwards.
-func (s standin) current(h http.Handler) http.Handler {
+// rejectOldConns breaks connections that were made before a restart, as the end of a
+// process does: requests not yet read from them must not run afterwards.
+func (s standin) rejectOldConns(h http.Handler) http.Handler {
 	return http.HandlerFunc(func(w http.ResponseWriter, r *http.Request) {
-		if !strings.HasPrefix(r.URL.Path, "/admin") && r.Context().Value(startKey{}) != s.starts.Load() {
+		if !strings.HasPrefix(r.URL.Path, "/admin") && r.Context().Value(restartCountKey{}) != s.restarts.Load() {
 			panic(http.ErrAbortHandler)
 		}
 		h.ServeHTTP(w, r)
 	})
 }
 
-// restart ends a stand-in's connections and has it begin anew.
+// restart ends a stand-in's connections and resets it.
 func (s standin) restart() {
 	s.t.Helper()
-	s.starts.Add(1)
-	s.fault(faults{Restart: true})
+	s.restarts.Add(1)
+	s.injectFaults(faults{Restart: true})
 }
 
-// inside tells whether a process stands inside the partition.
-func (d *deployment) inside(k kind, i int) bool { return d.partition != nil && d.shape.inside(k, i) }
+// inside reports whether a process is inside the partition.
+func (d *deployment) inside(k processKind, i int) bool {
+	return d.partition != nil && d.topology.inside(k, i)
+}
 
-// reach is the address by which a process knows an outside system.
-func (d *deployment) reach(k kind, i int, to netip.AddrPort) netip.AddrPort {
+// addressFor returns the address at which a process reaches an outside system.
+func (d *deployment) addressFor(k processKind, i int, target netip.AddrPort) netip.AddrPort {
 	if d.inside(k, i) {
-		return d.partition.outgoing(to)
+		return d.partition.addOutgoing(target)
 	}
-	return to
+	return target
 }
 
-// place makes a way to a process of ours from the partition's other side.
-func (d *deployment) place(k kind, i int, a netip.AddrPort) {
+// addRelay adds a relay to a process from the partition's other side.
+func (d *deployment) addRelay(k processKind, i int, a netip.AddrPort) {
 	switch {
 	case d.partition == nil:
 	case d.inside(k, i):
-		d.partition.incoming(a)
+		d.partition.addIncoming(a)
 	default:
-		d.partition.outgoing(a)
+		d.partition.addOutgoing(a)
 	}
 }
 
@@ -231,40 +234,40 @@
 	e := &entry{
 		id:        string(kindEntry) + "-" + strconv.Itoa(i),
 		domain:    domains[i%len(domains)],
-		callers:   reserve(d.t, d.host),
-		peers:     reserve(d.t, d.host),
-		operators: reserve(d.t, d.host),
+		callers:   reserveAddress(d.t, d.host),
+		peers:     reserveAddress(d.t, d.host),
+		operators: reserveAddress(d.t, d.host),
 	}
 	e.process = &process{t: d.t, name: e.id}
 	d.entries = append(d.entries, e)
-	d.place(kindEntry, i, e.peers)
+	d.addRelay(kindEntry, i, e.peers)
 	e.args = append([]string{
 		"entry", "--id", e.id,
 		"--callers", e.callers.String(), "--peers", e.peers.String(), "--operators", e.operators.String(),
-		"--store", d.reach(kindEntry, i, d.store.address).String(), "--list", d.reach(kindEntry, i, d.list.address).String(),
-		"--entries", strconv.Itoa(d.shape.entries), "--keepFor", keepFor.String(),
-	}, d.common(i)...)
-	// Entries that were added before hear of this one from it.
-	e.args = append(e.args, "--seeds", d.seeds(kindEntry, i))
+		"--store", d.addressFor(kindEntry, i, d.store.address).String(), "--list", d.addressFor(kindEntry, i, d.vmList.address).String(),
+		"--entries", strconv.Itoa(d.topology.entries), "--keepFor", keepFor.String(),
+	}, d.commonArgs(i)...)
+	// Entries that were added earlier learn of this one when it contacts them.
+	e.args = append(e.args, "--seeds", d.seedAddresses(kindEntry, i))
 }
 
-// common are the flags that entries and agents share.
-func (d *deployment) common(i int) []string {
+// commonArgs returns the flags that entries and agents share.
+func (d *deployment) commonArgs(i int) []string {
 	domain := domains[i%len(domains)]
 	region, _, _ := strings.Cut(domain, "-")
 	return []string{
 		"--failureDomain", domain, "--region", region,
-		"--keys", d.public, "--freshFor", freshFor.String(), "--heartbeat", heartbeat.String(),
+		"--keys", d.publicKey, "--freshFor", freshFor.String(), "--heartbeat", heartbeat.String(),
 	}
 }
 
-// seeds are the peer addresses of the entries so far as a process knows them.
-func (d *deployment) seeds(k kind, i int) string {
+// seedAddresses returns the peer addresses of the entries so far, as seen by a process.
+func (d *deployment) seedAddresses(k processKind, i int) string {
 	var all []string
 	for n, e := range d.entries {
 		a := e.peers
 		if d.inside(k, i) != d.inside(kindEntry, n) {
-			a = d.partition.across(a)
+			a = d.partition.relayAddress(a)
 		}
 		all = append(all, a.String())
 	}
@@ -281,12 +284,12 @@
 		ColdFor:   300 * time.Millisecond,
 		TokenTime: 5 * time.Millisecond,
 	}
-	if d.shape.engine != nil {
-		d.shape.engine(i, e)
+	if d.topology.engine != nil {
+		d.topology.engine(i, e)
 	}
 	v := d.newVM(kindEngine, i, e.Handler())
 	v.args = append(v.args,
-		"--engine", v.upstream.address.String(), "--origin", d.reach(kindEngine, i, d.origin.address).String(),
+		"--engine", v.upstream.address.String(), "--origin", d.addressFor(kindEngine, i, d.origin.address).String(),
 		"--coldLimit", "2", "--limit", "8")
 	d.engines = append(d.engines, v)
 }
@@ -294,8 +297,8 @@
 func (d *deployment) addService(i int) {
 	d.t.Helper()
 	s := &imitator.Service{Time: 20 * time.Millisecond, Limit: 32, ColdLimit: 2, ColdFor: 300 * time.Millisecond}
-	if d.shape.service != nil {
-		d.shape.service(i, s)
+	if d.topology.service != nil {
+		d.topology.service(i, s)
 	}
 	v := d.newVM(kindService, i, s.Handler())
 	v.args = append(v.args,
@@ -304,28 +307,28 @@
 	d.services = append(d.services, v)
 }
 
-func (d *deployment) newVM(k kind, i int, upstream http.Handler) *vm {
+func (d *deployment) newVM(k processKind, i int, upstream http.Handler) *vm {
 	d.t.Helper()
 	v := &vm{
 		id:        string(k) + "-" + strconv.Itoa(i),
 		domain:    domains[i%len(domains)],
-		address:   reserve(d.t, d.host),
-		operators: reserve(d.t, d.host),
-		upstream:  d.serve(upstream),
+		address:   reserveAddress(d.t, d.host),
+		operators: reserveAddress(d.t, d.host),
+		upstream:  d.startStandin(upstream),
 	}
 	v.process = &process{t: d.t, name: v.id}
-	d.place(k, i, v.address)
+	d.addRelay(k, i, v.address)
 	v.args = append([]string{
 		"agent", "--id", v.id, "--listen", v.address.String(), "--operators", v.operators.String(),
-		"--entrySeeds", d.seeds(k, i),
-	}, d.common(i)...)
+		"--entrySeeds", d.seedAddresses(k, i),
+	}, d.commonArgs(i)...)
 	return v
 }
 
 func (d *deployment) agents() []*vm { return slices.Concat(d.engines, d.services) }
 
-// publish signs and rolls the next bundle, with the model's version and what
-// else the caller changes. It returns once the bundle is accepted.
+// publish signs and rolls the next bundle, with the given version of the model and the
+// caller's change. It returns once the bundle is accepted.
 func (d *deployment) publish(version string, change func(b *bundler.Bundle)) {
 	d.t.Helper()
 	must.NoError(d.t, d.tryPublish(version, change))
@@ -333,18 +336,18 @@
 
 func (d *deployment) tryPublish(version string, change func(b *bundler.Bundle)) error {
 	d.t.Helper()
-	r := d.next(version, change)
-	return d.accept(r)
+	r := d.nextBundle(version, change)
+	return d.publishRecord(r)
 }
 
-// next makes the bundle after the one that was last made here, signed.
-func (d *deployment) next(version string, change func(b *bundler.Bundle)) *bundler.Record {
+// nextBundle returns the signed successor of the bundle that was last made here.
+func (d *deployment) nextBundle(version string, change func(b *bundler.Bundle)) *bundler.Record {
 	d.t.Helper()
 	d.changes++
 	d.bundle.Revision++
 	d.bundle.ChangeID = "change-" + strconv.Itoa(d.changes)
-	if d.shape.engines > 0 {
-		m := bundler.Model{Name: model, Version: version, Manifest: d.makeWeights(version)}
+	if d.topology.engines > 0 {
+		m := bundler.Model{Name: model, Version: version, Manifest: d.publishWeights(version)}
 		d.bundle.Models = []bundler.Model{m}
 	}
 	if change != nil {
@@ -358,22 +361,22 @@
 	payload, err := b.Encode()
 	must.NoError(d.t, err)
 	r := &bundler.Record{Payload: payload}
-	must.NoError(d.t, r.Sign(d.private))
+	must.NoError(d.t, r.Sign(d.privateKey))
 	return r
 }
 
-func (d *deployment) accept(r *bundler.Record) error {
-	ctx, cancel := context.WithTimeout(d.t.Context(), patience)
+func (d *deployment) publishRecord(r *bundler.Record) error {
+	ctx, cancel := context.WithTimeout(d.t.Context(), waitTimeout)
 	defer cancel()
 	p := &publisher.Publisher{
 		Store:   &storer.HTTP{Address: d.store.address},
-		Keyring: bundler.Keyring{Keys: []string{d.public}, Threshold: 1},
+		Keyring: bundler.Keyring{Keys: []string{d.publicKey}, Threshold: 1},
 	}
 	_, err := p.Publish(ctx, r)
 	return err
 }
 
-// drain is the change that takes failure domains out.
+// drain returns a change that drains failure domains.
 func drain(names ...string) func(b *bundler.Bundle) {
 	return func(b *bundler.Bundle) {
 		b.FailureDomains = slices.Clone(b.FailureDomains)
@@ -383,15 +386,15 @@
 	}
 }
 
-// makeWeights publishes a version's weights and gives the manifest's digest.
-func (d *deployment) makeWeights(version string) string {
+// publishWeights publishes a version's weights and returns the manifest's digest.
+func (d *deployment) publishWeights(version string) string {
 	d.t.Helper()
 	p := imitator.Publication{Model: model, Version: version, Size: weightBytes, ChunkSize: chunkBytes, Seed: seedOf(version)}
 	var answer struct {
 		Manifest string `json:"manifest"`
 	}
 	d.origin.post("/admin/publish", p, &answer)
-	d.weights[version] = bundler.Digest(d.bytesOf(answer.Manifest))
+	d.weights[version] = bundler.Digest(d.fetchWeights(answer.Manifest))
 	return answer.Manifest
 }
 
@@ -403,9 +406,9 @@
 	return n
 }
 
-// bytesOf are all bytes of a manifest's weights. Their digest is what an engine
-// names in each token that it made from them.
-func (d *deployment) bytesOf(manifest string) []byte {
+// fetchWeights returns all bytes of a manifest's weights. An engine includes their
+// digest in each token that it made from them.
+func (d *deployment) fetchWeights(manifest string) []byte {
 	d.t.Helper()
 	var m struct {
 		Chunks []string `json:"chunks"`
@@ -418,32 +421,32 @@
 	return all.Bytes()
 }
 
-// awaitReady waits until the bundle in force is confirmed by all and all engines
-// that should serve do.
+// awaitReady waits until all processes confirm the bundle in force and all upstreams
+// that should serve are ready.
 func (d *deployment) awaitReady() {
 	d.t.Helper()
-	eventually(d.t, patience, fmt.Sprintf("revision %d ready", d.bundle.Revision), func() bool {
-		p := inspector.Measure(&d.bundle, inspector.Inspector{}.Survey(d.t.Context(), d.operators()))
-		return p.AllReady() && p.AllAgents == len(d.agents()) && d.warm()
+	eventually(d.t, waitTimeout, fmt.Sprintf("revision %d ready", d.bundle.Revision), func() bool {
+		p := inspector.Measure(&d.bundle, inspector.Inspector{}.Survey(d.t.Context(), d.operatorAddresses()))
+		return p.AllReady() && p.AllAgents == len(d.agents()) && d.allWarm()
 	})
 }
 
-// awaitWide waits until each entry sees all agents of a failure domain, or of all
-// if it is empty, let so many requests through.
-func (d *deployment) awaitWide(domain string, limit int) {
+// awaitLimit waits until each entry sees that the gates of all agents of a failure
+// domain, or of all agents if it is empty, admit the given number of requests.
+func (d *deployment) awaitLimit(domain string, limit int) {
 	d.t.Helper()
-	wide := func(a messenger.AgentState) bool {
+	admits := func(a messenger.AgentState) bool {
 		return domain != "" && a.FailureDomain != domain || a.Gate == messenger.GateOpen && a.Limit >= limit
 	}
-	eventually(d.t, patience, fmt.Sprintf("all gates %d wide", limit), func() bool {
+	eventually(d.t, waitTimeout, fmt.Sprintf("all gates admit %d requests", limit), func() bool {
 		for _, v := range d.agents() {
-			if s, ok := v.status(); !ok || !wide(s.State) {
+			if s, ok := v.status(); !ok || !admits(s.State) {
 				return false
 			}
 		}
 		for _, e := range d.entries {
 			s, err := inspector.Inspector{}.Ask(d.t.Context(), e.operators)
-			if err != nil || !s.Fresh || len(s.Agents) < len(d.agents()) || !all(s.Agents, wide) {
+			if err != nil || !s.Fresh || len(s.Agents) < len(d.agents()) || !all(s.Agents, admits) {
 				return false
 			}
 		}
@@ -455,8 +458,8 @@
 	return !slices.ContainsFunc(vs, func(v T) bool { return !f(v) })
 }
 
-// warm tells whether no upstream is in its cold start any more.
-func (d *deployment) warm() bool {
+// allWarm reports whether no upstream is in its cold start.
+func (d *deployment) allWarm() bool {
 	for _, a := range d.agents() {
 		var s struct {
 			Cold bool `json:"cold"`
@@ -468,7 +471,7 @@
 	return true
 }
 
-func (d *deployment) operators() []netip.AddrPort {
+func (d *deployment) operatorAddresses() []netip.AddrPort {
 	var as []netip.AddrPort
 	for _, e := range d.entries {
 		as = append(as, e.operators)
@@ -476,7 +479,7 @@
 	return as
 }
 
-func (d *deployment) callers() []netip.AddrPort {
+func (d *deployment) callerAddresses() []netip.AddrPort {
 	var as []netip.AddrPort
 	for _, e := range d.entries {
 		as = append(as, e.callers)
@@ -484,7 +487,7 @@
 	return as
 }
 
-// revision is the one that an entry holds; 0 while it does not answer.
+// revision returns the revision that an entry holds, or 0 if it doesn't answer.
 func (e *entry) revision() uint64 {
 	s, err := inspector.Inspector{}.Ask(context.Background(), e.operators)
 	if err != nil {
@@ -493,13 +496,13 @@
 	return s.State.Freshness.Revision
 }
 
-// running is how many callers' requests an entry carries.
+// running returns the number of callers' requests in progress at an entry.
 func (e *entry) running() int {
 	s, _ := inspector.Inspector{}.Ask(context.Background(), e.operators)
 	return s.Running
 }
 
-// status is an agent's own account; ok is false while it does not answer.
+// status returns an agent's own status. ok is false if the agent doesn't answer.
 func (v *vm) status() (s agent.Status, ok bool) {
 	c := http.Client{Timeout: time.Second}
 	res, err := c.Get("http://" + v.operators.String() + "/status")
@@ -515,7 +518,7 @@
 	return s.State.Revision
 }
 
-// get reads what a stand-in answers; nothing when it does not answer.
+// get returns the body of a stand-in's answer.
 func (s standin) get(path string) []byte {
 	s.t.Helper()
 	res, err := http.Get("http://" + s.address.String() + path)
@@ -527,7 +530,7 @@
 	return b.Bytes()
 }
 
-// post sends JSON to a stand-in and reads its answer into reply, unless nil.
+// post sends JSON to a stand-in and decodes its answer into reply, unless nil.
 func (s standin) post(path string, body, reply any) {
 	s.t.Helper()
 	s.send(http.MethodPost, path, body, reply)
@@ -553,7 +556,7 @@
 	}
 }
 
-// faults are what a stand-in is told to do wrong; each kind reads its own.
+// faults configures the faults of a stand-in. Each kind of stand-in reads its own.
 type faults struct {
 	Down         bool    `json:"down,omitempty"`
 	DelayMS      int64   `json:"delayMs,omitempty"`
@@ -569,12 +572,12 @@
 	Torn         bool    `json:"torn,omitempty"`
 }
 
-func (s standin) fault(f faults) {
+func (s standin) injectFaults(f faults) {
 	s.t.Helper()
 	s.post("/admin/faults", f, nil)
 }
 
-// counts are what a stand-in counted; each kind gives its own.
+// counts holds the counters of a stand-in. Each kind of stand-in reports its own.
 type counts struct {
 	Requests  int64 `json:"requests"`
 	Runs      int64 `json:"runs"`
@@ -585,7 +588,7 @@
 	Loads     int64 `json:"loads"`
 }
 
-// work is how many requests or runs were begun.
+// work returns the number of requests or runs that were started.
 func (c counts) work() int64 { return c.Requests + c.Runs }
 
 func (s standin) counts() counts {
@@ -595,8 +598,8 @@
 	return c
 }
 
-// runs is how often each booking ran, over all services.
-func (d *deployment) runs() map[string]int64 {
+// bookingRuns returns how often each booking ran, over all services.
+func (d *deployment) bookingRuns() map[string]int64 {
 	d.t.Helper()
 	all := map[string]int64{}
 	for _, v := range d.services {
--- a/proofs/leaving_test.go
+++ b/proofs/leaving_test.go
@@ -9,84 +9,84 @@
 	"github.com/oriolecroft/oriolecroft/standins/imitator"
 )
 
-// TestLeavingUpstreamGetsNoNewWork has the platform's list say that a VM leaves,
-// whose agent knows nothing of it, and ends the agent of another VM with SIGTERM,
-// which the list learns nothing of. A user would notice requests that die with
-// the VM a moment later.
+// TestLeavingUpstreamGetsNoNewWork guards against requests that are sent to a VM about
+// to shut down and fail with it. The platform's list reports one VM as leaving without
+// its agent being notified; the agent of another VM gets SIGTERM, which the list
+// doesn't show.
 func TestLeavingUpstreamGetsNoNewWork(t *testing.T) {
 	t.Parallel()
-	d := deploy(t, shape{entries: 2, engines: 3, services: 2})
-	f := startTraffic(t, 6, inTurn(d.callers()))
-	b := startBookings(t, 4, d, minted)
-	f.moves(t, 20)
+	d := deploy(t, topology{entries: 2, engines: 3, services: 2})
+	f := startTraffic(t, 6, roundRobin(d.callerAddresses()))
+	b := startBookings(t, 4, d, entryKeys)
+	f.awaitComplete(t, 20)
 
-	d.show(d.engines[0], "leaving")
-	d.show(d.services[0], "leaving")
+	d.listVM(d.engines[0], "leaving")
+	d.listVM(d.services[0], "leaving")
 	for _, v := range []*vm{d.engines[0], d.services[0]} {
-		d.mustBecomeQuiet(v, f)
+		d.mustStopGettingWork(v, f)
 	}
-	d.show(d.engines[0], "live")
+	d.listVM(d.engines[0], "live")
 	before := d.engines[0].upstream.counts().work()
-	eventually(t, patience, "work after the VM stays on", func() bool {
+	eventually(t, waitTimeout, "work after the VM is live again", func() bool {
 		return d.engines[0].upstream.counts().work() > before
 	})
 
-	// Replies that outlast the watch keep the agent from ending before.
-	long := startLongTraffic(t, 9, outlasting, inTurn(d.callers()))
-	eventually(t, patience, "long replies on all engines", func() bool {
+	// Replies that take longer than the watch keep the agent from exiting earlier.
+	long := startLongTraffic(t, 9, outlastingTokens, roundRobin(d.callerAddresses()))
+	eventually(t, waitTimeout, "long replies on all engines", func() bool {
 		return all(d.engines, func(v *vm) bool { return v.running() > 1 })
 	})
-	d.engines[1].leave()
+	d.engines[1].terminate()
 	long.cancel()
-	d.mustBecomeQuiet(d.engines[1], f)
-	// The agent waits for its replies, which take longer than its end on a busy machine.
+	d.mustStopGettingWork(d.engines[1], f)
+	// The agent waits for its replies, which may take longer than the exit limit on a busy machine.
 	long.stop()
 	d.engines[1].wait()
-	f.moves(t, 20)
+	f.awaitComplete(t, 20)
 	b.stop()
 	f.stop()
-	f.mustBeHonest(t, d.weights)
-	long.mustBeHonest(t, d.weights)
-	must.Eq(t, len(long.answers), long.count(func(a answer) bool { return a.whole || a.outcome == notRun }))
-	b.mustBeTrue(t)
+	f.mustHaveNoDefects(t, d.weights)
+	long.mustHaveNoDefects(t, d.weights)
+	must.Eq(t, len(long.answers), long.count(func(a answer) bool { return a.complete || a.outcome == outcomeNotRun }))
+	b.mustMatchRuns(t)
 }
 
-// show puts a VM on the list of VMs.
-func (d *deployment) show(v *vm, state string) {
+// listVM sets the state of a VM in the platform's list of VMs.
+func (d *deployment) listVM(v *vm, state string) {
 	d.t.Helper()
-	d.list.put("/admin/vms/"+v.id, imitator.VM{
+	d.vmList.put("/admin/vms/"+v.id, imitator.VM{
 		Role: "upstream", Address: v.address, FailureDomain: v.domain, State: state,
 	})
 }
 
-// mustBecomeQuiet checks that an upstream gets no new work after a few seconds,
-// while the others do. How long these need for their answers is no part of the bound: on
-// a busy machine they alone take seconds.
-func (d *deployment) mustBecomeQuiet(v *vm, f *traffic) {
+// mustStopGettingWork checks that an upstream gets no new work after reactionLimit,
+// while the others do. The time that the others need for their answers isn't part of
+// the bound: on a busy machine it alone is seconds.
+func (d *deployment) mustStopGettingWork(v *vm, f *traffic) {
 	d.t.Helper()
-	began, last, since := time.Now(), v.upstream.counts().work(), f.whole()
-	worked := time.Duration(0)
-	eventually(d.t, patience, "others serve while "+v.id+" is quiet", func() bool {
-		if now := v.upstream.counts().work(); now != last {
-			worked, last, since = time.Since(began), now, f.whole()
+	began, lastWork, answersThen := time.Now(), v.upstream.counts().work(), f.completeAnswers()
+	workedFor := time.Duration(0)
+	eventually(d.t, waitTimeout, "others serve while "+v.id+" is quiet", func() bool {
+		if now := v.upstream.counts().work(); now != lastWork {
+			workedFor, lastWork, answersThen = time.Since(began), now, f.completeAnswers()
 		}
-		return worked > promptly || f.whole() >= since+quietAnswers
+		return workedFor > reactionLimit || f.completeAnswers() >= answersThen+minOtherAnswers
 	})
-	must.LessEq(d.t, promptly, worked, must.Sprintf("%s gets no new work within %v", v.id, promptly))
-	throughout(d.t, quiet, v.id+" gets no new work", func() bool { return v.upstream.counts().work() == last })
-	must.Positive(d.t, f.whole())
+	must.LessEq(d.t, reactionLimit, workedFor, must.Sprintf("%s gets no new work within %v", v.id, reactionLimit))
+	throughout(d.t, quietPeriod, v.id+" gets no new work", func() bool { return v.upstream.counts().work() == lastWork })
+	must.Positive(d.t, f.completeAnswers())
 }
 
-// outlasting is the length of a reply that takes longer than an upstream is
+// outlastingTokens is the length of a reply that takes longer than an upstream is
 // watched.
-const outlasting = 1700
+const outlastingTokens = 1700
 
-// running is how many requests an agent has let through to its upstream.
+// running returns the number of requests that an agent has admitted to its upstream.
 func (v *vm) running() int {
 	s, _ := v.status()
 	return s.State.Running
 }
 
-// quietAnswers is how many answers from elsewhere show that an upstream without
-// new work is passed over.
-const quietAnswers = 20
+// minOtherAnswers is the number of answers from other upstreams that shows that an
+// upstream without new work is skipped.
+const minOtherAnswers = 20
--- a/proofs/main_test.go
+++ b/proofs/main_test.go
@@ -1,6 +1,6 @@
-// Package proofs_test proves the promises of docs/PROOFS.md on real processes:
-// entries and agents are built once and run on loopback, and are killed, paused
-// and cut off while the stand-ins of the outside systems count what they get.
+// Package proofs_test tests the guarantees of docs/PROOFS.md on real processes: entries
+// and agents are built once and run on loopback, and are killed, suspended and
+// partitioned while the stand-ins of the outside systems count their requests.
 package proofs_test
 
 import (
@@ -11,21 +11,21 @@
 	"testing"
 )
 
-// binary is the program under test.
-var binary string
+// binaryPath is the path of the program under test.
+var binaryPath string
 
 func TestMain(m *testing.M) {
-	os.Exit(run(m))
+	os.Exit(runTests(m))
 }
 
-func run(m *testing.M) int {
+func runTests(m *testing.M) int {
 	dir, err := os.MkdirTemp("", "proofs")
 	if err != nil {
 		fmt.Fprintln(os.Stderr, err)
 		return 1
 	}
 	defer os.RemoveAll(dir)
-	binary = filepath.Join(dir, "oriolecroft")
+	binaryPath = filepath.Join(dir, "oriolecroft")
 	if err := build(); err != nil {
 		fmt.Fprintln(os.Stderr, "build:", err)
 		return 1
@@ -34,7 +34,7 @@
 }
 
 func build() error {
-	args := []string{"build", "-o", binary}
+	args := []string{"build", "-o", binaryPath}
 	if raceEnabled {
 		args = append(args, "-race")
 	}
--- a/proofs/once_test.go
+++ b/proofs/once_test.go
@@ -10,30 +10,30 @@
 	"github.com/oriolecroft/oriolecroft/standins/imitator"
 )
 
-// longRun is how long a booking runs in TestBookingRunsAtMostOnce, so that a
+// bookingDuration is how long a booking runs in TestBookingRunsAtMostOnce, so that a
 // failure can be caused while it runs.
-const longRun = 400 * time.Millisecond
+const bookingDuration = 400 * time.Millisecond
 
-// wideEnough is how wide a gate is when a booking and its retries pass.
-const wideEnough = 4
+// retryGateLimit is the gate limit that admits a booking and its retries.
+const retryGateLimit = 4
 
-// failure is what goes wrong around the first try of a booking.
+// failure is a fault that is injected around the first try of a booking.
 type failure struct {
 	name string
-	// before is caused before the try and during while the booking runs; mend ends
-	// the failure once the caller has retried through other entries.
-	before, during, mend func(d *deployment)
-	// must is the last word that the caller has to get; empty for any that is
-	// true.
-	must string
+	// before is called before the try and during while the booking runs. repair ends the
+	// failure once the caller has retried through other entries.
+	before, during, repair func(d *deployment)
+	// wantFate is the final fate that the caller must receive, or "" if any correct one
+	// is accepted.
+	wantFate string
 }
 
-// failures are what goes wrong, each alone.
+// failures are the injected failures, each tested alone.
 var failures = []failure{
 	{
 		name:   "service-drops-its-answer",
 		before: func(d *deployment) { d.faultServices(faults{DropAnswers: true}) },
-		mend:   func(d *deployment) { d.faultServices(faults{}) },
+		repair: func(d *deployment) { d.faultServices(faults{}) },
 	},
 	{
 		name: "service-restarts-in-the-run",
@@ -49,186 +49,185 @@
 	},
 	{
 		name:   "agents-frozen-past-the-deadline",
-		during: func(d *deployment) { d.eachService((*process).pause) },
-		mend:   func(d *deployment) { d.eachService((*process).resume) },
+		during: func(d *deployment) { d.eachService((*process).suspend) },
+		repair: func(d *deployment) { d.eachService((*process).resume) },
 	},
 	{
-		name:   "first-entry-replaced-in-the-run",
-		during: func(d *deployment) { d.entries[0].replace() },
-		must:   ran,
+		name:     "first-entry-replaced-in-the-run",
+		during:   func(d *deployment) { d.entries[0].replace() },
+		wantFate: outcomeRan,
 	},
 	{
-		name:   "first-entry-frozen-in-the-run",
-		during: func(d *deployment) { d.entries[0].pause() },
-		mend:   func(d *deployment) { d.entries[0].resume() },
-		must:   ran,
+		name:     "first-entry-frozen-in-the-run",
+		during:   func(d *deployment) { d.entries[0].suspend() },
+		repair:   func(d *deployment) { d.entries[0].resume() },
+		wantFate: outcomeRan,
 	},
 	{
-		name:   "link-to-the-agents-cut-in-the-run",
-		during: func(d *deployment) { d.partition.cut() },
-		mend:   func(d *deployment) { d.partition.mend() },
-		must:   ran,
+		name:     "link-to-the-agents-cut-in-the-run",
+		during:   func(d *deployment) { d.partition.disconnect() },
+		repair:   func(d *deployment) { d.partition.reconnect() },
+		wantFate: outcomeRan,
 	},
 	{
-		name:   "link-to-the-agents-stalled-in-the-run",
-		during: func(d *deployment) { d.partition.stall() },
-		mend:   func(d *deployment) { d.partition.release() },
-		must:   ran,
+		name:     "link-to-the-agents-stalled-in-the-run",
+		during:   func(d *deployment) { d.partition.stall() },
+		repair:   func(d *deployment) { d.partition.release() },
+		wantFate: outcomeRan,
 	},
 	{
-		name:   "store-loses-its-answers",
-		before: func(d *deployment) { d.store.fault(faults{LoseAnswers: 1}) },
-		mend:   func(d *deployment) { d.store.fault(faults{}) },
-		must:   ran,
+		name:     "store-loses-its-answers",
+		before:   func(d *deployment) { d.store.injectFaults(faults{LoseAnswers: 1}) },
+		repair:   func(d *deployment) { d.store.injectFaults(faults{}) },
+		wantFate: outcomeRan,
 	},
 	{
-		name:   "store-out-from-the-run-on",
-		during: func(d *deployment) { d.store.fault(faults{Down: true}) },
-		mend:   func(d *deployment) { d.store.fault(faults{}) },
-		must:   ran,
+		name:     "store-out-from-the-run-on",
+		during:   func(d *deployment) { d.store.injectFaults(faults{Down: true}) },
+		repair:   func(d *deployment) { d.store.injectFaults(faults{}) },
+		wantFate: outcomeRan,
 	},
 	{
-		name: "retry-while-the-first-try-runs",
-		must: ran,
+		name:     "retry-while-the-first-try-runs",
+		wantFate: outcomeRan,
 	},
 }
 
-// TestBookingRunsAtMostOnce loses the answer to a booking in every way that there
-// is, between the service, its agent, the entry and the caller, and the caller
-// tries again with the same key through another entry, twice at the same time. A
-// second run is two pickers on one slot, who both expect pay, or two crews at one
-// door; a false confirmation is a room unpicked.
+// TestBookingRunsAtMostOnce guards against a second run of a booking and against a false
+// confirmation. The answer to a booking is lost in every possible way between the
+// service, its agent, the entry and the caller, and the caller tries again with the
+// same key through another entry, twice at the same time.
 func TestBookingRunsAtMostOnce(t *testing.T) {
 	t.Parallel()
-	for _, k := range []keyKind{minted, ownKeys} {
+	for _, k := range []keySource{entryKeys, callerKeys} {
 		t.Run(k.name, func(t *testing.T) {
 			t.Parallel()
-			d := deploy(t, shape{
+			d := deploy(t, topology{
 				entries: 3, services: 2, inside: servicesOnly,
-				service: func(_ int, s *imitator.Service) { s.Time = longRun },
+				service: func(_ int, s *imitator.Service) { s.Time = bookingDuration },
 			})
-			words := map[string]string{}
+			fates := map[string]string{}
 			for _, m := range failures {
-				d.awaitWide("", wideEnough)
-				words[m.name] = d.bookThrough(m, k)
+				d.awaitLimit("", retryGateLimit)
+				fates[m.name] = d.bookDuring(m, k)
 			}
 			d.awaitReady()
-			// What a frozen process still had in hand has had time to run by now.
-			runs := d.runs()
-			for name, word := range words {
-				mustMatch(t, name, word, runs[name])
+			// Requests pending at a suspended process have had time to run at this point.
+			runs := d.bookingRuns()
+			for name, fate := range fates {
+				mustMatchRunCount(t, name, fate, runs[name])
 			}
 		})
 	}
 }
 
-func servicesOnly(k kind, _ int) bool { return k == kindService }
+func servicesOnly(k processKind, _ int) bool { return k == kindService }
 
-// oneBooking is a booking that its caller tries until it knows its fate: with the
-// same key while that is unknown, with a new one once an entry has said that the
-// key will never run.
-type oneBooking struct {
+// retriedBooking is a booking that its caller retries until its fate is known: with the
+// same key while the fate is unknown, with a new key once an entry has reported that
+// the old one will never run.
+type retriedBooking struct {
 	deployment *deployment
-	kind       keyKind
+	source     keySource
 	name       string
 	key        string
 }
 
-// bookThrough makes one booking through a failure and gives the caller's last word
-// on it.
-func (d *deployment) bookThrough(m failure, k keyKind) string {
+// bookDuring makes one booking during a failure and returns its final fate as the caller
+// sees it.
+func (d *deployment) bookDuring(m failure, k keySource) string {
 	d.t.Helper()
-	c := &oneBooking{deployment: d, kind: k, name: m.name}
-	c.renew()
-	cause(m.before, d)
-	first := c.begin(m.during != nil)
-	cause(m.during, d)
-	word := c.retry()
-	cause(m.mend, d)
-	if (<-first).outcome == ran {
-		word = ran
+	c := &retriedBooking{deployment: d, source: k, name: m.name}
+	c.renewKey()
+	callIfSet(m.before, d)
+	first := c.startFirstTry(m.during != nil)
+	callIfSet(m.during, d)
+	fate := c.retry()
+	callIfSet(m.repair, d)
+	if (<-first).outcome == outcomeRan {
+		fate = outcomeRan
 	}
-	if m.must == "" {
-		// Whoever has the key now is asked, and must not run it once more.
-		d.awaitWide("", 1)
-		word = later(word, c.retry())
-		word = later(word, c.retry())
+	if m.wantFate == "" {
+		// The current owner of the key must not run the booking again.
+		d.awaitLimit("", 1)
+		fate = latestFate(fate, c.retry())
+		fate = latestFate(fate, c.retry())
 	}
-	if m.must != "" && word != ran {
-		eventually(d.t, patience, m.must+" after "+m.name, func() bool {
-			word = c.retry()
-			return word == ran
+	if m.wantFate != "" && fate != outcomeRan {
+		eventually(d.t, waitTimeout, m.wantFate+" after "+m.name, func() bool {
+			fate = c.retry()
+			return fate == outcomeRan
 		})
 	}
-	mustMatch(d.t, m.name, word, d.runs()[m.name])
-	return word
+	mustMatchRunCount(d.t, m.name, fate, d.bookingRuns()[m.name])
+	return fate
 }
 
-// later is the last word of two: what ran has run.
-func later(word, next string) string {
-	if word == ran {
-		return ran
+// latestFate combines two successive fates: a booking that ran stays so.
+func latestFate(fate, next string) string {
+	if fate == outcomeRan {
+		return outcomeRan
 	}
 	return next
 }
 
-func (c *oneBooking) renew() {
+func (c *retriedBooking) renewKey() {
 	d := c.deployment
-	eventually(d.t, patience, "key for "+c.name, func() bool {
-		c.key = c.kind.make(d.t.Context(), d.entries[1].callers, c.name)
+	eventually(d.t, waitTimeout, "key for "+c.name, func() bool {
+		c.key = c.source.newKey(d.t.Context(), d.entries[1].callers, c.name)
 		return c.key != ""
 	})
 }
 
-// begin makes the first try through entry 0 and returns while it is under way:
-// if the booking has to run, once it does.
-func (c *oneBooking) begin(toRun bool) <-chan booked {
+// startFirstTry makes the first try through entry 0 and returns while it is in progress,
+// if awaitsRun is set once the booking runs.
+func (c *retriedBooking) startFirstTry(awaitsRun bool) <-chan bookingResult {
 	d := c.deployment
 	d.t.Helper()
-	for tried := time.Now(); ; {
-		first := make(chan booked, 1)
-		go func(key string) { first <- book(d.t.Context(), d.entries[0].callers, c.kind.header, key, c.name) }(c.key)
-		if !toRun || c.runs(first) {
+	for start := time.Now(); ; {
+		first := make(chan bookingResult, 1)
+		go func(key string) { first <- book(d.t.Context(), d.entries[0].callers, c.source.header, key, c.name) }(c.key)
+		if !awaitsRun || c.awaitRun(first) {
 			return first
 		}
-		must.Less(d.t, patience, time.Since(tried), must.Sprintf("%s does not run", c.name))
+		must.Less(d.t, waitTimeout, time.Since(start), must.Sprintf("%s does not run", c.name))
 		if (<-first).closed {
-			c.renew()
+			c.renewKey()
 		}
 	}
 }
 
-// runs waits until the booking runs or the try is over without.
-func (c *oneBooking) runs(first <-chan booked) bool {
+// awaitRun waits until the booking runs or the try has ended without a run.
+func (c *retriedBooking) awaitRun(first <-chan bookingResult) bool {
 	d := c.deployment
-	eventually(d.t, patience, "run or refusal of "+c.name, func() bool {
-		return d.runs()[c.name] > 0 || len(first) > 0
+	eventually(d.t, waitTimeout, "run or refusal of "+c.name, func() bool {
+		return d.bookingRuns()[c.name] > 0 || len(first) > 0
 	})
-	return d.runs()[c.name] > 0
+	return d.bookingRuns()[c.name] > 0
 }
 
 // retry tries the booking through two entries at the same time. It ran if either
-// says so, and has not run if both do.
-func (c *oneBooking) retry() string {
+// reports so, and has not run if both do.
+func (c *retriedBooking) retry() string {
 	d := c.deployment
-	var rs [2]booked
+	var rs [2]bookingResult
 	var g sync.WaitGroup
 	for i := range rs {
-		g.Go(func() { rs[i] = book(d.t.Context(), d.entries[i+1].callers, c.kind.header, c.key, c.name) })
+		g.Go(func() { rs[i] = book(d.t.Context(), d.entries[i+1].callers, c.source.header, c.key, c.name) })
 	}
 	g.Wait()
 	switch {
-	case rs[0].outcome == ran || rs[1].outcome == ran:
-		return ran
-	case rs[0].outcome != notRun || rs[1].outcome != notRun:
-		return unknown
+	case rs[0].outcome == outcomeRan || rs[1].outcome == outcomeRan:
+		return outcomeRan
+	case rs[0].outcome != outcomeNotRun || rs[1].outcome != outcomeNotRun:
+		return outcomeUnknown
 	case rs[0].closed && rs[1].closed:
-		c.renew()
+		c.renewKey()
 	}
-	return notRun
+	return outcomeNotRun
 }
 
-func cause(f func(d *deployment), d *deployment) {
+func callIfSet(f func(d *deployment), d *deployment) {
 	if f != nil {
 		f(d)
 	}
@@ -236,7 +235,7 @@
 
 func (d *deployment) faultServices(f faults) {
 	for _, v := range d.services {
-		v.upstream.fault(f)
+		v.upstream.injectFaults(f)
 	}
 }
 
--- a/proofs/process_test.go
+++ b/proofs/process_test.go
@@ -21,12 +21,12 @@
 	"golang.org/x/sys/unix"
 )
 
-// patience bounds every wait for a condition that must come about. It is no
-// promise of the system: those have their own bounds.
-const patience = 30 * time.Second
+// waitTimeout bounds every wait for an expected condition. It is no guarantee of the
+// system: guarantees have their own bounds.
+const waitTimeout = 30 * time.Second
 
-// logTail is how much of a process's log a failed test shows, in bytes.
-const logTail = 1500
+// maxLogTailBytes is how much of a process's log a failed test shows.
+const maxLogTailBytes = 1500
 
 // process is one process of the system.
 type process struct {
@@ -39,19 +39,19 @@
 
 func (p *process) self() *process { return p }
 
-// launch runs the process until the test ends.
+// launch starts the process and stops it when the test ends.
 func (p *process) launch() {
 	p.t.Helper()
-	p.run()
-	p.t.Cleanup(p.end)
+	p.start()
+	p.t.Cleanup(p.stop)
 }
 
-func (p *process) run() {
+func (p *process) start() {
 	p.t.Helper()
 	log, err := os.OpenFile(p.logFile(), os.O_CREATE|os.O_APPEND|os.O_WRONLY, 0o600)
 	must.NoError(p.t, err)
 	defer log.Close()
-	p.cmd = exec.Command(binary, p.args...)
+	p.cmd = exec.Command(binaryPath, p.args...)
 	p.cmd.Stdout, p.cmd.Stderr = log, log
 	must.NoError(p.t, p.cmd.Start())
 	c, done := p.cmd, make(chan struct{})
@@ -72,15 +72,15 @@
 	must.NoError(p.t, p.cmd.Process.Signal(s))
 }
 
-func (p *process) resume() { p.signal(syscall.SIGCONT) }
-func (p *process) leave()  { p.signal(syscall.SIGTERM) }
+func (p *process) resume()    { p.signal(syscall.SIGCONT) }
+func (p *process) terminate() { p.signal(syscall.SIGTERM) }
 
-// pause freezes the process and returns once all of its threads stand still: on a
-// busy machine some go on for a moment after the signal was sent.
-func (p *process) pause() {
+// suspend stops the process with SIGSTOP and returns once all of its threads are
+// stopped: on a busy machine some continue for a moment after the signal was sent.
+func (p *process) suspend() {
 	p.t.Helper()
 	p.signal(syscall.SIGSTOP)
-	eventually(p.t, patience, p.name+" stands still", func() bool {
+	eventually(p.t, waitTimeout, p.name+" suspended", func() bool {
 		threads, err := filepath.Glob(filepath.Join("/proc", strconv.Itoa(p.cmd.Process.Pid), "task", "*", "status"))
 		return err == nil && len(threads) > 0 && all(threads, isStopped)
 	})
@@ -91,31 +91,31 @@
 	return err == nil && strings.Contains(string(data), "State:\tT")
 }
 
-// kill ends the process at once and waits for its end.
+// kill sends SIGKILL and waits for the process to exit.
 func (p *process) kill() {
 	p.t.Helper()
 	p.signal(syscall.SIGKILL)
 	p.wait()
 }
 
-// wait returns once the process has ended.
+// wait returns once the process has exited.
 func (p *process) wait() {
 	p.t.Helper()
 	select {
 	case <-p.done:
-	case <-time.After(patience):
-		p.t.Fatalf("%s has not ended", p.name)
+	case <-time.After(waitTimeout):
+		p.t.Fatalf("%s has not exited", p.name)
 	}
 }
 
-// replace starts the program anew with the same settings.
+// replace kills the process and starts the program with the same settings.
 func (p *process) replace() {
 	p.t.Helper()
 	p.kill()
-	p.run()
+	p.start()
 }
 
-func (p *process) end() {
+func (p *process) stop() {
 	select {
 	case <-p.done:
 	default:
@@ -124,12 +124,12 @@
 	}
 	p.checkRaces()
 	if p.t.Failed() {
-		p.t.Logf("log of %s:\n%s", p.name, p.tail())
+		p.t.Logf("log of %s:\n%s", p.name, p.logTail())
 	}
 }
 
-// checkRaces fails the test on what the race detector found in the process, which
-// goes on after that and would be killed before it could say so by its status.
+// checkRaces fails the test if the race detector reported a race in the process. A
+// process continues after a report and is killed before its exit status could show it.
 func (p *process) checkRaces() {
 	data, err := os.ReadFile(p.logFile())
 	if err != nil {
@@ -137,43 +137,43 @@
 		return
 	}
 	if _, report, found := strings.Cut(string(data), "WARNING: DATA RACE"); found {
-		p.t.Errorf("%s has a data race:%s", p.name, report[:min(len(report), logTail)])
+		p.t.Errorf("%s has a data race:%s", p.name, report[:min(len(report), maxLogTailBytes)])
 	}
 }
 
-func (p *process) tail() string {
+func (p *process) logTail() string {
 	f, err := os.Open(p.logFile())
 	if err != nil {
 		return err.Error()
 	}
 	defer f.Close()
 	if size, err := f.Seek(0, io.SeekEnd); err == nil {
-		_, _ = f.Seek(max(0, size-logTail), io.SeekStart)
+		_, _ = f.Seek(max(0, size-maxLogTailBytes), io.SeekStart)
 	}
 	data, _ := io.ReadAll(f)
 	return string(data)
 }
 
-// logDir is the directory of one test's logs. PROOFS_LOGS keeps them.
+// logDir returns the directory of one test's logs. PROOFS_LOGS keeps them.
 func logDir(t *testing.T) string {
 	keep := os.Getenv("PROOFS_LOGS")
 	if keep == "" {
-		keep = filepath.Join(filepath.Dir(binary), "logs")
+		keep = filepath.Join(filepath.Dir(binaryPath), "logs")
 	}
 	dir := filepath.Join(keep, strings.ReplaceAll(t.Name(), "/", "_"))
 	must.NoError(t, os.MkdirAll(dir, 0o700))
 	return dir
 }
 
-var hosts atomic.Uint32
+var hostCount atomic.Uint32
 
-// host gives each deployment a loopback address of its own.
-func host() netip.Addr {
+// newHost returns a separate loopback address for each deployment.
+func newHost() netip.Addr {
 	pid := os.Getpid()
-	return netip.AddrFrom4([4]byte{127, byte(1 + hosts.Add(1)%250), byte(pid >> 8), byte(1 + pid%250)})
+	return netip.AddrFrom4([4]byte{127, byte(1 + hostCount.Add(1)%250), byte(pid >> 8), byte(1 + pid%250)})
 }
 
-// listen takes a port from the kernel.
+// listen opens a listener on a free port.
 func listen(t *testing.T, h netip.Addr) net.Listener {
 	t.Helper()
 	l, err := net.Listen("tcp", netip.AddrPortFrom(h, 0).String())
@@ -181,18 +181,18 @@
 	return l
 }
 
-// reserve takes a port from the kernel for a process that listens by itself, and holds it
-// until the test ends: the kernel gives it to nobody else. A listener that is closed before
-// the process starts does not do. A process that is being started by another test at that
-// moment has a copy of it until it runs its own program, which takes a while on a busy
-// machine, and ours would find its address in use.
-func reserve(t *testing.T, h netip.Addr) netip.AddrPort {
+// reserveAddress binds a free port for a process that listens by itself, and keeps it bound
+// until the test ends, so that the kernel assigns it to no other process. Closing a listener
+// before the process starts would not be enough: a process that another test is starting at
+// that moment has a copy of the listener until it executes its own program, which takes a
+// while on a busy machine, and the address would still be in use.
+func reserveAddress(t *testing.T, h netip.Addr) netip.AddrPort {
 	t.Helper()
 	socket, err := unix.Socket(unix.AF_INET, unix.SOCK_STREAM|unix.SOCK_CLOEXEC, 0)
 	must.NoError(t, err)
 	t.Cleanup(func() { _ = unix.Close(socket) })
-	// A listener may join a socket that is bound and doesn't listen, if both allow that;
-	// those of the standard library do.
+	// A listener may bind to the address of a socket that is bound and doesn't listen, if both
+	// set SO_REUSEADDR; those of the standard library do.
 	must.NoError(t, unix.SetsockoptInt(socket, unix.SOL_SOCKET, unix.SO_REUSEADDR, 1))
 	must.NoError(t, unix.Bind(socket, &unix.SockaddrInet4{Addr: h.As4()}))
 	bound, err := unix.Getsockname(socket)
@@ -200,24 +200,25 @@
 	return netip.AddrPortFrom(h, uint16(bound.(*unix.SockaddrInet4).Port))
 }
 
-// Tests start their processes at the same time on a machine that is short of processor
-// time. A process of ours whose address is held by another one that is just being started
-// ends at once, and its test waits in vain for a deployment that misses an entry.
+// TestReservedAddressCanBeTaken guards against a process that exits at once because a copy
+// of its listener in another process that is just being started holds its address, so that
+// its test waits for an entry that never joins. Tests start their processes at the same
+// time on a machine that is short of processor time.
 func TestReservedAddressCanBeTaken(t *testing.T) {
-	h := host()
+	h := newHost()
 	ctx, stop := context.WithCancel(t.Context())
 	var starting sync.WaitGroup
 	for range 8 {
 		starting.Go(func() {
 			for ctx.Err() == nil {
-				_ = exec.Command(binary, "--help").Run()
+				_ = exec.Command(binaryPath, "--help").Run()
 			}
 		})
 	}
 	defer starting.Wait()
 	defer stop()
 	for range 200 {
-		l, err := net.Listen("tcp", reserve(t, h).String())
+		l, err := net.Listen("tcp", reserveAddress(t, h).String())
 		must.NoError(t, err)
 		must.NoError(t, l.Close())
 	}
@@ -227,7 +228,7 @@
 	return netip.MustParseAddrPort(l.Addr().String())
 }
 
-// eventually waits for a condition that must come about within the bound.
+// eventually waits for a condition that must become true within the bound.
 func eventually(t *testing.T, bound time.Duration, what string, f func() bool) {
 	t.Helper()
 	must.Wait(t, wait.InitialSuccess(
@@ -237,7 +238,7 @@
 	), must.Sprintf("%s within %v", what, bound))
 }
 
-// throughout checks that a condition holds all the time.
+// throughout checks that a condition is true during the whole span.
 func throughout(t *testing.T, span time.Duration, what string, f func() bool) {
 	t.Helper()
 	must.Wait(t, wait.ContinualSuccess(
--- a/proofs/relay_test.go
+++ b/proofs/relay_test.go
@@ -10,40 +10,40 @@
 	"testing"
 )
 
-// relay passes TCP connections on to one address, and can cut, stall and cross
-// them as a faulty link does.
+// relay forwards TCP connections to one address, and can break, stall and cross them
+// as a faulty link does.
 type relay struct {
 	listener net.Listener
-	to       netip.AddrPort
-	// closed ends those that wait for a second connection.
+	target   netip.AddrPort
+	// closed ends connections that wait for a second one to be crossed with.
 	closed chan struct{}
 
 	mu sync.Mutex
-	// there and back say how the addresses that are named in what passes are to
-	// be changed, as address translation does. Old and new are of one length.
-	there, back []rename
-	down        bool
-	stalled     chan struct{}
-	crossed     chan *pair
-	// times is how many pairs were crossed.
-	times int
-	conns map[net.Conn]bool
+	// toTarget and fromTarget are the replacements of addresses in the forwarded data, as
+	// in address translation. Old and new addresses are of the same length.
+	toTarget, fromTarget []replacement
+	down                 bool
+	stalled              chan struct{}
+	uncrossed            chan *connPair
+	// crossCount is the number of pairs that were crossed.
+	crossCount int
+	conns      map[net.Conn]bool
 }
 
-type rename struct {
+type replacement struct {
 	from, to []byte
 }
 
-// pair is a connection of a caller with the one that was made for it.
-type pair struct {
-	near, far net.Conn
+// connPair is a caller's connection and the one made to the target for it.
+type connPair struct {
+	callerConn, targetConn net.Conn
 }
 
-func newRelay(t *testing.T, to netip.AddrPort) *relay {
+func newRelay(t *testing.T, target netip.AddrPort) *relay {
 	t.Helper()
 	r := &relay{
-		listener: listen(t, to.Addr()),
-		to:       to,
+		listener: listen(t, target.Addr()),
+		target:   target,
 		closed:   make(chan struct{}),
 		conns:    map[net.Conn]bool{},
 	}
@@ -52,84 +52,84 @@
 		r.listener.Close()
 		close(r.closed)
 		r.release()
-		r.cut()
+		r.disconnect()
 	})
 	return r
 }
 
 func (r *relay) address() netip.AddrPort { return addressOf(r.listener) }
 
-func (r *relay) translate(there, back []rename) {
+func (r *relay) setReplacements(toTarget, fromTarget []replacement) {
 	r.mu.Lock()
 	defer r.mu.Unlock()
-	r.there, r.back = there, back
+	r.toTarget, r.fromTarget = toTarget, fromTarget
 }
 
 func (r *relay) accept() {
 	for {
-		near, err := r.listener.Accept()
+		callerConn, err := r.listener.Accept()
 		if err != nil {
 			return
 		}
-		go r.connect(near)
+		go r.connect(callerConn)
 	}
 }
 
-func (r *relay) connect(near net.Conn) {
-	far, err := net.Dial("tcp", r.to.String())
+func (r *relay) connect(callerConn net.Conn) {
+	targetConn, err := net.Dial("tcp", r.target.String())
 	if err != nil {
-		near.Close()
+		callerConn.Close()
 		return
 	}
-	if !r.keep(near, far) {
+	if !r.track(callerConn, targetConn) {
 		return
 	}
-	p := &pair{near: near, far: far}
+	p := &connPair{callerConn: callerConn, targetConn: targetConn}
 	r.mu.Lock()
-	crossed, there, back := r.crossed, r.there, r.back
+	uncrossed, toTarget, fromTarget := r.uncrossed, r.toTarget, r.fromTarget
 	r.mu.Unlock()
-	if crossed == nil {
-		go r.pass(near, far, there)
-		go r.pass(far, near, back)
+	if uncrossed == nil {
+		go r.forward(callerConn, targetConn, toTarget)
+		go r.forward(targetConn, callerConn, fromTarget)
 		return
 	}
 	select {
-	case crossed <- p:
-	case other := <-crossed:
+	case uncrossed <- p:
+	case other := <-uncrossed:
 		r.cross(p, other)
 	case <-r.closed:
 	}
 }
 
-// cross gives each of two callers the answers that are meant for the other.
-func (r *relay) cross(a, b *pair) {
+// cross sends each of two callers the answers meant for the other.
+func (r *relay) cross(a, b *connPair) {
 	r.mu.Lock()
-	r.crossed = nil
-	r.times++
-	there, back := r.there, r.back
+	r.uncrossed = nil
+	r.crossCount++
+	toTarget, fromTarget := r.toTarget, r.fromTarget
 	r.mu.Unlock()
-	go r.pass(a.near, a.far, there)
-	go r.pass(b.near, b.far, there)
-	go r.pass(a.far, b.near, back)
-	go r.pass(b.far, a.near, back)
+	go r.forward(a.callerConn, a.targetConn, toTarget)
+	go r.forward(b.callerConn, b.targetConn, toTarget)
+	go r.forward(a.targetConn, b.callerConn, fromTarget)
+	go r.forward(b.targetConn, a.callerConn, fromTarget)
 }
 
 // crossNext crosses the next two connections.
 func (r *relay) crossNext() {
 	r.mu.Lock()
 	defer r.mu.Unlock()
-	if r.crossed == nil {
-		r.crossed = make(chan *pair)
+	if r.uncrossed == nil {
+		r.uncrossed = make(chan *connPair)
 	}
 }
 
 func (r *relay) crossings() int {
 	r.mu.Lock()
 	defer r.mu.Unlock()
-	return r.times
+	return r.crossCount
 }
 
-func (r *relay) keep(cs ...net.Conn) bool {
+func (r *relay) track(cs ...net.Conn) bool {
 	r.mu.Lock()
 	defer r.mu.Unlock()
 	for _, c := range cs {
@@ -142,8 +142,8 @@
 	return !r.down
 }
 
-// cut breaks all connections, and new ones until the link is mended.
-func (r *relay) cut() {
+// disconnect breaks all connections, and new ones until reconnect.
+func (r *relay) disconnect() {
 	r.mu.Lock()
 	defer r.mu.Unlock()
 	r.down = true
@@ -153,13 +153,13 @@
 	clear(r.conns)
 }
 
-func (r *relay) mend() {
+func (r *relay) reconnect() {
 	r.mu.Lock()
 	defer r.mu.Unlock()
 	r.down = false
 }
 
-// stall keeps everything under way until the link is released.
+// stall holds back all data until release.
 func (r *relay) stall() {
 	r.mu.Lock()
 	defer r.mu.Unlock()
@@ -177,7 +177,7 @@
 	}
 }
 
-func (r *relay) hold() {
+func (r *relay) waitWhileStalled() {
 	r.mu.Lock()
 	stalled := r.stalled
 	r.mu.Unlock()
@@ -186,36 +186,36 @@
 	}
 }
 
-// pass copies one direction until its end. What might be the beginning of an
-// address waits for its rest.
-func (r *relay) pass(from, to net.Conn, names []rename) {
+// forward copies one direction until its end. Bytes that may be the start of an address
+// are held back until the rest arrives.
+func (r *relay) forward(from, to net.Conn, replacements []replacement) {
 	defer from.Close()
 	defer to.Close()
 	buffer := make([]byte, 64<<10)
-	var kept []byte
+	var pending []byte
 	for {
 		n, err := from.Read(buffer)
-		kept = append(kept, buffer[:n]...)
-		for _, m := range names {
-			kept = bytes.ReplaceAll(kept, m.from, m.to)
+		pending = append(pending, buffer[:n]...)
+		for _, m := range replacements {
+			pending = bytes.ReplaceAll(pending, m.from, m.to)
 		}
-		ready := len(kept) - beginning(kept, names)
-		r.hold()
-		if _, e := to.Write(kept[:ready]); e != nil {
+		ready := len(pending) - partialMatchLen(pending, replacements)
+		r.waitWhileStalled()
+		if _, e := to.Write(pending[:ready]); e != nil {
 			return
 		}
-		kept = kept[ready:]
+		pending = pending[ready:]
 		if err != nil {
-			_, _ = io.Copy(to, bytes.NewReader(kept))
+			_, _ = io.Copy(to, bytes.NewReader(pending))
 			return
 		}
 	}
 }
 
-// beginning is how many of the last bytes may begin a name.
-func beginning(data []byte, names []rename) int {
+// partialMatchLen returns how many of the last bytes may start an address to replace.
+func partialMatchLen(data []byte, replacements []replacement) int {
 	longest := 0
-	for _, m := range names {
+	for _, m := range replacements {
 		for n := min(len(m.from)-1, len(data)); n > longest; n-- {
 			if bytes.HasSuffix(data, m.from[:n]) {
 				longest = n
@@ -225,70 +225,71 @@
 	return longest
 }
 
-// partition is the links between one part of a deployment, inside, and the rest,
-// which can fail all together. Each side knows the other's processes by the
+// partition holds the links between one part of a deployment, inside, and the rest,
+// which can fail all together. Each side reaches the other's processes at the
 // addresses of relays.
 type partition struct {
 	t *testing.T
-	// out leads from inside to outside, in the other way.
-	out, in []*relay
+	// outgoing relays lead from inside to outside, incoming ones from outside to inside.
+	outgoing, incoming []*relay
 }
 
-// outgoing makes a way from inside to an address outside.
-func (n *partition) outgoing(to netip.AddrPort) netip.AddrPort {
-	r := newRelay(n.t, to)
-	n.out = append(n.out, r)
-	n.rename()
+// addOutgoing adds a relay from inside to an address outside.
+func (n *partition) addOutgoing(target netip.AddrPort) netip.AddrPort {
+	r := newRelay(n.t, target)
+	n.outgoing = append(n.outgoing, r)
+	n.updateReplacements()
 	return r.address()
 }
 
-// incoming makes a way from outside to an address inside.
-func (n *partition) incoming(to netip.AddrPort) netip.AddrPort {
-	r := newRelay(n.t, to)
-	n.in = append(n.in, r)
-	n.rename()
+// addIncoming adds a relay from outside to an address inside.
+func (n *partition) addIncoming(target netip.AddrPort) netip.AddrPort {
+	r := newRelay(n.t, target)
+	n.incoming = append(n.incoming, r)
+	n.updateReplacements()
 	return r.address()
 }
 
-// across is the address by which the other side knows a process.
-func (n *partition) across(to netip.AddrPort) netip.AddrPort {
-	for _, r := range slices.Concat(n.in, n.out) {
-		if r.to == to {
+// relayAddress returns the address at which the other side reaches a process.
+func (n *partition) relayAddress(target netip.AddrPort) netip.AddrPort {
+	for _, r := range slices.Concat(n.incoming, n.outgoing) {
+		if r.target == target {
 			return r.address()
 		}
 	}
-	n.t.Fatalf("no way to %v", to)
-	return to
+	n.t.Fatalf("no relay to %v", target)
+	return target
 }
 
-// rename tells each relay all names. It is to be done before any traffic.
-func (n *partition) rename() {
-	var outward, inward []rename
-	for _, r := range n.in {
-		outward = append(outward, rename{text(r.to), text(r.address())})
-		inward = append(inward, rename{text(r.address()), text(r.to)})
+// updateReplacements passes all address replacements to each relay. It must be called
+// before any traffic.
+func (n *partition) updateReplacements() {
+	var outward, inward []replacement
+	for _, r := range n.incoming {
+		outward = append(outward, replacement{addressText(r.target), addressText(r.address())})
+		inward = append(inward, replacement{addressText(r.address()), addressText(r.target)})
 	}
-	for _, r := range n.out {
-		outward = append(outward, rename{text(r.address()), text(r.to)})
-		inward = append(inward, rename{text(r.to), text(r.address())})
+	for _, r := range n.outgoing {
+		outward = append(outward, replacement{addressText(r.address()), addressText(r.target)})
+		inward = append(inward, replacement{addressText(r.target), addressText(r.address())})
 	}
-	for _, r := range n.out {
-		r.translate(outward, inward)
+	for _, r := range n.outgoing {
+		r.setReplacements(outward, inward)
 	}
-	for _, r := range n.in {
-		r.translate(inward, outward)
+	for _, r := range n.incoming {
+		r.setReplacements(inward, outward)
 	}
 }
 
 func (n *partition) each(f func(r *relay)) {
-	for _, r := range slices.Concat(n.in, n.out) {
+	for _, r := range slices.Concat(n.incoming, n.outgoing) {
 		f(r)
 	}
 }
 
-func (n *partition) cut()     { n.each((*relay).cut) }
-func (n *partition) mend()    { n.each((*relay).mend) }
-func (n *partition) stall()   { n.each((*relay).stall) }
-func (n *partition) release() { n.each((*relay).release) }
+func (n *partition) disconnect() { n.each((*relay).disconnect) }
+func (n *partition) reconnect()  { n.each((*relay).reconnect) }
+func (n *partition) stall()      { n.each((*relay).stall) }
+func (n *partition) release()    { n.each((*relay).release) }
 
-func text(a netip.AddrPort) []byte { return []byte(a.String()) }
+func addressText(a netip.AddrPort) []byte { return []byte(a.String()) }
--- a/proofs/shutdown_test.go
+++ b/proofs/shutdown_test.go
@@ -15,58 +15,57 @@
 	"github.com/oriolecroft/oriolecroft/standins/imitator"
 )
 
-// longReply is the length of a reply that takes longer than a list of entries is
+// longReplyTokens is the length of a reply that takes longer than a list of entries is
 // kept.
-const longReply = 300
+const longReplyTokens = 300
 
-// TestGracefulShutdownCutsNoRequest ends entries and agents one after the other
-// with SIGTERM, an entry first that has nothing to do, then others while streams
-// are under way. Callers go on connecting by the list of entries that they were
-// told to keep. A user would notice a draft
-// that stops in the middle of a sentence, or a refused connection, whenever the
-// operators replace a machine.
+// TestGracefulShutdownCutsNoRequest guards against streams that break off and connections
+// that are refused when operators replace a machine. It ends entries and agents one
+// after the other with SIGTERM, first an idle entry, then processes with streams in
+// progress. Callers continue to connect by the list of entries for as long as its
+// keepForMs allows.
 func TestGracefulShutdownCutsNoRequest(t *testing.T) {
 	t.Parallel()
-	d := deploy(t, shape{entries: 3, engines: 3, services: 2, engine: func(_ int, e *imitator.Engine) {
+	d := deploy(t, topology{entries: 3, engines: 3, services: 2, engine: func(_ int, e *imitator.Engine) {
 		e.TokenTime = 7 * time.Millisecond
 	}})
-	lists := d.keptLists()
+	lists := d.pickFromKeptLists()
 	for i := range 9 {
 		lists(i, 0)
 	}
-	d.entries[0].leave()
-	// An entry that did not wait for such callers would be gone by then.
+	d.entries[0].terminate()
+	// An entry that didn't wait for such callers would have exited at this point.
 	eventually(t, keepFor, "entry off the list", func() bool { return !slices.Contains(d.fetchList(1), d.entries[0].callers) })
-	f := startLongTraffic(t, 9, longReply, lists)
+	f := startLongTraffic(t, 9, longReplyTokens, lists)
 	d.entries[0].wait()
-	f.moves(t, 9)
-	b := startBookings(t, 2, d, minted)
-	b.moves(t, 9)
+	f.awaitComplete(t, 9)
+	b := startBookings(t, 2, d, entryKeys)
+	b.awaitConfirmed(t, 9)
 	for _, find := range []func() *process{
-		func() *process { return busy(d.engines) },
-		func() *process { return busy(d.services) },
-		func() *process { return busy(d.entries[1:]) },
+		func() *process { return findBusy(d.engines) },
+		func() *process { return findBusy(d.services) },
+		func() *process { return findBusy(d.entries[1:]) },
 	} {
 		var p *process
-		eventually(t, patience, "a busy process", func() bool {
+		eventually(t, waitTimeout, "a busy process", func() bool {
 			p = find()
 			return p != nil
 		})
-		p.leave()
+		p.terminate()
 		p.wait()
-		f.moves(t, 9)
+		f.awaitComplete(t, 9)
 	}
 	f.stop()
 	b.stop()
-	f.mustBeHonest(t, d.weights)
+	f.mustHaveNoDefects(t, d.weights)
 	for _, a := range f.answers {
-		must.True(t, a.whole || a.outcome == notRun, must.Sprintf("answer %q: %s %s", a.question.Prompt, a.outcome, a.message))
+		must.True(t, a.complete || a.outcome == outcomeNotRun, must.Sprintf("answer %q: %s %s", a.request.Prompt, a.outcome, a.message))
 	}
-	b.mustBeTrue(t)
+	b.mustMatchRuns(t)
 }
 
-// busy finds one that has a request under way.
-func busy[T interface {
+// findBusy returns a process with a request in progress, or nil.
+func findBusy[T interface {
 	running() int
 	self() *process
 }](vs []T) *process {
@@ -78,16 +77,16 @@
 	return nil
 }
 
-// keptLists has each caller connect by a list of entries that it got from an
-// entry and keeps as long as it was told to.
-func (d *deployment) keptLists() picker {
+// pickFromKeptLists has each caller connect by a list of entries that it got from an
+// entry and keeps for the advertised time.
+func (d *deployment) pickFromKeptLists() entryPicker {
 	var mu sync.Mutex
 	kept := map[int]*keptList{}
 	return func(caller, request int) netip.AddrPort {
 		mu.Lock()
 		l := kept[caller]
 		if l == nil {
-			l = &keptList{ask: d.callers()}
+			l = &keptList{sources: d.callerAddresses()}
 			kept[caller] = l
 		}
 		mu.Unlock()
@@ -98,30 +97,30 @@
 
 // keptList is one caller's copy of the list of entries.
 type keptList struct {
-	ask     []netip.AddrPort
+	sources []netip.AddrPort
 	entries []netip.AddrPort
-	until   time.Time
+	expires time.Time
 }
 
-// refresh asks for a new list once the old one has run out, any entry that
-// answers. Nothing is connected to by a list that has run out.
+// refresh fetches a new list from any entry that answers once the old one has expired.
+// Callers never connect by an expired list.
 func (l *keptList) refresh() {
-	for i := 0; time.Now().After(l.until); i++ {
-		l.fetch(l.ask[i%len(l.ask)])
+	for i := 0; time.Now().After(l.expires); i++ {
+		l.fetch(l.sources[i%len(l.sources)])
 	}
 }
 
-// fetchList is what an entry tells callers now.
+// fetchList returns the list that an entry currently sends to callers.
 func (d *deployment) fetchList(i int) []netip.AddrPort {
 	l := &keptList{}
 	l.fetch(d.entries[i].callers)
 	return l.entries
 }
 
-func (l *keptList) fetch(at netip.AddrPort) {
+func (l *keptList) fetch(addr netip.AddrPort) {
 	ctx, cancel := context.WithTimeout(context.Background(), callTimeout)
 	defer cancel()
-	r, err := http.NewRequestWithContext(ctx, http.MethodGet, "http://"+at.String()+"/v1/entries", nil)
+	r, err := http.NewRequestWithContext(ctx, http.MethodGet, "http://"+addr.String()+"/v1/entries", nil)
 	if err != nil {
 		return
 	}
@@ -143,5 +142,5 @@
 	for _, e := range list.Entries {
 		l.entries = append(l.entries, e.Address)
 	}
-	l.until = time.Now().Add(time.Duration(list.KeepForMS) * time.Millisecond)
+	l.expires = time.Now().Add(time.Duration(list.KeepForMS) * time.Millisecond)
 }
--- a/proofs/weights_test.go
+++ b/proofs/weights_test.go
@@ -12,60 +12,59 @@
 	"github.com/oriolecroft/oriolecroft/standins/imitator"
 )
 
-// TestRepliesComeFromOneWholeVersion rolls four versions while callers ask. One
-// engine is slow to fetch the second version, its agent is frozen meanwhile and
-// wakes when the third is in force: the old order lands after the newer bundle.
-// While the fourth rolls, engines that still have the third are restarted in the
-// middle of replies. Then an engine that ignores fencing numbers is given an old
-// load order again and again, as it lands late after the death of whoever sent
-// it, while its agent is frozen and requests wait in the agent's socket. A user
-// would notice a roster that begins with one version's wording and ends with
-// another's, or one made from a version that was taken out.
+// TestRepliesComeFromOneWholeVersion guards against replies that mix two versions of the
+// weights or come from a withdrawn version. It rolls four versions under traffic. One
+// engine fetches the second version slowly, and its agent is suspended until the third is
+// in force, so that the old load order arrives after the newer bundle. While the fourth
+// rolls, engines that still have the third are restarted in the middle of replies. Then
+// an engine that ignores fencing numbers repeatedly gets an old load order, as if
+// delayed until after the death of its sender, while its agent is suspended and requests
+// wait in the agent's socket.
 func TestRepliesComeFromOneWholeVersion(t *testing.T) {
 	t.Parallel()
-	slow := &holdableFetch{}
-	d := deploy(t, shape{entries: 2, engines: 3, engine: func(i int, e *imitator.Engine) {
+	slow := &blockableTransport{}
+	d := deploy(t, topology{entries: 2, engines: 3, engine: func(i int, e *imitator.Engine) {
 		e.IgnoreFence = i == 0
 		if i == 1 {
 			e.Client = &http.Client{Transport: slow}
 		}
 	}})
-	t.Cleanup(slow.release)
-	f := startTraffic(t, 9, inTurn(d.callers()))
-	f.moves(t, 20)
-	d.wakeWithOldOrder(slow)
-	f.moves(t, 20)
+	t.Cleanup(slow.unblock)
+	f := startTraffic(t, 9, roundRobin(d.callerAddresses()))
+	f.awaitComplete(t, 20)
+	d.resumeWithOldOrder(slow)
+	f.awaitComplete(t, 20)
 	d.publish("v4", nil)
-	eventually(t, patience, "v4 served", func() bool { return f.served("v4") > 0 })
-	d.restartThoseWith("v3")
+	eventually(t, waitTimeout, "v4 served", func() bool { return f.countVersion("v4") > 0 })
+	d.restartEnginesWith("v3")
 	d.awaitReady()
-	f.moves(t, 20)
+	f.awaitComplete(t, 20)
 	f.stop()
-	f.mustBeHonest(t, d.weights)
+	f.mustHaveNoDefects(t, d.weights)
 
-	old := d.oldOrder("v1")
-	f = startTraffic(t, 9, inTurn(d.callers()))
+	old := d.oldLoadOrder("v1")
+	f = startTraffic(t, 9, roundRobin(d.callerAddresses()))
 	for range 5 {
-		f.moves(t, 20)
-		d.engines[0].pause()
+		f.awaitComplete(t, 20)
+		d.engines[0].suspend()
 		d.engines[0].upstream.post("/load", old, nil)
-		f.moves(t, 10)
+		f.awaitComplete(t, 10)
 		d.engines[0].resume()
 		d.awaitReady()
 	}
-	f.moves(t, 20)
+	f.awaitComplete(t, 20)
 	f.stop()
-	f.mustBeHonest(t, d.weights)
-	must.Eq(t, f.whole(), f.count(func(a answer) bool { return a.whole && a.events[0].Version == "v4" }),
-		must.Sprint("whole replies of the version in force"))
-	must.Zero(t, f.served("v1"), must.Sprint("replies of a version that was taken out"))
+	f.mustHaveNoDefects(t, d.weights)
+	must.Eq(t, f.completeAnswers(), f.count(func(a answer) bool { return a.complete && a.events[0].Version == "v4" }),
+		must.Sprint("complete replies of the version in force"))
+	must.Zero(t, f.countVersion("v1"), must.Sprint("replies of a withdrawn version"))
 	for _, e := range d.engines {
 		must.Zero(t, e.upstream.counts().Mixed)
 	}
 }
 
-// restartThoseWith restarts the engines that hold a version.
-func (d *deployment) restartThoseWith(version string) {
+// restartEnginesWith restarts the engines that hold a version.
+func (d *deployment) restartEnginesWith(version string) {
 	d.t.Helper()
 	for _, v := range d.engines {
 		var s imitator.EngineState
@@ -76,64 +75,64 @@
 	}
 }
 
-// wakeWithOldOrder rolls v2 and v3 and freezes the agent of engine 1 from its
+// resumeWithOldOrder rolls v2 and v3 and suspends the agent of engine 1 from its
 // order to load v2 until v3 is in force.
-func (d *deployment) wakeWithOldOrder(slow *holdableFetch) {
+func (d *deployment) resumeWithOldOrder(slow *blockableTransport) {
 	d.t.Helper()
 	e := d.engines[1]
 	loads := e.upstream.counts().Loads
-	slow.hold()
+	slow.block()
 	d.publish("v2", nil)
-	eventually(d.t, patience, "order to load v2", func() bool { return e.upstream.counts().Loads > loads })
-	e.pause()
+	eventually(d.t, waitTimeout, "order to load v2", func() bool { return e.upstream.counts().Loads > loads })
+	e.suspend()
 	d.publish("v3", nil)
-	eventually(d.t, promptly, "v3 in force", func() bool {
+	eventually(d.t, reactionLimit, "v3 in force", func() bool {
 		return d.entries[0].revision() == d.bundle.Revision && d.engines[0].revision() == d.bundle.Revision
 	})
-	slow.release()
+	slow.unblock()
 	e.resume()
 	d.awaitReady()
 }
 
-// holdableFetch is an engine's way to its weights.
-type holdableFetch struct {
-	mu   sync.Mutex
-	held chan struct{}
+// blockableTransport is an engine's transport to its weights, which can be blocked.
+type blockableTransport struct {
+	mu      sync.Mutex
+	blocked chan struct{}
 }
 
-func (h *holdableFetch) hold() {
+func (h *blockableTransport) block() {
 	h.mu.Lock()
 	defer h.mu.Unlock()
-	h.held = make(chan struct{})
+	h.blocked = make(chan struct{})
 }
 
-func (h *holdableFetch) release() {
+func (h *blockableTransport) unblock() {
 	h.mu.Lock()
 	defer h.mu.Unlock()
-	if h.held != nil {
-		close(h.held)
-		h.held = nil
+	if h.blocked != nil {
+		close(h.blocked)
+		h.blocked = nil
 	}
 }
 
-// RoundTrip fetches once nothing is held.
-func (h *holdableFetch) RoundTrip(r *http.Request) (*http.Response, error) {
+// RoundTrip sends the request once the transport is not blocked.
+func (h *blockableTransport) RoundTrip(r *http.Request) (*http.Response, error) {
 	h.mu.Lock()
-	held := h.held
+	blocked := h.blocked
 	h.mu.Unlock()
-	if held != nil {
-		<-held
+	if blocked != nil {
+		<-blocked
 	}
 	return http.DefaultTransport.RoundTrip(r)
 }
 
-// oldOrder is a load order for a version as its engine's agent gave it. The
-// weights come straight from the origin, whose copy is still there.
-func (d *deployment) oldOrder(version string) imitator.Order {
+// oldLoadOrder returns a load order for a version as its engine's agent sent it. The
+// weights come directly from the origin, which still has a copy.
+func (d *deployment) oldLoadOrder(version string) imitator.Order {
 	d.t.Helper()
-	manifest := d.makeWeights(version)
-	weights := d.bytesOf(manifest)
-	at := d.serve(http.HandlerFunc(func(w http.ResponseWriter, _ *http.Request) {
+	manifest := d.publishWeights(version)
+	weights := d.fetchWeights(manifest)
+	st := d.startStandin(http.HandlerFunc(func(w http.ResponseWriter, _ *http.Request) {
 		_, _ = w.Write(weights)
 	}))
 	return imitator.Order{
@@ -142,11 +141,11 @@
 		Version:    version,
 		Manifest:   manifest,
 		Size:       weightBytes,
-		WeightsURL: fmt.Sprintf("http://%v/", at.address),
+		WeightsURL: fmt.Sprintf("http://%v/", st.address),
 	}
 }
 
-// served is how many answers have a token of the version.
-func (f *traffic) served(version string) int {
+// countVersion returns how many answers have a token of the version.
+func (f *traffic) countVersion(version string) int {
 	return f.count(func(a answer) bool { return len(a.events) > 0 && a.events[0].Version == version })
 }
