--- a/proofs/once_test.go
+++ b/proofs/once_test.go
@@ -23,9 +23,9 @@
 	// before is called before the try and during while the booking runs. repair ends the
 	// failure once the caller has retried through other entries.
 	before, during, repair func(d *deployment)
-	// wantFate is the final fate that the caller must receive, or "" if any correct one
+	// must is the final fate that the caller must receive, or "" if any correct one
 	// is accepted.
-	wantFate string
+	must string
 }
 
 // failures are the injected failures, each tested alone.
@@ -53,43 +53,43 @@
 		repair: func(d *deployment) { d.eachService((*process).resume) },
 	},
 	{
-		name:     "first-entry-replaced-in-the-run",
-		during:   func(d *deployment) { d.entries[0].replace() },
-		wantFate: outcomeRan,
+		name:   "first-entry-replaced-in-the-run",
+		during: func(d *deployment) { d.entries[0].replace() },
+		must:   outcomeRan,
 	},
 	{
-		name:     "first-entry-frozen-in-the-run",
-		during:   func(d *deployment) { d.entries[0].suspend() },
-		repair:   func(d *deployment) { d.entries[0].resume() },
-		wantFate: outcomeRan,
+		name:   "first-entry-frozen-in-the-run",
+		during: func(d *deployment) { d.entries[0].suspend() },
+		repair: func(d *deployment) { d.entries[0].resume() },
+		must:   outcomeRan,
 	},
 	{
-		name:     "link-to-the-agents-cut-in-the-run",
-		during:   func(d *deployment) { d.partition.disconnect() },
-		repair:   func(d *deployment) { d.partition.reconnect() },
-		wantFate: outcomeRan,
+		name:   "link-to-the-agents-cut-in-the-run",
+		during: func(d *deployment) { d.partition.disconnect() },
+		repair: func(d *deployment) { d.partition.reconnect() },
+		must:   outcomeRan,
 	},
 	{
-		name:     "link-to-the-agents-stalled-in-the-run",
-		during:   func(d *deployment) { d.partition.stall() },
-		repair:   func(d *deployment) { d.partition.release() },
-		wantFate: outcomeRan,
+		name:   "link-to-the-agents-stalled-in-the-run",
+		during: func(d *deployment) { d.partition.stall() },
+		repair: func(d *deployment) { d.partition.release() },
+		must:   outcomeRan,
 	},
 	{
-		name:     "store-loses-its-answers",
-		before:   func(d *deployment) { d.store.injectFaults(faults{LoseAnswers: 1}) },
-		repair:   func(d *deployment) { d.store.injectFaults(faults{}) },
-		wantFate: outcomeRan,
+		name:   "store-loses-its-answers",
+		before: func(d *deployment) { d.store.injectFaults(faults{LoseAnswers: 1}) },
+		repair: func(d *deployment) { d.store.injectFaults(faults{}) },
+		must:   outcomeRan,
 	},
 	{
-		name:     "store-out-from-the-run-on",
-		during:   func(d *deployment) { d.store.injectFaults(faults{Down: true}) },
-		repair:   func(d *deployment) { d.store.injectFaults(faults{}) },
-		wantFate: outcomeRan,
+		name:   "store-out-from-the-run-on",
+		during: func(d *deployment) { d.store.injectFaults(faults{Down: true}) },
+		repair: func(d *deployment) { d.store.injectFaults(faults{}) },
+		must:   outcomeRan,
 	},
 	{
-		name:     "retry-while-the-first-try-runs",
-		wantFate: outcomeRan,
+		name: "retry-while-the-first-try-runs",
+		must: outcomeRan,
 	},
 }
 
@@ -147,14 +147,14 @@
 	if (<-first).outcome == outcomeRan {
 		fate = outcomeRan
 	}
-	if m.wantFate == "" {
+	if m.must == "" {
 		// The current owner of the key must not run the booking again.
 		d.awaitLimit("", 1)
 		fate = latestFate(fate, c.retry())
 		fate = latestFate(fate, c.retry())
 	}
-	if m.wantFate != "" && fate != outcomeRan {
-		eventually(d.t, waitTimeout, m.wantFate+" after "+m.name, func() bool {
+	if m.must != "" && fate != outcomeRan {
+		eventually(d.t, waitTimeout, m.must+" after "+m.name, func() bool {
 			fate = c.retry()
 			return fate == outcomeRan
 		})
