--- a/proofs/caller_test.go
+++ b/proofs/caller_test.go
@@ -379,7 +379,7 @@
 	return reply.Key
 }
 
-// fetchFate asks an entry for the fate of a key. It returns "" if the entry doesn't answer.
+// fetchFate asks an entry for the fate of a key. It returns "" if the entry has none to report.
 func fetchFate(ctx context.Context, addr netip.AddrPort, key string) string {
 	ctx, cancel := context.WithTimeout(ctx, callTimeout)
 	defer cancel()
--- a/proofs/deployment_test.go
+++ b/proofs/deployment_test.go
@@ -421,7 +421,7 @@
 	return all.Bytes()
 }
 
-// awaitReady waits until all processes confirm the bundle in force and all upstreams
+// awaitReady waits until all processes confirm the bundle in force and all engines
 // that should serve are ready.
 func (d *deployment) awaitReady() {
 	d.t.Helper()
--- a/proofs/leaving_test.go
+++ b/proofs/leaving_test.go
@@ -39,7 +39,7 @@
 	d.engines[1].terminate()
 	long.cancel()
 	d.mustStopGettingWork(d.engines[1], f)
-	// The agent waits for its replies, which may take longer than the exit limit on a busy machine.
+	// The agent waits for its replies, which on a busy machine may take longer than wait allows.
 	long.stop()
 	d.engines[1].wait()
 	f.awaitComplete(t, 20)
@@ -61,7 +61,7 @@
 
 // mustStopGettingWork checks that an upstream gets no new work after reactionLimit,
 // while the others do. The time that the others need for their answers isn't part of
-// the bound: on a busy machine it alone is seconds.
+// the bound: on a busy machine it amounts to seconds.
 func (d *deployment) mustStopGettingWork(v *vm, f *traffic) {
 	d.t.Helper()
 	began, lastWork, answersThen := time.Now(), v.upstream.counts().work(), f.completeAnswers()
