--- a/internal/relayer/ask.go
+++ b/internal/relayer/ask.go
@@ -26,7 +26,7 @@
 )
 
 // reserve asks the agent beside an engine for a slot, for a request that is already counted there.
-// The verdict is nil if the agent didn't respond; the request then may get a slot without a grant.
+// The decision is nil if the agent didn't respond; the request then may get a slot without a grant.
 func (p *Placer) reserve(ctx context.Context, view *registrar.View, u *registrar.UpstreamView, j *Job, budget time.Duration) (*Placement, *messenger.Decision) {
 	if !p.Chooser.MayAsk(u.ID, j.agentUnresponsive) {
 		return p.placeUngranted(view, u, j), nil
--- a/internal/relayer/place_test.go
+++ b/internal/relayer/place_test.go
@@ -182,7 +182,7 @@
 func TestGrantOnOldWeightsIsNotUsed(t *testing.T) {
 	c := clocktest.NewFakeClock(time.Unix(1000, 0))
 	p, table := newPlacer(c, 0, 1)
-	a := serveVerdict(t, p, messenger.Decision{Granted: true, Version: 1, Slots: 12})
+	a := serveDecision(t, p, messenger.Decision{Granted: true, Version: 1, Slots: 12})
 	must.True(t, placed(p, c, table))
 	announce(p.Registrar, 2)
 	c.Step(7200 * time.Millisecond)
@@ -205,15 +205,15 @@
 	announce(seen.Registrar, 2)
 	p, _ := newPlacer(c, 0, 1)
 	p.Registrar = restartedRegistrar(seen.Registrar)
-	serveVerdict(t, p, messenger.Decision{Granted: true, Version: 1, Slots: 12, StartWithinMS: 7000})
+	serveDecision(t, p, messenger.Decision{Granted: true, Version: 1, Slots: 12, StartWithinMS: 7000})
 	must.True(t, placed(p, c, table))
 }
 
-// grantingAgent is an agent that gives all requesters the same verdict.
+// grantingAgent is an agent that gives all requesters the same decision.
 type grantingAgent struct{ asked, ended atomic.Int32 }
 
-// serveVerdict gives the engine of a placer a grantingAgent.
-func serveVerdict(t *testing.T, p *relayer.Placer, v messenger.Decision) *grantingAgent {
+// serveDecision gives the engine of a placer a grantingAgent.
+func serveDecision(t *testing.T, p *relayer.Placer, v messenger.Decision) *grantingAgent {
 	l, err := net.Listen("tcp", "127.0.0.1:0")
 	must.NoError(t, err)
 	a := &grantingAgent{}
--- a/internal/relayer/priority_test.go
+++ b/internal/relayer/priority_test.go
@@ -21,23 +21,23 @@
 
 // scriptedAgent answers all reservations with a function and records them.
 type scriptedAgent struct {
-	verdict func(messenger.Reservation) messenger.Decision
-	asked   *[]messenger.Reservation
+	decision func(messenger.Reservation) messenger.Decision
+	asked    *[]messenger.Reservation
 }
 
 func (a scriptedAgent) Reserve(_ context.Context, r messenger.Reservation) (messenger.Decision, error) {
 	*a.asked = append(*a.asked, r)
-	return a.verdict(r), nil
+	return a.decision(r), nil
 }
 
 func (scriptedAgent) SendProgress(messenger.Progress) {}
 
 // newPrioritized makes an entry with a live and a batch route, and engines whose agents answer as
 // scripted.
-func newPrioritized(engines int, verdict func(messenger.Reservation) messenger.Decision) (d *decider, live, batch relayer.Job, asked *[]messenger.Reservation) {
+func newPrioritized(engines int, decision func(messenger.Reservation) messenger.Decision) (d *decider, live, batch relayer.Job, asked *[]messenger.Reservation) {
 	d = newDecider(1, engines, 0)
 	asked = &[]messenger.Reservation{}
-	d.Placer.Reach = func(netip.AddrPort) relayer.Agent { return scriptedAgent{verdict, asked} }
+	d.Placer.Reach = func(netip.AddrPort) relayer.Agent { return scriptedAgent{decision, asked} }
 	mostUrgent, leastUrgent := 0, 2
 	table := d.Registrar.View().Table
 	liveRoute, batchRoute := *table.Routes[0], *table.Routes[0]
