--- a/internal/agent/calls.go
+++ b/internal/agent/calls.go
@@ -35,18 +35,18 @@
 	case deduplicator.Run:
 		return r.runOnce(ctx, k, o, body)
 	case deduplicator.Running:
-		decision, err := r.agent.Ledger.Wait(ctx, k)
+		outcome, err := r.agent.Ledger.Wait(ctx, k)
 		if err != nil {
 			return nil, &forwarder.UnknownError{Reason: "still running: " + err.Error()}
 		}
-		return replyFromDecision(decision)
+		return replyFromOutcome(outcome)
 	default:
-		return replyFromDecision(v)
+		return replyFromOutcome(v)
 	}
 }
 
-// replyFromDecision returns the answer for a key whose call must not run.
-func replyFromDecision(v deduplicator.Outcome) (*forwarder.Reply, error) {
+// replyFromOutcome returns the answer for a key whose call must not run.
+func replyFromOutcome(v deduplicator.Outcome) (*forwarder.Reply, error) {
 	switch v := v.(type) {
 	case deduplicator.Replay:
 		return &forwarder.Reply{Status: v.Reply.Status, Header: v.Reply.Header, Body: v.Reply.Body, Replayed: true}, nil
@@ -137,7 +137,7 @@
 	return &forwarder.Reply{Status: res.StatusCode, Header: res.Header, Body: data}, admitter.Served, nil
 }
 
-// Lookup returns the fate of a key. It closes a key that has not been seen: after
+// Lookup returns the state of a key. It closes a key that has not been seen: after
 // "not run" the caller may book again, so a late duplicate must not run.
 func (r *runner) Lookup(key string) forwarder.KeyState {
 	k, err := deduplicator.ParseKey(key)
--- a/internal/agent/link.go
+++ b/internal/agent/link.go
@@ -135,7 +135,7 @@
 	}
 	w := l.agent.State.StatusUpdate()
 	k.entryBehind = n.Freshness.Revision < w.Revision
-	l.applyNews(n)
+	l.applyUpdate(n)
 	l.applyAssignment(n, k.client.Address)
 	// The answer is as fresh as the request: while it was in flight, or this process
 	// suspended, a newer bundle may have come into force.
--- a/internal/agent/links.go
+++ b/internal/agent/links.go
@@ -131,15 +131,15 @@
 	return l.sequence
 }
 
-// handlePush applies unrequested news from an entry. It can carry a higher bundle but
+// handlePush applies an unrequested update from an entry. It can carry a higher bundle but
 // confirms no freshness: how long it lay in a socket is unknown.
 func (l *links) handlePush(n messenger.Update) {
-	l.applyNews(n)
+	l.applyUpdate(n)
 	l.agent.updateHolds(context.Background())
 	l.reportNow()
 }
 
-func (l *links) applyNews(n messenger.Update) {
+func (l *links) applyUpdate(n messenger.Update) {
 	a := l.agent
 	if n.Record != nil {
 		if _, err := a.State.Offer(n.Record); err != nil {
--- a/internal/dispatcher/call.go
+++ b/internal/dispatcher/call.go
@@ -284,7 +284,7 @@
 	return d.newKey(workspace, service, c), nil
 }
 
-// Lookup returns the fate of a key; it never starts anything.
+// Lookup returns the state of a key; it never starts anything.
 func (d *Dispatcher) Lookup(ctx context.Context, workspace, service, key string) (forwarder.KeyState, error) {
 	k, err := d.resolveKey(ctx, workspace, service, key)
 	if err != nil {
--- a/internal/dispatcher/call_test.go
+++ b/internal/dispatcher/call_test.go
@@ -139,9 +139,9 @@
 	env := newTestEnv(t)
 	a := &fakeAgent{}
 	env.addAgent(t, "vm-1", messenger.KindService, a, 4)
-	fate, err := env.Lookup(t.Context(), "farm", "bookings", "shed4-7")
+	state, err := env.Lookup(t.Context(), "farm", "bookings", "shed4-7")
 	must.NoError(t, err)
-	must.Eq(t, forwarder.KeyNotRun, fate)
+	must.Eq(t, forwarder.KeyNotRun, state)
 	_, err = env.Call(t.Context(), newBooking("shed4-7", true))
 	must.NoError(t, err)
 	must.Eq(t, []string{a.calls[0].Key}, a.lookups)
